--- a/crates/dewspard/src/jobs/counts.rs
+++ b/crates/dewspard/src/jobs/counts.rs
@@ -130,27 +130,27 @@
 
 /// What a record is worth.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub(super) enum Record {
+pub(super) enum CountsRecord {
     /// A living holder wrote it of late.
     Fresh(WaitingJobs),
     /// There is none, or none to be believed; this says why.
-    Unfit(&'static str),
+    Unusable(&'static str),
 }
 
-impl Record {
+impl CountsRecord {
     /// Returns why it isn't believed, if it isn't.
     pub(super) fn unfit(&self) -> Option<&'static str> {
         match self {
-            Record::Fresh(_) => None,
-            Record::Unfit(reason) => Some(reason),
+            CountsRecord::Fresh(_) => None,
+            CountsRecord::Unusable(reason) => Some(reason),
         }
     }
 
     /// Returns its counts, if it is believed.
     pub(super) fn counts(&self) -> Option<&WaitingJobs> {
         match self {
-            Record::Fresh(counts) => Some(counts),
-            Record::Unfit(_) => None,
+            CountsRecord::Fresh(counts) => Some(counts),
+            CountsRecord::Unusable(_) => None,
         }
     }
 }
@@ -172,21 +172,21 @@
         &mut self,
         found: Option<&Versioned>,
         now_ms: u64,
-    ) -> Record {
+    ) -> CountsRecord {
         let version = found.map_or(0, |found| found.version);
         if version != self.version {
             self.version = version;
             self.first_read_ms = now_ms;
         }
         let Some(found) = found else {
-            return Record::Unfit("no holder has counted");
+            return CountsRecord::Unusable("no holder has counted");
         };
         if now_ms >= self.first_read_ms + GIVEN_UP_AFTER_MS {
-            return Record::Unfit("its holder doesn't renew it");
+            return CountsRecord::Unusable("its holder doesn't renew it");
         }
         match serde_json::from_slice(&found.value) {
-            Ok(counts) => Record::Fresh(counts),
-            Err(_) => Record::Unfit("it can't be read"),
+            Ok(counts) => CountsRecord::Fresh(counts),
+            Err(_) => CountsRecord::Unusable("it can't be read"),
         }
     }
 
--- a/crates/dewspard/src/jobs/aside.rs
+++ b/crates/dewspard/src/jobs/deferred_ends.rs
@@ -32,7 +32,7 @@
 
 /// Ends that former holders have set aside, by their job.
 #[derive(Debug, Default)]
-pub(super) struct LoadedEnds {
+pub(super) struct DeferredEnds {
     of_jobs: BTreeMap<JobId, Vec<EndSetAside>>,
     /// The jobs whose ends were taken in.
     taken_in: BTreeSet<JobId>,
@@ -41,7 +41,7 @@
     write_from_ms: u64,
 }
 
-impl LoadedEnds {
+impl DeferredEnds {
     pub(super) fn take_loaded(&mut self, ends: Vec<EndSetAside>) {
         for end in ends {
             let of_job = self.of_jobs.entry(end.end.task.job).or_default();
@@ -145,7 +145,9 @@
             }
             let written = record_written(&answer, keys::OWNER);
             // A holder that is gone has no use for it.
-            let _ = sender.send(Event::EndsWritten { ends, written }).await;
+            let _ = sender
+                .send(Event::DeferredEndsWritten { ends, written })
+                .await;
         });
     }
 
--- a/crates/dewspard/src/jobs/election.rs
+++ b/crates/dewspard/src/jobs/election.rs
@@ -24,8 +24,8 @@
 
 use {
     super::{
-        holder, intent, keys, outcome::Outcome, readiness::Readiness,
-        settings::Machine,
+        holder, intent, keys, readiness::Readiness, settings::Machine,
+        step_down::StepDown,
     },
     crate::{clock, counters, passed_over},
     dewspar::{
@@ -406,7 +406,7 @@
             "revision" => held.revision, "lease_ms" => held.lease_ms);
         counters::count(counters::TAKEOVERS);
         let outcome = holder::run(self, held).await;
-        if matches!(outcome, Outcome::Overloaded) {
+        if matches!(outcome, StepDown::Overloaded) {
             counters::count(counters::OVERLOADS);
             self.overloaded_until_ms = clock::now_ms() + OVERLOADED_MS;
         }
@@ -453,13 +453,13 @@
         }
     }
 
-    async fn leave(&self, held: &Held, outcome: Outcome) {
+    async fn leave(&self, held: &Held, outcome: StepDown) {
         let reason = match outcome {
-            Outcome::Lost(reason) => reason,
-            Outcome::Stopping => "the node stops",
-            Outcome::Yielding => "a stronger node asks for it",
-            Outcome::Overloaded => "this node can't keep up",
-            Outcome::OutOfTokens => "no later token is left for a worker",
+            StepDown::Lost(reason) => reason,
+            StepDown::Stopping => "the node stops",
+            StepDown::Yielding => "a stronger node asks for it",
+            StepDown::Overloaded => "this node can't keep up",
+            StepDown::OutOfTokens => "no later token is left for a worker",
         };
         info!(self.log, "election: this node no longer schedules";
             "revision" => held.revision, "reason" => reason);
--- a/crates/dewspard/src/jobs/event.rs
+++ b/crates/dewspard/src/jobs/event.rs
@@ -6,9 +6,9 @@
 
 use {
     super::{
-        progress::{FeedEvent, Stored},
-        start_logs::LoadedStarts,
-        takeover::{LoadedDuties, LoadedJobs},
+        progress::{FeedEvent, WriteOutcome},
+        start_logs::LoadedStartLogs,
+        takeover::{LoadedFleetState, LoadedJobs},
     },
     crate::clock,
     dewspar::{
@@ -69,28 +69,28 @@
     /// Jobs that former holders left.
     JobsLoaded(LoadedJobs),
     /// Ends of runs whose job former holders couldn't read.
-    EndsLoaded(Vec<EndSetAside>),
+    DeferredEndsLoaded(Vec<EndSetAside>),
     /// What became of a write of such ends.
-    EndsWritten {
+    DeferredEndsWritten {
         ends: EndsSetAside,
         written: RecordWritten,
     },
     /// Starts that former holders have logged.
-    StartsLoaded(LoadedStarts),
+    StartLogsLoaded(LoadedStartLogs),
     /// What became of a write of a log of starts.
     StartLogWritten {
         log: StartLog,
         written: RecordWritten,
     },
     /// What former holders left beside them.
-    DutiesLoaded(LoadedDuties),
+    FleetStateLoaded(LoadedFleetState),
     /// All that former holders left was told.
     AllLoaded,
     /// Everything that was accepted before this time has been told.
     FeedCurrent {
         asked_ms: u64,
     },
-    Directory {
+    DirectoryRead {
         /// When it was asked for, on the steady clock.
         asked_ms: u64,
         listings: Vec<WorkerListing>,
@@ -101,27 +101,27 @@
         asked_ms: u64,
         listing: WorkerListing,
     },
-    Vms {
+    VmsRead {
         asked_ms: u64,
         vms: Vec<ManagedVm>,
     },
-    Maintained {
+    MaintenanceAnswered {
         vm: String,
         wave: u64,
         result: Result<(), VmOrderError>,
     },
-    Moved {
+    MoveAnswered {
         vm: String,
         pool: String,
         result: Result<(), VmOrderError>,
     },
-    ReportFailed {
+    WaveReportFailed {
         wave: u64,
     },
-    Renewed {
+    LeaseRenewed {
         sent_ms: u64,
     },
-    LeaseGone,
+    LeaseLost,
     StartAnswered {
         worker: WorkerId,
         task: TaskId,
@@ -152,9 +152,9 @@
         answer: Result<Vec<(WorkerId, String)>, Error>,
     },
     /// These changes weren't stored, and may be tried again.
-    WriteAgain(Changes),
+    RetryWrite(Changes),
     /// What became of a write of the counts of waiting jobs.
-    Counted(RecordWritten),
+    CountsWritten(RecordWritten),
     /// What became of a write of a wave's state.
     WaveWritten {
         wave: u64,
@@ -162,8 +162,8 @@
     },
     /// What became of a write of the VMs of which changes are ordered.
     VmOrdersWritten(RecordWritten),
-    Stored {
+    ProgressWritten {
         changes: Changes,
-        stored: Stored,
+        stored: WriteOutcome,
     },
 }
--- a/crates/dewspard/src/jobs/feeds.rs
+++ b/crates/dewspard/src/jobs/feeds.rs
@@ -8,9 +8,9 @@
         election::Held,
         event::{Event, EventSender},
         keys,
-        lives::Looked,
         progress::{FeedEvent, load_feed, read_event},
         settings::Machine,
+        worker_lookups::LookupOutcome,
     },
     crate::{clock, counters},
     dewspar::{
@@ -56,16 +56,16 @@
 
 /// What a node's readings cost it.
 #[derive(Clone, Debug)]
-pub(super) struct ReadingCost {
+pub(super) struct PollCost {
     pub(super) machine: Machine,
     pub(super) traffic: Traffic,
 }
 
-impl ReadingCost {
+impl PollCost {
     /// Begins a reading whose calls count for this purpose.
-    fn begin(&self, purpose: Purpose) -> Reading<'_> {
+    fn begin(&self, purpose: Purpose) -> Poll<'_> {
         let received = self.received(purpose);
-        Reading { cost: self, purpose, received, asked_ms: clock::now_ms() }
+        Poll { cost: self, purpose, received, asked_ms: clock::now_ms() }
     }
 
     fn received(&self, purpose: Purpose) -> u64 {
@@ -74,15 +74,15 @@
 }
 
 /// A reading under way.
-struct Reading<'a> {
-    cost: &'a ReadingCost,
+struct Poll<'a> {
+    cost: &'a PollCost,
     purpose: Purpose,
     /// What was received for its purpose before.
     received: u64,
     asked_ms: u64,
 }
 
-impl Reading<'_> {
+impl Poll<'_> {
     /// Pauses as long as its cost asks for.
     async fn pause(self, pace: PollPace) {
         let bytes = self.cost.received(self.purpose) - self.received;
@@ -95,7 +95,7 @@
 /// Reads the list of VMs again and again.
 pub(super) async fn read_vms<F: Fleet>(
     fleet: F,
-    cost: ReadingCost,
+    cost: PollCost,
     sender: EventSender,
 ) {
     loop {
@@ -103,7 +103,7 @@
         let asked_ms = reading.asked_ms;
         match fleet.vms().await {
             Ok(vms) => {
-                let event = Event::Vms { asked_ms, vms };
+                let event = Event::VmsRead { asked_ms, vms };
                 if sender.send(event).await.is_err() {
                     return;
                 }
@@ -125,7 +125,7 @@
     sender: EventSender,
     log: Logger,
 ) {
-    let heard = Heard::new(version);
+    let heard = SharedFeedProgress::new(version);
     let mut silent_at = None;
     loop {
         let next = tokio::select! {
@@ -146,8 +146,8 @@
             }
         };
         match next {
-            FeedReading::GoOn => continue,
-            FeedReading::Whole => {}
+            FeedResume::Watch => continue,
+            FeedResume::FullRead => {}
         }
         loop {
             match load_feed(&store, &log).await {
@@ -167,27 +167,27 @@
 
 /// How the feed is read once a watch of it has ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum FeedReading {
+enum FeedResume {
     /// By another watch, from where the last one stood.
-    GoOn,
+    Watch,
     /// As a whole.
-    Whole,
+    FullRead,
 }
 
-fn after_failure(error: &Error) -> FeedReading {
+fn after_failure(error: &Error) -> FeedResume {
     match error {
-        Error::HistoryGone { .. } => FeedReading::Whole,
-        _ => FeedReading::GoOn,
+        Error::HistoryGone { .. } => FeedResume::FullRead,
+        _ => FeedResume::Watch,
     }
 }
 
 /// A watch that took the place of a silent one and heard nothing either won't
 /// be helped by a third.
-fn after_silence(version: u64, was_silent_at: Option<u64>) -> FeedReading {
+fn after_silence(version: u64, was_silent_at: Option<u64>) -> FeedResume {
     if was_silent_at == Some(version) {
-        FeedReading::Whole
+        FeedResume::FullRead
     } else {
-        FeedReading::GoOn
+        FeedResume::Watch
     }
 }
 
@@ -196,7 +196,7 @@
 /// current.
 async fn silence<K: KeyValue>(
     store: &K,
-    heard: &Heard,
+    heard: &SharedFeedProgress,
     sender: &EventSender,
 ) -> u64 {
     loop {
@@ -227,12 +227,12 @@
 /// Up to where and when the feed was heard; the tasks that watch it and look
 /// for silence share it.
 #[derive(Debug)]
-struct Heard(Mutex<FeedProgress>);
+struct SharedFeedProgress(Mutex<FeedProgress>);
 
-impl Heard {
-    fn new(version: u64) -> Heard {
+impl SharedFeedProgress {
+    fn new(version: u64) -> SharedFeedProgress {
         let progress = FeedProgress::new(version, clock::now_ms());
-        Heard(Mutex::new(progress))
+        SharedFeedProgress(Mutex::new(progress))
     }
 
     fn progress(&self) -> MutexGuard<'_, FeedProgress> {
@@ -255,7 +255,7 @@
 
 async fn watch_feed<K: KeyValue>(
     store: &K,
-    heard: &Heard,
+    heard: &SharedFeedProgress,
     sender: &EventSender,
     log: &Logger,
 ) -> Error {
@@ -295,8 +295,8 @@
         sleep(pause).await;
         let sent_ms = clock::now_ms();
         let event = match store.keep_alive(held.lease).await {
-            Ok(true) => Event::Renewed { sent_ms },
-            Ok(false) => Event::LeaseGone,
+            Ok(true) => Event::LeaseRenewed { sent_ms },
+            Ok(false) => Event::LeaseLost,
             Err(error) => {
                 counters::platform_failure(&error);
                 continue;
@@ -311,7 +311,7 @@
 /// Reads the directory of workers again and again.
 pub(super) async fn read_directory<F: Fleet>(
     fleet: F,
-    cost: ReadingCost,
+    cost: PollCost,
     sender: EventSender,
 ) {
     loop {
@@ -319,7 +319,7 @@
         match fleet.workers().await {
             Ok(listings) => {
                 let asked_ms = reading.asked_ms;
-                let event = Event::Directory { asked_ms, listings };
+                let event = Event::DirectoryRead { asked_ms, listings };
                 if sender.send(event).await.is_err() {
                     return;
                 }
@@ -335,21 +335,25 @@
     fleet: &F,
     id: &WorkerId,
     sender: &EventSender,
-) -> Looked {
+) -> LookupOutcome {
     let asked_ms = clock::now_ms();
     match fleet.worker(id).await {
         Ok(Some(listing)) => {
             let event = Event::WorkerFound { asked_ms, listing };
             // A holder that is gone has no use for it.
             let _ = sender.send(event).await;
-            Looked::Done
+            LookupOutcome::Done
         }
-        Ok(None) if sender.is_closed() => Looked::Done,
+        Ok(None) if sender.is_closed() => LookupOutcome::Done,
         // It has gone again, or it enters itself in a moment.
-        Ok(None) => Looked::Again,
+        Ok(None) => LookupOutcome::Retry,
         Err(error) => {
             counters::platform_failure(&error);
-            if sender.is_closed() { Looked::Done } else { Looked::Again }
+            if sender.is_closed() {
+                LookupOutcome::Done
+            } else {
+                LookupOutcome::Retry
+            }
         }
     }
 }
--- a/crates/dewspard/src/jobs/holder.rs
+++ b/crates/dewspard/src/jobs/holder.rs
@@ -16,25 +16,25 @@
 
 use {
     super::{
-        aside::LoadedEnds,
         counts::CountsWriter,
         decisions,
-        duties::{self, Burst, LoadedWaves},
+        deferred_ends::DeferredEnds,
         election::{Candidate, Held},
         event::{self, Event, EventSender, SentEvent},
         feeds::{
-            ReadingCost, follow_feed, look_up, read_directory, read_vms, renew,
+            PollCost, follow_feed, look_up, read_directory, read_vms, renew,
         },
         intake::FeedOrigin,
         keys,
-        lives::LookUps,
-        load::Load,
+        load_stats::LoadStats,
         orders,
-        outcome::Outcome,
         relay::{self, Keeper, RelayedWorkers},
         start_logs::StartLogWrites,
-        takeover::{self, LoadedDuties},
+        step_down::StepDown,
+        takeover::{self, LoadedFleetState},
         versions::RecordVersions,
+        vm_orders::{self, LoadedWaves, VmOrderBatch},
+        worker_lookups::WorkerLookups,
     },
     crate::{
         clock::{self, Suspensions},
@@ -91,7 +91,7 @@
 pub(super) async fn run<K: KeyValue, W: JobWorkers, F: Fleet>(
     candidate: &Candidate<K, W, F>,
     held: Held,
-) -> Outcome {
+) -> StepDown {
     let (sender, events) = event::channel();
     // Dropped, and so ended, with this function.
     let mut tasks = JoinSet::new();
@@ -103,7 +103,7 @@
         candidate.log.clone(),
     ));
     tasks.spawn(renew(store(Purpose::Lease), held, sender.clone()));
-    let cost = ReadingCost {
+    let cost = PollCost {
         machine: candidate.machine.clone(),
         traffic: candidate.traffic.clone(),
     };
@@ -139,10 +139,10 @@
         versions: RecordVersions::default(),
         restored: BTreeMap::new(),
         unreadable: BTreeSet::new(),
-        ends: LoadedEnds::default(),
+        ends: DeferredEnds::default(),
         start_logs: StartLogWrites::default(),
         sender,
-        look_ups: LookUps::default(),
+        look_ups: WorkerLookups::default(),
         pools: BTreeMap::new(),
         writes: 0,
         stored_ms: 0,
@@ -153,7 +153,7 @@
         begun_ms: clock::now_ms(),
         // The feed tells all since then, and what was there is loaded.
         feed_current_ms: held.renewed_ms,
-        load: Load::new(candidate.traffic.clone()),
+        load: LoadStats::new(candidate.traffic.clone()),
         round_trips: RoundTrips::new(SLOW_FOR_MS),
         counts: CountsWriter::default(),
         waves: LoadedWaves::default(),
@@ -181,11 +181,11 @@
     /// Jobs whose stored progress can't be read.
     pub(super) unreadable: BTreeSet<JobId>,
     /// Ends that former holders have set aside.
-    pub(super) ends: LoadedEnds,
+    pub(super) ends: DeferredEnds,
     pub(super) start_logs: StartLogWrites,
     pub(super) sender: EventSender,
     /// New lives of workers that are being looked up.
-    look_ups: LookUps,
+    look_ups: WorkerLookups,
     /// How many VMs each pool has, by what they are doing.
     pub(super) pools: BTreeMap<String, BTreeMap<&'static str, u32>>,
     /// How many writes of progress are under way.
@@ -200,7 +200,7 @@
     begun_ms: u64,
     /// Up to when everything that was accepted is known here.
     pub(super) feed_current_ms: u64,
-    load: Load,
+    load: LoadStats,
     /// How long orders to start took that were answered.
     round_trips: RoundTrips,
     pub(super) counts: CountsWriter,
@@ -237,7 +237,10 @@
 }
 
 impl<K: KeyValue, W: JobWorkers, F: Fleet> Holder<'_, K, W, F> {
-    async fn run(&mut self, mut events: mpsc::Receiver<SentEvent>) -> Outcome {
+    async fn run(
+        &mut self,
+        mut events: mpsc::Receiver<SentEvent>,
+    ) -> StepDown {
         let mut stopping = self.candidate.stopping.clone();
         let mut tick = interval(TICK);
         tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -248,7 +251,7 @@
                 _ = tick.tick() => {}
                 () = stopped(&mut stopping) => {
                     self.store_last().await;
-                    return Outcome::Stopping;
+                    return StepDown::Stopping;
                 }
             }
             for _ in 0..EVENTS_A_PLAN {
@@ -274,48 +277,48 @@
         match event {
             Event::Feed(feed) => self.take_feed(feed, FeedOrigin::Feed),
             Event::JobsLoaded(jobs) => self.take_loaded(jobs),
-            Event::DutiesLoaded(duties) => self.take_duties(duties, now),
+            Event::FleetStateLoaded(duties) => self.take_duties(duties, now),
             Event::AllLoaded => {
                 scheduler.finish_loading(now);
                 self.delete_useless_ends();
             }
-            Event::EndsLoaded(ends) => self.ends.take_loaded(ends),
-            Event::StartsLoaded(starts) => self.take_loaded_starts(starts),
+            Event::DeferredEndsLoaded(ends) => self.ends.take_loaded(ends),
+            Event::StartLogsLoaded(starts) => self.take_loaded_starts(starts),
             Event::StartLogWritten { log, written } => {
                 self.start_log_written(&log, written, now);
             }
-            Event::EndsWritten { ends, written } => {
+            Event::DeferredEndsWritten { ends, written } => {
                 self.ends_written(&ends, written, now);
             }
             Event::FeedCurrent { asked_ms } => {
                 self.feed_current_ms = self.feed_current_ms.max(asked_ms);
             }
-            Event::Directory { asked_ms, listings } => {
+            Event::DirectoryRead { asked_ms, listings } => {
                 scheduler.list_workers_as_of(asked_ms, now, listings);
             }
             Event::WorkerFound { asked_ms, listing } => {
                 scheduler.list_worker_as_of(asked_ms, now, listing);
             }
-            Event::Vms { asked_ms, vms } => {
+            Event::VmsRead { asked_ms, vms } => {
                 scheduler.list_vms(now, asked_ms, &vms);
                 self.look_up_lives();
                 self.note_pools(&vms);
             }
-            Event::Maintained { vm, wave, result } => {
+            Event::MaintenanceAnswered { vm, wave, result } => {
                 scheduler.maintenance_answered(&vm, wave, result, now);
                 if result.is_ok() {
                     self.owe_wave(wave);
                 }
             }
-            Event::Moved { vm, pool, result } => {
+            Event::MoveAnswered { vm, pool, result } => {
                 scheduler.move_answered(&vm, &pool, result, now);
             }
-            Event::ReportFailed { wave } => scheduler.report_failed(wave),
-            Event::Renewed { sent_ms } => {
+            Event::WaveReportFailed { wave } => scheduler.report_failed(wave),
+            Event::LeaseRenewed { sent_ms } => {
                 self.held.renewed_ms = self.held.renewed_ms.max(sent_ms);
                 scheduler.lease_renewed(sent_ms);
             }
-            Event::LeaseGone => {
+            Event::LeaseLost => {
                 self.lost = Some("the store says that the lease is over");
             }
             Event::StartAnswered { worker, task, run, took_ms, result } => {
@@ -348,7 +351,7 @@
                 scheduler
                     .advice_answered(&step, &workers, asked_ms, answer, now);
             }
-            Event::Counted(written) => self.counts.answered(written),
+            Event::CountsWritten(written) => self.counts.answered(written),
             Event::WaveWritten { wave, written } => {
                 self.wave_written(wave, written, now);
             }
@@ -357,14 +360,14 @@
                     !matches!(written, RecordWritten::Done(_));
                 self.vm_orders.answered(written, now.steady_ms);
             }
-            Event::WriteAgain(changes) => scheduler.changes_failed(&changes),
-            Event::Stored { changes, stored } => {
+            Event::RetryWrite(changes) => scheduler.changes_failed(&changes),
+            Event::ProgressWritten { changes, stored } => {
                 self.changes_stored(changes, stored, now);
             }
         }
     }
 
-    fn take_duties(&mut self, duties: LoadedDuties, now: Now) {
+    fn take_duties(&mut self, duties: LoadedFleetState, now: Now) {
         let orderer = self.candidate.orderer();
         self.vm_orders.found(duties.ordered.version);
         let ordered = duties.ordered.vms.as_ref();
@@ -414,15 +417,15 @@
     }
 
     /// Plans once and sets going what is wanted.
-    fn act(&mut self) -> Option<Outcome> {
+    fn act(&mut self) -> Option<StepDown> {
         let now = now();
         let lease_over_ms = self.held.renewed_ms + self.held.lease_ms;
         if now.steady_ms > lease_over_ms + DETACHED_MS {
-            return Some(Outcome::Lost("the lease couldn't be renewed"));
+            return Some(StepDown::Lost("the lease couldn't be renewed"));
         }
         self.workers.pause(now.steady_ms >= lease_over_ms);
         if !self.is_confirmed(now) {
-            return self.lost.map(Outcome::Lost);
+            return self.lost.map(StepDown::Lost);
         }
         self.configure(now);
         self.scheduler.set_relayed(self.workers.relays() > 0);
@@ -434,24 +437,24 @@
             decisions::record(&self.candidate.log, decision);
         }
         if let Some(reason) = self.lost {
-            return Some(Outcome::Lost(reason));
+            return Some(StepDown::Lost(reason));
         }
         // Before that the store may still say that the worker is wrong.
         let uncertain = now.steady_ms >= lease_over_ms;
         if uncertain && self.scheduler.may_be_superseded() {
-            return Some(Outcome::Lost("a worker has seen a newer holder"));
+            return Some(StepDown::Lost("a worker has seen a newer holder"));
         }
         if self.scheduler.is_out_of_tokens() {
-            return Some(Outcome::OutOfTokens);
+            return Some(StepDown::OutOfTokens);
         }
         if self.claimed {
-            return Some(Outcome::Yielding);
+            return Some(StepDown::Yielding);
         }
         let settled = now.steady_ms >= self.begun_ms + SETTLE_MS;
         let slow_ms = self.scheduler.window().overloaded_ms(SLOW_ORDER_MS);
         let slow = self.round_trips.are_slow(now.steady_ms, slow_ms);
         if settled && slow && !self.scheduler.link().is_short(now.steady_ms) {
-            return Some(Outcome::Overloaded);
+            return Some(StepDown::Overloaded);
         }
         for action in actions {
             let (workers, fleet) = (&self.workers, &self.candidate.fleet);
@@ -525,7 +528,7 @@
             return;
         }
         self.vms_are_on_record = !vms.is_empty();
-        let burst = Burst {
+        let burst = VmOrderBatch {
             holder: self.candidate.node.clone(),
             fence: self.held.revision,
             orders,
@@ -535,6 +538,6 @@
         };
         let Candidate { store, fleet, log, .. } = self.candidate;
         let store = store.with_purpose(Purpose::Vms);
-        duties::send(&store, fleet, burst, &self.sender, log);
+        vm_orders::send(&store, fleet, burst, &self.sender, log);
     }
 }
--- a/crates/dewspard/src/jobs/intake.rs
+++ b/crates/dewspard/src/jobs/intake.rs
@@ -60,7 +60,7 @@
                 FeedEvent::Claimed(claim) => {
                     self.claimed |= self.candidate.is_weak_beside(&claim);
                 }
-                FeedEvent::Owner { revision } => {
+                FeedEvent::LeaseChanged { revision } => {
                     if revision > self.held.revision {
                         self.lost = Some("the lease's key has changed");
                     }
--- a/crates/dewspard/src/jobs/load.rs
+++ b/crates/dewspard/src/jobs/load_stats.rs
@@ -21,7 +21,7 @@
 
 /// What a holder did since the last line.
 #[derive(Debug)]
-pub(super) struct Load {
+pub(super) struct LoadStats {
     logged_ms: u64,
     events: u64,
     /// How long events waited to be taken in, all together and at most.
@@ -35,11 +35,11 @@
     tallies: Tallies,
 }
 
-impl Load {
+impl LoadStats {
     /// Begins to count, with the traffic of this node's calls.
-    pub(super) fn new(traffic: Traffic) -> Load {
+    pub(super) fn new(traffic: Traffic) -> LoadStats {
         let tallies = traffic.tallies();
-        Load {
+        LoadStats {
             logged_ms: 0,
             events: 0,
             waited_ms: 0,
@@ -104,7 +104,7 @@
             "sent_bytes" => traffic.total().sent_bytes,
             "received_bytes" => traffic.total().received_bytes,
             "traffic" => json(&rows(&traffic)));
-        let mut next = Load::new(self.traffic.clone());
+        let mut next = LoadStats::new(self.traffic.clone());
         next.tallies = tallies;
         next.logged_ms = now_ms;
         *self = next;
--- a/crates/dewspard/src/jobs/lookup.rs
+++ b/crates/dewspard/src/jobs/lookup.rs
@@ -8,7 +8,7 @@
 use {
     super::{
         backoff::Backoff,
-        counts::{CountsReader, Record, WaitingJobs},
+        counts::{CountsReader, CountsRecord, WaitingJobs},
         front::{Front, RETRY_AFTER_MS},
         holder::json,
         keys::{self, FeedKey},
@@ -105,11 +105,11 @@
             "store_version" => found.map_or(0, |found| found.version),
             "unchanged_ms" => reader.unchanged_ms(now_ms));
         let reason = match record {
-            Record::Fresh(counts) => {
+            CountsRecord::Fresh(counts) => {
                 reader.take_record(counts, now_ms);
                 return Ok(());
             }
-            Record::Unfit(reason) => reason,
+            CountsRecord::Unusable(reason) => reason,
         };
         self.recount(reader, reason, deadline).await
     }
--- a/crates/dewspard/src/jobs/mod.rs
+++ b/crates/dewspard/src/jobs/mod.rs
@@ -39,11 +39,10 @@
     settings::JobSettings,
 };
 
-mod aside;
 mod backoff;
 mod counts;
 mod decisions;
-mod duties;
+mod deferred_ends;
 mod election;
 mod event;
 mod feeds;
@@ -53,13 +52,12 @@
 mod intake;
 mod intent;
 mod keys;
-pub mod lives;
-mod load;
+mod load_stats;
 mod lookup;
 mod node;
 mod orders;
-mod outcome;
 mod progress;
+mod progress_writes;
 mod readiness;
 mod records;
 mod recount;
@@ -67,6 +65,8 @@
 mod rest;
 pub mod settings;
 mod start_logs;
-mod storing;
+mod step_down;
 mod takeover;
 mod versions;
+mod vm_orders;
+pub mod worker_lookups;
--- a/crates/dewspard/src/jobs/progress.rs
+++ b/crates/dewspard/src/jobs/progress.rs
@@ -54,7 +54,7 @@
     /// A job was cancelled.
     Cancelled(JobId),
     /// The lease's key was written or is gone.
-    Owner { revision: u64 },
+    LeaseChanged { revision: u64 },
     /// Another node would like to schedule.
     Claimed(Claim),
 }
@@ -79,7 +79,9 @@
         Event::Put(item) => read_put(item, log),
         // The holder itself deletes what is over; only the lease matters.
         Event::Deleted { key, version } => match FeedKey::parse(key)? {
-            FeedKey::Owner => Some(FeedEvent::Owner { revision: *version }),
+            FeedKey::Owner => {
+                Some(FeedEvent::LeaseChanged { revision: *version })
+            }
             FeedKey::Accepted(_) | FeedKey::Cancelled(_) | FeedKey::Claim => {
                 None
             }
@@ -90,7 +92,7 @@
 fn read_put(item: &Versioned, log: &Logger) -> Option<FeedEvent> {
     let revision = item.version;
     match FeedKey::parse(&item.key)? {
-        FeedKey::Owner => Some(FeedEvent::Owner { revision }),
+        FeedKey::Owner => Some(FeedEvent::LeaseChanged { revision }),
         FeedKey::Cancelled(id) => Some(FeedEvent::Cancelled(id)),
         FeedKey::Claim => match serde_json::from_slice(&item.value) {
             Ok(claim) => Some(FeedEvent::Claimed(claim)),
@@ -119,18 +121,18 @@
 
 /// What became of storing changes.
 #[derive(Debug)]
-pub(super) enum Stored {
+pub(super) enum WriteOutcome {
     /// They are in the store; each job's key is at this version.
     Done(u64),
     /// A condition didn't hold, and nothing was stored.
-    Refused(Refusal),
+    Conflict(WriteConflict),
     /// Nothing was stored.
     Failed,
 }
 
 /// A write whose conditions didn't hold.
 #[derive(Debug)]
-pub(super) struct Refusal {
+pub(super) struct WriteConflict {
     /// What had to hold.
     conditions: Vec<Condition>,
     /// The keys of these conditions that were there.
@@ -139,33 +141,36 @@
 
 /// What a refused write found otherwise than it expected.
 #[derive(Debug, Eq, PartialEq)]
-pub(super) enum RefusedBy {
+pub(super) enum ConflictCause {
     /// The lease's key: another node holds the lease, or may.
     Lease,
     /// The records of these jobs, while the lease stands.
     Records(BTreeSet<JobId>),
     /// Nothing any more: what stood in the way has changed again.
-    Nothing,
+    Resolved,
 }
 
-impl Refusal {
+impl WriteConflict {
     /// Makes the refusal of a batch whose conditional keys are as given.
-    pub(super) fn new(batch: &Batch, current: Vec<Versioned>) -> Refusal {
-        Refusal { conditions: batch.conditions.clone(), current }
+    pub(super) fn new(
+        batch: &Batch,
+        current: Vec<Versioned>,
+    ) -> WriteConflict {
+        WriteConflict { conditions: batch.conditions.clone(), current }
     }
 
     /// Returns what stood in the way of changes to these jobs.
-    pub(super) fn by(&self, changes: &Changes) -> RefusedBy {
+    pub(super) fn by(&self, changes: &Changes) -> ConflictCause {
         if self.differs(keys::OWNER) {
-            return RefusedBy::Lease;
+            return ConflictCause::Lease;
         }
         let ids = changes.progress.iter().map(|(id, _)| *id);
         let differing: BTreeSet<JobId> =
             ids.filter(|id| self.differs(&keys::progress(*id))).collect();
         if differing.is_empty() {
-            return RefusedBy::Nothing;
+            return ConflictCause::Resolved;
         }
-        RefusedBy::Records(differing)
+        ConflictCause::Records(differing)
     }
 
     /// Returns a job's record as it was found.
@@ -236,11 +241,11 @@
 pub(super) async fn store_changes<K: KeyValue>(
     store: &K,
     batch: &Batch,
-) -> Stored {
+) -> WriteOutcome {
     let mut maybe_done = false;
     loop {
         match store.commit(batch).await {
-            Ok(Commit::Done(version)) => return Stored::Done(version),
+            Ok(Commit::Done(version)) => return WriteOutcome::Done(version),
             Ok(Commit::Conflict(current)) => {
                 return judge_conflict(batch, current, maybe_done);
             }
@@ -248,7 +253,7 @@
                 counters::platform_failure(&error);
                 maybe_done |= error.may_have_taken_effect();
                 if !maybe_done {
-                    return Stored::Failed;
+                    return WriteOutcome::Failed;
                 }
                 sleep(RETRY).await;
             }
@@ -261,13 +266,13 @@
     batch: &Batch,
     current: Vec<Versioned>,
     maybe_done: bool,
-) -> Stored {
+) -> WriteOutcome {
     if let Some(version) = version_if_done(batch, &current)
         && maybe_done
     {
-        return Stored::Done(version);
+        return WriteOutcome::Done(version);
     }
-    Stored::Refused(Refusal::new(batch, current))
+    WriteOutcome::Conflict(WriteConflict::new(batch, current))
 }
 
 /// Returns the version at which all that a batch puts under a condition is
--- a/crates/dewspard/src/jobs/storing.rs
+++ b/crates/dewspard/src/jobs/progress_writes.rs
@@ -17,7 +17,9 @@
         event::Event,
         holder::{Holder, json},
         keys,
-        progress::{self, Refusal, RefusedBy, Stored, batch_of},
+        progress::{
+            self, ConflictCause, WriteConflict, WriteOutcome, batch_of,
+        },
         versions::VersionSource,
     },
     crate::counters,
@@ -53,7 +55,7 @@
 /// A job's record that wasn't as a refused write expected; versions are 0
 /// where there is no record.
 #[derive(Debug, Serialize)]
-struct RefusedRow {
+struct ConflictRow {
     job: JobId,
     expected: u64,
     found: u64,
@@ -86,11 +88,12 @@
         let sender = self.sender.clone();
         tokio::spawn(async move {
             let stored = progress::store_changes(&store, &batch).await;
-            if matches!(stored, Stored::Failed) {
+            if matches!(stored, WriteOutcome::Failed) {
                 sleep(RETRY).await;
             }
             // A holder that is gone has no use for it.
-            let _ = sender.send(Event::Stored { changes, stored }).await;
+            let _ =
+                sender.send(Event::ProgressWritten { changes, stored }).await;
         });
     }
 
@@ -98,20 +101,20 @@
     pub(super) fn changes_stored(
         &mut self,
         changes: Changes,
-        stored: Stored,
+        stored: WriteOutcome,
         now: Now,
     ) {
         self.writes -= 1;
         match stored {
-            Stored::Done(version) => {
+            WriteOutcome::Done(version) => {
                 for (id, _) in &changes.progress {
                     self.versions.note_written(*id, version);
                 }
                 self.scheduler.changes_stored(&changes, now);
                 self.delete_stored_ends(&changes);
             }
-            Stored::Failed => self.scheduler.changes_failed(&changes),
-            Stored::Refused(refusal) => {
+            WriteOutcome::Failed => self.scheduler.changes_failed(&changes),
+            WriteOutcome::Conflict(refusal) => {
                 self.changes_refused(changes, &refusal, now);
             }
         }
@@ -120,19 +123,19 @@
     fn changes_refused(
         &mut self,
         mut changes: Changes,
-        refusal: &Refusal,
+        refusal: &WriteConflict,
         now: Now,
     ) {
         match refusal.by(&changes) {
-            RefusedBy::Lease => {
+            ConflictCause::Lease => {
                 self.log_refusal(refusal, &[]);
                 self.lost = Some("the store refused this holder's write");
             }
-            RefusedBy::Nothing => {
+            ConflictCause::Resolved => {
                 self.log_refusal(refusal, &[]);
                 self.write_again(changes, RETRY);
             }
-            RefusedBy::Records(ids) => {
+            ConflictCause::Records(ids) => {
                 let refused = changes.take(&ids);
                 if !changes.progress.is_empty() {
                     self.store(changes);
@@ -148,7 +151,7 @@
     fn resolve_each(
         &mut self,
         mut refused: Changes,
-        refusal: &Refusal,
+        refusal: &WriteConflict,
         now: Now,
     ) {
         let mut rows = Vec::new();
@@ -164,7 +167,7 @@
             let resolution = resolve(expected, ours, refusal.record(id));
             let times_in_a_row = self.versions.note_found(id, found);
             let resolved = resolution.name();
-            rows.push(RefusedRow {
+            rows.push(ConflictRow {
                 job: id,
                 expected,
                 found,
@@ -223,13 +226,13 @@
         tokio::spawn(async move {
             sleep(pause).await;
             // A holder that is gone has no use for it.
-            let _ = sender.send(Event::WriteAgain(changes)).await;
+            let _ = sender.send(Event::RetryWrite(changes)).await;
         });
     }
 
     /// Logs a refused write, with the records that stood in the way; at most
     /// as many as a write carries.
-    fn log_refusal(&self, refusal: &Refusal, rows: &[RefusedRow]) {
+    fn log_refusal(&self, refusal: &WriteConflict, rows: &[ConflictRow]) {
         warn!(self.candidate.log, "holder: write refused";
             "lease_revision" => self.held.revision,
             "lease_found" => refusal.version(keys::OWNER),
@@ -262,13 +265,13 @@
                     return false;
                 }
             };
-            let refusal = Refusal::new(&batch, current);
+            let refusal = WriteConflict::new(&batch, current);
             self.log_refusal(&refusal, &[]);
             match refusal.by(&changes) {
-                RefusedBy::Lease => return false,
-                RefusedBy::Nothing => return true,
+                ConflictCause::Lease => return false,
+                ConflictCause::Resolved => return true,
                 // Left to the next holder, which reads these records anew.
-                RefusedBy::Records(ids) => drop(changes.take(&ids)),
+                ConflictCause::Records(ids) => drop(changes.take(&ids)),
             }
         }
         true
--- a/crates/dewspard/src/jobs/records.rs
+++ b/crates/dewspard/src/jobs/records.rs
@@ -5,10 +5,9 @@
 
 use {
     super::{
-        duties,
         event::Event,
         holder::{Holder, json},
-        keys,
+        keys, vm_orders,
     },
     crate::counters,
     dewspar::{fields::WithOthers, record::RecordWritten, schedule::Now},
@@ -58,7 +57,7 @@
             let other = other.unwrap_or_default();
             let record = WithOthers { record, other };
             let lease = self.held.revision;
-            let batch = duties::wave_batch(lease, wave, expected, &record);
+            let batch = vm_orders::wave_batch(lease, wave, expected, &record);
             let store = self.candidate.store.with_purpose(Purpose::Progress);
             let sender = self.sender.clone();
             let log = self.candidate.log.clone();
@@ -117,7 +116,7 @@
                     "of" => "counts of waiting jobs", "error" => %error);
             }
             let written =
-                Event::Counted(record_written(&answer, keys::PENDING));
+                Event::CountsWritten(record_written(&answer, keys::PENDING));
             // A holder that is gone has no use for it.
             let _ = sender.send(written).await;
         });
--- a/crates/dewspard/src/jobs/start_logs.rs
+++ b/crates/dewspard/src/jobs/start_logs.rs
@@ -36,7 +36,7 @@
 
 /// What former holders have logged.
 #[derive(Debug, Default)]
-pub(super) struct LoadedStarts {
+pub(super) struct LoadedStartLogs {
     starts: Vec<LoggedStart>,
     /// The keys of their logs.
     keys: Vec<String>,
@@ -56,9 +56,9 @@
 pub(super) async fn load_starts<K: KeyValue>(
     store: &K,
     log: &Logger,
-) -> Result<LoadedStarts, Error> {
+) -> Result<LoadedStartLogs, Error> {
     let (_, found) = store.list(keys::START_LOGS).await?;
-    let mut loaded = LoadedStarts::default();
+    let mut loaded = LoadedStartLogs::default();
     for item in found {
         loaded.starts.extend(read_starts(&item, log));
         loaded.keys.push(item.key);
@@ -89,8 +89,8 @@
 
 impl<K: KeyValue, W: JobWorkers, F: Fleet> Holder<'_, K, W, F> {
     /// Takes in what former holders have logged.
-    pub(super) fn take_loaded_starts(&mut self, loaded: LoadedStarts) {
-        let LoadedStarts { starts, keys } = loaded;
+    pub(super) fn take_loaded_starts(&mut self, loaded: LoadedStartLogs) {
+        let LoadedStartLogs { starts, keys } = loaded;
         if !keys.is_empty() {
             info!(self.candidate.log, "holder: logged starts loaded";
                 "logs" => keys.len(), "starts" => starts.len());
--- a/crates/dewspard/src/jobs/outcome.rs
+++ b/crates/dewspard/src/jobs/step_down.rs
@@ -4,7 +4,7 @@
 
 /// Why a node no longer schedules.
 #[derive(Clone, Copy, Debug)]
-pub(super) enum Outcome {
+pub(super) enum StepDown {
     /// Another node does, or may.
     Lost(&'static str),
     /// A stronger node asks for the lease.
@@ -17,15 +17,15 @@
     Stopping,
 }
 
-impl Outcome {
+impl StepDown {
     /// Returns whether the node gives up a lease that it holds.
     pub(super) fn still_holds(self) -> bool {
         match self {
-            Outcome::Lost(_) => false,
-            Outcome::Yielding
-            | Outcome::Overloaded
-            | Outcome::OutOfTokens
-            | Outcome::Stopping => true,
+            StepDown::Lost(_) => false,
+            StepDown::Yielding
+            | StepDown::Overloaded
+            | StepDown::OutOfTokens
+            | StepDown::Stopping => true,
         }
     }
 }
--- a/crates/dewspard/src/jobs/takeover.rs
+++ b/crates/dewspard/src/jobs/takeover.rs
@@ -15,12 +15,12 @@
 
 use {
     super::{
-        aside::load_ends,
-        duties::{LoadedOrders, LoadedWaves, load_ordered, load_waves},
+        deferred_ends::load_ends,
         event::{Event, EventSender, HolderGone},
         keys,
         progress::{FeedEvent, read_feed},
         start_logs::load_starts,
+        vm_orders::{LoadedVmOrders, LoadedWaves, load_ordered, load_waves},
     },
     crate::{clock, counters, passed_over},
     dewspar::{
@@ -66,13 +66,13 @@
 
 /// What former holders left beside the jobs.
 #[derive(Debug)]
-pub(super) struct LoadedDuties {
+pub(super) struct LoadedFleetState {
     /// What they kept of each wave.
     pub(super) waves: LoadedWaves,
     /// The waves that were reported as completed.
     pub(super) completed: Vec<u64>,
     /// The VMs of which the former holder ordered changes of late.
-    pub(super) ordered: LoadedOrders,
+    pub(super) ordered: LoadedVmOrders,
     /// The version of the counts of waiting jobs; 0 for none.
     pub(super) counts_version: u64,
 }
@@ -103,14 +103,14 @@
     log: &Logger,
 ) -> Result<(), HolderGone> {
     let duties = until_read(|| read_duties(store, fleet, log)).await;
-    sender.send(Event::DutiesLoaded(duties)).await
+    sender.send(Event::FleetStateLoaded(duties)).await
 }
 
 async fn read_duties<K: KeyValue, F: Fleet>(
     store: &K,
     fleet: &F,
     log: &Logger,
-) -> Result<LoadedDuties, Error> {
+) -> Result<LoadedFleetState, Error> {
     // All at once: one after the other they take a slow store seconds.
     let (waves, completed, ordered, counts_version) = tokio::try_join!(
         load_waves(store, log),
@@ -118,19 +118,19 @@
         load_ordered(store, log),
         store.version(keys::PENDING),
     )?;
-    Ok(LoadedDuties { waves, completed, ordered, counts_version })
+    Ok(LoadedFleetState { waves, completed, ordered, counts_version })
 }
 
 /// How much was loaded.
 #[derive(Debug, Default)]
-struct Loaded {
+struct LoadTotals {
     jobs: usize,
     bytes: usize,
     readings: usize,
 }
 
 /// How what is left is read.
-enum Rest {
+enum RemainingRead {
     AtOnce,
     BySlices,
 }
@@ -139,8 +139,8 @@
     store: &K,
     sender: &EventSender,
     log: &Logger,
-) -> Result<Loaded, HolderGone> {
-    let mut loaded = Loaded::default();
+) -> Result<LoadTotals, HolderGone> {
+    let mut loaded = LoadTotals::default();
     let asked_ms = clock::now_ms();
     let ((_, cancelled), ends, starts) = tokio::join!(
         until_read(|| store.list(keys::CANCELLED)),
@@ -149,17 +149,17 @@
     );
     let call_ms = clock::now_ms().saturating_sub(asked_ms);
     sender.send(Event::Feed(read_feed(&cancelled, log))).await?;
-    sender.send(Event::EndsLoaded(ends)).await?;
+    sender.send(Event::DeferredEndsLoaded(ends)).await?;
     // Before any job of which they tell.
-    sender.send(Event::StartsLoaded(starts)).await?;
+    sender.send(Event::StartLogsLoaded(starts)).await?;
 
     let [first, rest @ ..] = &SLICES;
     let took_ms = load_slice(store, first, sender, log, &mut loaded).await?;
     match how_to_read_on(took_ms, call_ms, rest.len() as u64) {
-        Rest::AtOnce => {
+        RemainingRead::AtOnce => {
             load_slice(store, "", sender, log, &mut loaded).await?;
         }
-        Rest::BySlices => {
+        RemainingRead::BySlices => {
             for slice in rest {
                 let took_ms =
                     load_slice(store, slice, sender, log, &mut loaded).await?;
@@ -173,9 +173,17 @@
 
 /// Decides by how much longer the first slice took than a call that brings
 /// hardly anything, all in milliseconds.
-fn how_to_read_on(took_ms: u64, call_ms: u64, slices_left: u64) -> Rest {
+fn how_to_read_on(
+    took_ms: u64,
+    call_ms: u64,
+    slices_left: u64,
+) -> RemainingRead {
     let more_ms = took_ms.saturating_sub(call_ms) * slices_left;
-    if more_ms <= AT_ONCE_MS { Rest::AtOnce } else { Rest::BySlices }
+    if more_ms <= AT_ONCE_MS {
+        RemainingRead::AtOnce
+    } else {
+        RemainingRead::BySlices
+    }
 }
 
 /// Loads the jobs whose identifiers begin so; returns how long the store took
@@ -185,7 +193,7 @@
     slice: &str,
     sender: &EventSender,
     log: &Logger,
-    loaded: &mut Loaded,
+    loaded: &mut LoadTotals,
 ) -> Result<u64, HolderGone> {
     let accepted = format!("{}{slice}", keys::ACCEPTED);
     let progress = format!("{}{slice}", keys::PROGRESS);
--- a/crates/dewspard/src/jobs/duties.rs
+++ b/crates/dewspard/src/jobs/vm_orders.rs
@@ -25,7 +25,7 @@
 };
 
 /// Orders to send, once they are on record.
-pub(super) struct Burst {
+pub(super) struct VmOrderBatch {
     /// The node that sends them.
     pub(super) holder: String,
     /// Their fencing token.
@@ -46,7 +46,7 @@
 pub(super) fn send<K: KeyValue, F: Fleet>(
     store: &K,
     fleet: &F,
-    burst: Burst,
+    burst: VmOrderBatch,
     events: &EventSender,
     log: &Logger,
 ) {
@@ -54,18 +54,18 @@
     let (events, log) = (events.clone(), log.clone());
     tokio::spawn(async move {
         let event = match record_orders(&store, &burst, &log).await {
-            Recorded::Known(written) => Event::VmOrdersWritten(written),
-            Recorded::LeaseGone => Event::LeaseGone,
+            RecordResult::Answered(written) => Event::VmOrdersWritten(written),
+            RecordResult::LeaseLost => Event::LeaseLost,
         };
         let recorded =
             matches!(event, Event::VmOrdersWritten(RecordWritten::Done(_)));
-        let lease_gone = matches!(event, Event::LeaseGone);
+        let lease_gone = matches!(event, Event::LeaseLost);
         // A holder that is gone has no use for it.
         if events.send(event).await.is_err() || lease_gone {
             return;
         }
         for order in burst.orders {
-            let change = Change {
+            let change = OrderContext {
                 holder: burst.holder.clone(),
                 fence: burst.fence,
                 recorded,
@@ -89,10 +89,10 @@
 const RECORD_TRIES: u32 = 3;
 
 /// What became of recording orders.
-enum Recorded {
-    Known(RecordWritten),
+enum RecordResult {
+    Answered(RecordWritten),
     /// Another node holds the lease, or may.
-    LeaseGone,
+    LeaseLost,
 }
 
 /// Records orders before they are sent.
@@ -101,9 +101,9 @@
 /// that is done late must not replace this one.
 async fn record_orders<K: KeyValue>(
     store: &K,
-    burst: &Burst,
+    burst: &VmOrderBatch,
     log: &Logger,
-) -> Recorded {
+) -> RecordResult {
     let mut written =
         RecordWritten::Conflict { version: burst.record_version };
     for _ in 0..RECORD_TRIES {
@@ -114,7 +114,7 @@
             Ok(Commit::Done(_)) => {}
             Ok(Commit::Conflict(found)) => {
                 if version_among(found, keys::OWNER) != burst.fence {
-                    return Recorded::LeaseGone;
+                    return RecordResult::LeaseLost;
                 }
                 info!(log, "vm: record of orders was another";
                     "expected" => version,
@@ -128,18 +128,18 @@
         }
         written = record_written(&answer, keys::VM_ORDERS);
     }
-    Recorded::Known(written)
+    RecordResult::Answered(written)
 }
 
 /// Who orders a change to a VM.
-struct Change {
+struct OrderContext {
     holder: String,
     fence: u64,
     recorded: bool,
     planned: Suspensions,
 }
 
-impl Change {
+impl OrderContext {
     /// Returns whether the order may go out: it is on record, and this VM
     /// wasn't suspended since it was planned. After that another node may hold
     /// the lease, and the VM service refuses the order only where it has heard
@@ -161,7 +161,7 @@
 
 async fn send_one<F: Fleet>(
     fleet: F,
-    change: Change,
+    change: OrderContext,
     order: VmOrder,
     log: Logger,
 ) -> Option<Event> {
@@ -173,7 +173,7 @@
                 Err(VmOrderError::NotDone)
             };
             record(&log, "maintain", &vm, &wave.to_string(), &result);
-            Some(Event::Maintained { vm, wave, result })
+            Some(Event::MaintenanceAnswered { vm, wave, result })
         }
         VmOrder::Move { vm, pool } => {
             let result = if change.may_go() {
@@ -182,7 +182,7 @@
                 Err(VmOrderError::NotDone)
             };
             record(&log, "move", &vm, &pool, &result);
-            Some(Event::Moved { vm, pool, result })
+            Some(Event::MoveAnswered { vm, pool, result })
         }
         VmOrder::ReportRunning { wave } => {
             match fleet.report_wave(wave, false).await {
@@ -204,7 +204,7 @@
                 }
                 Err(error) => {
                     counters::platform_failure(&error);
-                    Some(Event::ReportFailed { wave })
+                    Some(Event::WaveReportFailed { wave })
                 }
             }
         }
@@ -269,7 +269,7 @@
 
 /// Of which VMs the former holder had ordered changes when it last did.
 #[derive(Debug)]
-pub(super) struct LoadedOrders {
+pub(super) struct LoadedVmOrders {
     /// `None` where that can't be known.
     pub(super) vms: Option<OrderedVms>,
     /// The version of the record; 0 for none.
@@ -280,10 +280,10 @@
 pub(super) async fn load_ordered<K: KeyValue>(
     store: &K,
     log: &Logger,
-) -> Result<LoadedOrders, Error> {
+) -> Result<LoadedVmOrders, Error> {
     let Some(found) = store.get(keys::VM_ORDERS).await? else {
         let vms = Some(OrderedVms::default());
-        return Ok(LoadedOrders { vms, version: 0 });
+        return Ok(LoadedVmOrders { vms, version: 0 });
     };
     let vms = match serde_json::from_slice(&found.value) {
         Ok(vms) => Some(vms),
@@ -293,7 +293,7 @@
             None
         }
     };
-    Ok(LoadedOrders { vms, version: found.version })
+    Ok(LoadedVmOrders { vms, version: found.version })
 }
 
 /// The write that records of which VMs changes are ordered.
--- a/crates/dewspard/src/jobs/lives.rs
+++ b/crates/dewspard/src/jobs/worker_lookups.rs
@@ -14,14 +14,14 @@
 ```
 use {
     dewspar::schedule::WorkerId,
-    dewspard::jobs::lives::{LookUps, Looked},
+    dewspard::jobs::worker_lookups::{LookupOutcome, WorkerLookups},
     std::time::Duration,
     tokio::sync::mpsc,
 };
 
 # #[tokio::main(flavor = "current_thread")]
 # async fn main() {
-let look_ups = LookUps::default();
+let look_ups = WorkerLookups::default();
 let (found, mut finds) = mpsc::channel(1);
 let id = WorkerId::new("worker-7");
 for _ in 0..2 {
@@ -30,7 +30,7 @@
         let (found, name) = (found.clone(), name.clone());
         async move {
             found.send(name).await.unwrap();
-            Looked::Done
+            LookupOutcome::Done
         }
     });
 }
@@ -77,35 +77,35 @@
 
 /// A life that wasn't found.
 #[derive(Clone, Copy, Debug)]
-struct Rest {
+struct Backoff {
     until: Instant,
-    lasts: Duration,
+    duration: Duration,
 }
 
 /// What came of a look-up.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Looked {
+pub enum LookupOutcome {
     /// Nothing more is to be looked up.
     Done,
     /// It isn't there yet, or nobody could say.
-    Again,
+    Retry,
 }
 
 /// Look-ups under way; clones share them.
 #[derive(Clone, Debug)]
-pub struct LookUps {
-    lives: Arc<Mutex<Lives>>,
+pub struct WorkerLookups {
+    lives: Arc<Mutex<LookupState>>,
     at_once: Arc<Semaphore>,
 }
 
 #[derive(Debug, Default)]
-struct Lives {
+struct LookupState {
     under_way: BTreeSet<WorkerId>,
     /// Those that weren't found.
-    resting: BTreeMap<WorkerId, Rest>,
+    resting: BTreeMap<WorkerId, Backoff>,
 }
 
-impl Lives {
+impl LookupState {
     /// Notes that a life is looked up, if it is to be.
     fn begin(&mut self, id: &WorkerId) -> bool {
         let now = Instant::now();
@@ -113,36 +113,36 @@
         !rests && self.under_way.insert(id.clone())
     }
 
-    fn end(&mut self, id: &WorkerId, looked: Looked) {
+    fn end(&mut self, id: &WorkerId, looked: LookupOutcome) {
         self.under_way.remove(id);
         let now = Instant::now();
         self.resting.retain(|_, rest| now < rest.until + REMEMBERED);
         let rested = self.resting.remove(id);
-        if looked == Looked::Again {
-            let lasts = rested.map_or(FIRST_REST, |rest| rest.lasts * 2);
-            let lasts = lasts.min(LONGEST_REST);
-            let rest = Rest { until: now + lasts, lasts };
+        if looked == LookupOutcome::Retry {
+            let duration = rested.map_or(FIRST_REST, |rest| rest.duration * 2);
+            let duration = duration.min(LONGEST_REST);
+            let rest = Backoff { until: now + duration, duration };
             self.resting.insert(id.clone(), rest);
         }
     }
 }
 
-impl Default for LookUps {
-    fn default() -> LookUps {
-        LookUps {
+impl Default for WorkerLookups {
+    fn default() -> WorkerLookups {
+        WorkerLookups {
             lives: Arc::default(),
             at_once: Arc::new(Semaphore::new(AT_ONCE)),
         }
     }
 }
 
-impl LookUps {
+impl WorkerLookups {
     /// Looks a life up until that is done, unless it is being looked up or
     /// wasn't found a short while ago.
     pub fn start<L, R>(&self, id: &WorkerId, look: L)
     where
         L: Fn() -> R + Send + 'static,
-        R: Future<Output = Looked> + Send,
+        R: Future<Output = LookupOutcome> + Send,
     {
         if !self.lock().begin(id) {
             return;
@@ -154,25 +154,25 @@
         });
     }
 
-    async fn look<L, R>(&self, look: L) -> Looked
+    async fn look<L, R>(&self, look: L) -> LookupOutcome
     where
         L: Fn() -> R,
-        R: Future<Output = Looked>,
+        R: Future<Output = LookupOutcome>,
     {
         for _ in 0..MOST_TRIES {
             // OK because nobody closes it.
             let permit = self.at_once.acquire().await.expect("open");
             let looked = look().await;
             drop(permit);
-            if looked == Looked::Done {
+            if looked == LookupOutcome::Done {
                 return looked;
             }
             sleep(AGAIN).await;
         }
-        Looked::Again
+        LookupOutcome::Retry
     }
 
-    fn lock(&self) -> MutexGuard<'_, Lives> {
+    fn lock(&self) -> MutexGuard<'_, LookupState> {
         // OK after a panic: a life is looked up once more or less.
         self.lives.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/crates/dewspard/tests/lives.rs
+++ b/crates/dewspard/tests/worker_lookups.rs
@@ -9,7 +9,7 @@
 
 use {
     dewspar::schedule::WorkerId,
-    dewspard::jobs::lives::{LookUps, Looked},
+    dewspard::jobs::worker_lookups::{LookupOutcome, WorkerLookups},
     std::{
         collections::BTreeMap,
         sync::{Arc, Mutex},
@@ -28,7 +28,12 @@
 }
 
 /// Looks a life up that is there at its `found_at`th look-up.
-fn start(look_ups: &LookUps, id: WorkerId, found_at: u32, tries: &Tries) {
+fn start(
+    look_ups: &WorkerLookups,
+    id: WorkerId,
+    found_at: u32,
+    tries: &Tries,
+) {
     let tries = tries.clone();
     look_ups.start(&id.clone(), move || {
         let (tries, id) = (tries.clone(), id.clone());
@@ -37,7 +42,11 @@
             let mut tries = tries.lock().unwrap();
             let tried = tries.entry(id).or_default();
             *tried += 1;
-            if *tried >= found_at { Looked::Done } else { Looked::Again }
+            if *tried >= found_at {
+                LookupOutcome::Done
+            } else {
+                LookupOutcome::Retry
+            }
         }
     });
 }
@@ -48,7 +57,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn hundreds_of_lives_are_found_within_a_few_answers() {
-    let (look_ups, tries) = (LookUps::default(), Tries::default());
+    let (look_ups, tries) = (WorkerLookups::default(), Tries::default());
     let began = Instant::now();
     for number in 0..408 {
         start(&look_ups, life(number), 1, &tries);
@@ -61,7 +70,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_life_that_is_named_again_is_looked_up_once() {
-    let (look_ups, tries) = (LookUps::default(), Tries::default());
+    let (look_ups, tries) = (WorkerLookups::default(), Tries::default());
     for _ in 0..3 {
         start(&look_ups, life(1), 1, &tries);
     }
@@ -77,7 +86,7 @@
 /// enters itself was looked up 5 times a second, without end.
 #[tokio::test(start_paused = true)]
 async fn a_life_that_never_enters_itself_is_looked_up_less_and_less() {
-    let (look_ups, tries) = (LookUps::default(), Tries::default());
+    let (look_ups, tries) = (WorkerLookups::default(), Tries::default());
     let mut tried_by = Vec::new();
     for _ in 0..4 {
         for _ in 0..600 {
@@ -94,7 +103,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_life_that_enters_itself_late_is_found_and_one_that_never_does_ends()
 {
-    let (look_ups, tries) = (LookUps::default(), Tries::default());
+    let (look_ups, tries) = (WorkerLookups::default(), Tries::default());
     start(&look_ups, life(1), 4, &tries);
     start(&look_ups, life(2), u32::MAX, &tries);
     sleep(Duration::from_secs(60)).await;
