--- a/crates/dewspard/src/jobs/holder.rs
+++ b/crates/dewspard/src/jobs/holder.rs
@@ -31,7 +31,7 @@
         load::Load,
         orders,
         outcome::Outcome,
-        relay::{self, Keeper, RelayedWorkers},
+        relay::{self, RelayManager, RelayedWorkers},
         start_logs::StartLogWrites,
         takeover::{self, LoadedDuties},
         versions::RecordVersions,
@@ -117,9 +117,9 @@
         candidate.log.clone(),
     ));
     let workers = RelayedWorkers::new(candidate.workers.clone());
-    tasks.spawn(relay::keep(Keeper {
+    tasks.spawn(relay::manage(RelayManager {
         store: store(Purpose::Relays),
-        offers: keys::RELAYS,
+        offers_prefix: keys::RELAYS,
         node: candidate.node.clone(),
         strength: candidate.strength,
         lease_revision: held.revision,
@@ -420,12 +420,12 @@
         if now.steady_ms > lease_over_ms + DETACHED_MS {
             return Some(Outcome::Lost("the lease couldn't be renewed"));
         }
-        self.workers.pause(now.steady_ms >= lease_over_ms);
+        self.workers.set_relaying_paused(now.steady_ms >= lease_over_ms);
         if !self.is_confirmed(now) {
             return self.lost.map(Outcome::Lost);
         }
         self.configure(now);
-        self.scheduler.set_relayed(self.workers.relays() > 0);
+        self.scheduler.set_relayed(self.workers.open_relays() > 0);
         let began = Instant::now();
         let actions = self.scheduler.plan(now);
         self.load.planned(began, &actions);
@@ -470,7 +470,7 @@
         let behind_ms = now.steady_ms.saturating_sub(self.feed_current_ms);
         let link = self.scheduler.link();
         let log = &self.candidate.log;
-        let relays = self.workers.relays();
+        let relays = self.workers.open_relays();
         self.load.log(log, now.steady_ms, window, link, behind_ms, relays);
         None
     }
--- a/crates/dewspard/src/jobs/relay/link.rs
+++ b/crates/dewspard/src/jobs/relay/link.rs
@@ -11,8 +11,8 @@
 
 use {
     super::wire::{
-        self, Answer, FrameSink, Frames, FromRelay, MESSAGE_BYTES, Order,
-        OrderKind, ToRelay, VERSION,
+        self, Answer, FrameSink, Frames, FromRelay, Order, OrderKind,
+        TARGET_MESSAGE_BYTES, ToRelay, VERSION,
     },
     crate::clock,
     dewspar::relay::RelayNode,
@@ -37,37 +37,37 @@
 
 /// How long a connection to a relay may take to open, and the relay to say that
 /// it carries: several times the way there and back within a region.
-const CONNECT: Duration = Duration::from_millis(300);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// How long a relay may take to answer the first message: as for the connection
 /// itself, which is opened by its system even while it stands still.
-const WELCOME_MS: u64 = 300;
+const WELCOME_TIMEOUT_MS: u64 = 300;
 
 /// How long sent bytes may stay unacknowledged by the relay's kernel, as for
 /// workers: three transmissions on a near link.
-const UNACKNOWLEDGED: Duration = Duration::from_millis(700);
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// How long a link that is no longer used stays open for answers: longer than
 /// any order takes.
-const RETIRED: Duration = Duration::from_secs(3);
+const RETIRE_DELAY: Duration = Duration::from_secs(3);
 
 /// How far apart two orders without an answer must be to say that a relay is
 /// silent, in milliseconds: longer than it takes to read what has come.
-const SILENT_MS: u64 = 50;
+const MIN_SILENCE_MS: u64 = 50;
 
 /// How many workers in a row a relay must fail to reach that the holder reaches
-/// itself to carry no longer: one or two may have been away for a moment.
-const UNREACHED: u32 = 3;
+/// itself to forward no longer: one or two may have been away for a moment.
+const MAX_UNREACHED: u32 = 3;
 
 /// How many orders go into one message at most.
-const ORDERS_A_MESSAGE: usize = 512;
+const MAX_ORDERS_PER_MESSAGE: usize = 512;
 
 /// An order on its way into a message.
 #[derive(Debug)]
-pub(super) struct Outgoing {
+pub(super) struct OutgoingOrder {
     pub(super) order: Order,
     /// When it was given to the link, on the steady clock.
-    pub(super) made_ms: u64,
+    pub(super) queued_ms: u64,
     /// What a start gives its task.
     pub(super) payload: Option<Arc<str>>,
 }
@@ -80,13 +80,13 @@
 #[derive(Debug)]
 pub(super) struct RelayLink {
     pub(super) node: RelayNode,
-    outgoing: mpsc::UnboundedSender<Outgoing>,
-    waiting: Mutex<HashMap<u64, oneshot::Sender<Answer>>>,
+    outgoing: mpsc::UnboundedSender<OutgoingOrder>,
+    in_flight: Mutex<HashMap<u64, oneshot::Sender<Answer>>>,
     next_id: AtomicU64,
     /// When the relay last sent anything, on the steady clock.
-    heard_ms: AtomicU64,
+    last_heard_ms: AtomicU64,
     /// When an order first had no answer since then; 0 for none.
-    silent_ms: AtomicU64,
+    first_unanswered_ms: AtomicU64,
     /// How many workers it failed to reach since it last reached one, though
     /// this node does.
     unreached: AtomicU32,
@@ -103,29 +103,30 @@
         traffic: Traffic,
     ) -> io::Result<Arc<RelayLink>> {
         let connecting = TcpStream::connect(&node.address);
-        let stream = timeout(CONNECT, connecting).await??;
+        let stream = timeout(CONNECT_TIMEOUT, connecting).await??;
         stream.set_nodelay(true)?;
         #[cfg(target_os = "linux")]
-        SockRef::from(&stream).set_tcp_user_timeout(Some(UNACKNOWLEDGED))?;
+        SockRef::from(&stream)
+            .set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT))?;
         let (read, write) = stream.into_split();
         let (mut sink, mut frames) = (wire::sink(write), wire::frames(read));
-        let said_ms = clock::now_ms();
+        let hello_sent_ms = clock::now_ms();
         let hello = ToRelay::Hello {
             version: VERSION,
             node: holder.to_owned(),
             lease_revision,
-            at_ms: said_ms,
+            at_ms: hello_sent_ms,
         };
         sink.send(wire::encode(&hello)).await?;
-        wait_for_welcome(&mut frames, said_ms).await?;
+        wait_for_welcome(&mut frames, hello_sent_ms).await?;
         let (outgoing, orders) = mpsc::unbounded_channel();
         let link = Arc::new(RelayLink {
             node,
             outgoing,
-            waiting: Mutex::default(),
+            in_flight: Mutex::default(),
             next_id: AtomicU64::new(1),
-            heard_ms: AtomicU64::new(clock::now_ms()),
-            silent_ms: AtomicU64::new(0),
+            last_heard_ms: AtomicU64::new(clock::now_ms()),
+            first_unanswered_ms: AtomicU64::new(0),
             unreached: AtomicU32::new(0),
             is_open: AtomicBool::new(true),
             given_up: Notify::new(),
@@ -159,7 +160,7 @@
     /// that holds for all is of no use.
     pub(super) fn note_unreached(&self) {
         let before = self.unreached.fetch_add(1, Ordering::Relaxed);
-        if before + 1 >= UNREACHED {
+        if before + 1 >= MAX_UNREACHED {
             self.close();
         }
     }
@@ -169,7 +170,7 @@
         self.close();
         let link = self.clone();
         tokio::spawn(async move {
-            sleep(RETIRED).await;
+            sleep(RETIRE_DELAY).await;
             link.give_up();
         });
     }
@@ -183,11 +184,11 @@
     }
 
     /// Has an order carried, and waits for its answer for so long.
-    pub(super) async fn carry(
+    pub(super) async fn forward(
         &self,
         worker: &str,
         address: &str,
-        what: OrderKind,
+        kind: OrderKind,
         payload: Option<Arc<str>>,
         limit: Duration,
     ) -> Result<Answer, NoAnswer> {
@@ -200,10 +201,10 @@
             address: address.to_owned(),
             age_ms: 0,
             limit_ms: limit.as_millis() as u64,
-            what,
+            what: kind,
         };
         let sent_ms = clock::now_ms();
-        let outgoing = Outgoing { order, made_ms: sent_ms, payload };
+        let outgoing = OutgoingOrder { order, queued_ms: sent_ms, payload };
         if self.outgoing.send(outgoing).is_err() {
             self.lock().remove(&id);
             return Err(NoAnswer);
@@ -212,7 +213,7 @@
             Ok(answer) => answer.map_err(|_| NoAnswer),
             Err(_) => {
                 self.lock().remove(&id);
-                if self.is_silent_since(sent_ms) {
+                if self.note_unanswered(sent_ms) {
                     self.give_up();
                 }
                 Err(NoAnswer)
@@ -225,23 +226,23 @@
     /// It takes two, some time apart: a single answer may be late, and after
     /// this node itself stood still, every order's time is over before any of
     /// the answers that have come is read.
-    fn is_silent_since(&self, sent_ms: u64) -> bool {
-        if self.heard_ms.load(Ordering::Relaxed) >= sent_ms {
+    fn note_unanswered(&self, sent_ms: u64) -> bool {
+        if self.last_heard_ms.load(Ordering::Relaxed) >= sent_ms {
             return false;
         }
         let now_ms = clock::now_ms();
-        let first = self.silent_ms.compare_exchange(
+        let first = self.first_unanswered_ms.compare_exchange(
             0,
             now_ms,
             Ordering::Relaxed,
             Ordering::Relaxed,
         );
-        first.is_err_and(|first_ms| now_ms >= first_ms + SILENT_MS)
+        first.is_err_and(|first_ms| now_ms >= first_ms + MIN_SILENCE_MS)
     }
 
     fn lock(&self) -> MutexGuard<'_, HashMap<u64, oneshot::Sender<Answer>>> {
         // OK after a panic: each change is one insertion or removal.
-        self.waiting.lock().unwrap_or_else(PoisonError::into_inner)
+        self.in_flight.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
@@ -249,16 +250,16 @@
 /// would lie there, and it couldn't tell for how long.
 async fn wait_for_welcome(
     frames: &mut Frames,
-    said_ms: u64,
+    hello_sent_ms: u64,
 ) -> io::Result<()> {
-    let limit = Duration::from_millis(WELCOME_MS);
+    let limit = Duration::from_millis(WELCOME_TIMEOUT_MS);
     let frame = timeout(limit, frames.next()).await?;
     let frame = frame.ok_or(io::ErrorKind::UnexpectedEof)??;
     let FromRelay::Welcome = wire::decode(&frame)? else {
         return Err(io::ErrorKind::InvalidData.into());
     };
     // This node may have been suspended itself meanwhile.
-    if clock::now_ms() > said_ms + WELCOME_MS {
+    if clock::now_ms() > hello_sent_ms + WELCOME_TIMEOUT_MS {
         return Err(io::ErrorKind::TimedOut.into());
     }
     Ok(())
@@ -267,7 +268,7 @@
 /// Writes orders, those that came meanwhile in one message.
 async fn write_orders(
     mut sink: FrameSink,
-    mut orders: mpsc::UnboundedReceiver<Outgoing>,
+    mut orders: mpsc::UnboundedReceiver<OutgoingOrder>,
     link: Arc<RelayLink>,
     traffic: Traffic,
 ) {
@@ -277,7 +278,7 @@
             () = link.given_up.notified() => None,
         };
         let Some(first) = first else { return };
-        let mut message = Message::new(clock::now_ms());
+        let mut message = MessageBuilder::new(clock::now_ms());
         message.add(first);
         while !message.is_full() {
             let Ok(order) = orders.try_recv() else { break };
@@ -293,36 +294,42 @@
 }
 
 /// Orders that go out together.
-struct Message {
+struct MessageBuilder {
     at_ms: u64,
     payloads: Vec<Arc<str>>,
     orders: Vec<Order>,
     bytes: usize,
 }
 
-impl Message {
-    fn new(at_ms: u64) -> Message {
-        Message { at_ms, payloads: Vec::new(), orders: Vec::new(), bytes: 0 }
+impl MessageBuilder {
+    fn new(at_ms: u64) -> MessageBuilder {
+        MessageBuilder {
+            at_ms,
+            payloads: Vec::new(),
+            orders: Vec::new(),
+            bytes: 0,
+        }
     }
 
     fn is_full(&self) -> bool {
-        self.orders.len() >= ORDERS_A_MESSAGE || self.bytes >= MESSAGE_BYTES
+        self.orders.len() >= MAX_ORDERS_PER_MESSAGE
+            || self.bytes >= TARGET_MESSAGE_BYTES
     }
 
-    fn add(&mut self, outgoing: Outgoing) {
-        let Outgoing { mut order, made_ms, payload } = outgoing;
-        order.age_ms = self.at_ms.saturating_sub(made_ms);
+    fn add(&mut self, outgoing: OutgoingOrder) {
+        let OutgoingOrder { mut order, queued_ms, payload } = outgoing;
+        order.age_ms = self.at_ms.saturating_sub(queued_ms);
         if let (OrderKind::Start(start), Some(payload)) =
             (&mut order.what, payload)
         {
-            start.payload = self.position_of(payload);
+            start.payload = self.payload_index(payload);
         }
-        self.bytes += order.bytes();
+        self.bytes += order.estimated_bytes();
         self.orders.push(order);
     }
 
     /// Returns the payload's position; tasks of a job share one.
-    fn position_of(&mut self, payload: Arc<str>) -> u32 {
+    fn payload_index(&mut self, payload: Arc<str>) -> u32 {
         // The tasks of a job are ordered one after the other.
         let known =
             self.payloads.iter().rposition(|p| Arc::ptr_eq(p, &payload));
@@ -354,14 +361,14 @@
             () = link.given_up.notified() => return,
         };
         let Some(Ok(frame)) = frame else { break };
-        link.heard_ms.store(clock::now_ms(), Ordering::Relaxed);
-        link.silent_ms.store(0, Ordering::Relaxed);
+        link.last_heard_ms.store(clock::now_ms(), Ordering::Relaxed);
+        link.first_unanswered_ms.store(0, Ordering::Relaxed);
         traffic.note(Purpose::Relays, 0, frame.len() as u64);
         match wire::decode(&frame) {
             Ok(FromRelay::Answers(answers)) => {
-                let mut waiting = link.lock();
+                let mut in_flight = link.lock();
                 for answered in answers {
-                    if let Some(sender) = waiting.remove(&answered.id) {
+                    if let Some(sender) = in_flight.remove(&answered.id) {
                         // Whoever no longer waits has taken it for lost.
                         let _ = sender.send(answered.answer);
                     }
--- a/crates/dewspard/src/jobs/relay/keep.rs
+++ b/crates/dewspard/src/jobs/relay/manager.rs
@@ -18,22 +18,22 @@
 /// How often it is looked at what was sent and which links are open: the calls
 /// of a moment aren't taken for those of a peak, and a lost relay is replaced
 /// soon.
-const LOOK_MS: u64 = 250;
+const CHECK_INTERVAL_MS: u64 = 250;
 
 /// How long a reading of the nodes that offer to carry is used, in
 /// milliseconds: nodes come and go in minutes, and each names itself in some
 /// hundred bytes.
-const OFFERS_MS: u64 = 5_000;
+const OFFERS_TTL_MS: u64 = 5_000;
 
 /// For how long a node isn't asked again that couldn't be reached or was lost,
 /// in milliseconds: a process is started again in about that time.
-const AVOID_MS: u64 = 3_000;
+const RECONNECT_DELAY_MS: u64 = 3_000;
 
 /// What the task that keeps relays needs.
-pub(in super::super) struct Keeper<K, W> {
+pub(in super::super) struct RelayManager<K, W> {
     /// The store, and the prefix of the keys under which nodes offer to carry.
     pub(in super::super) store: K,
-    pub(in super::super) offers: &'static str,
+    pub(in super::super) offers_prefix: &'static str,
     /// This node.
     pub(in super::super) node: String,
     pub(in super::super) strength: u64,
@@ -54,12 +54,12 @@
 }
 
 impl Offers {
-    fn is_old(&self, now_ms: u64) -> bool {
-        self.read_ms.is_none_or(|read_ms| now_ms >= read_ms + OFFERS_MS)
+    fn is_stale(&self, now_ms: u64) -> bool {
+        self.read_ms.is_none_or(|read_ms| now_ms >= read_ms + OFFERS_TTL_MS)
     }
 
     fn avoid(&mut self, node: &str, now_ms: u64) {
-        self.avoided.insert(node.to_owned(), now_ms + AVOID_MS);
+        self.avoided.insert(node.to_owned(), now_ms + RECONNECT_DELAY_MS);
     }
 
     /// Returns the nodes that may be asked now.
@@ -71,37 +71,42 @@
 }
 
 /// Keeps relays as long as the lease is held.
-pub(in super::super) async fn keep<K: KeyValue, W>(keeper: Keeper<K, W>) {
-    let _ends = EndLinks(&keeper.workers);
+pub(in super::super) async fn manage<K: KeyValue, W>(
+    manager: RelayManager<K, W>,
+) {
+    let _close_links = CloseLinksOnDrop(&manager.workers);
     let mut demand = CarriageDemand::default();
     let mut offers = Offers::default();
-    let (mut calls, mut looked_ms) = (keeper.workers.calls(), clock::now_ms());
+    let (mut calls, mut checked_ms) =
+        (manager.workers.orders_sent(), clock::now_ms());
     loop {
-        sleep(Duration::from_millis(LOOK_MS)).await;
+        sleep(Duration::from_millis(CHECK_INTERVAL_MS)).await;
         let now_ms = clock::now_ms();
-        let sent = keeper.workers.calls() - calls;
+        let sent = manager.workers.orders_sent() - calls;
         calls += sent;
-        let took_ms = now_ms.saturating_sub(looked_ms).max(1);
-        looked_ms = now_ms;
+        let took_ms = now_ms.saturating_sub(checked_ms).max(1);
+        checked_ms = now_ms;
         demand.note(now_ms, sent * 1_000 / took_ms);
-        keeper.look(&demand, &mut offers, now_ms).await;
+        manager.update_links(&demand, &mut offers, now_ms).await;
     }
 }
 
 /// Ends every link with the lease, however it ends.
-struct EndLinks<'a, W>(&'a RelayedWorkers<W>);
+struct CloseLinksOnDrop<'a, W>(&'a RelayedWorkers<W>);
 
-impl<W> Drop for EndLinks<'_, W> {
+impl<W> Drop for CloseLinksOnDrop<'_, W> {
     fn drop(&mut self) {
-        for link in self.0.links().iter().chain(&self.0.opened().take()) {
+        for link in
+            self.0.links().iter().chain(&self.0.pending_links().take_all())
+        {
             link.give_up();
         }
-        self.0.use_links(Vec::new());
+        self.0.set_links(Vec::new());
     }
 }
 
-impl<K: KeyValue, W> Keeper<K, W> {
-    async fn look(
+impl<K: KeyValue, W> RelayManager<K, W> {
+    async fn update_links(
         &self,
         demand: &CarriageDemand,
         offers: &mut Offers,
@@ -110,7 +115,7 @@
         let (open, lost): (Vec<_>, Vec<_>) =
             self.workers.links().into_iter().partition(|link| link.is_open());
         if !lost.is_empty() {
-            self.workers.use_links(open.clone());
+            self.workers.set_links(open.clone());
         }
         for link in &lost {
             link.retire();
@@ -118,22 +123,23 @@
             info!(self.log, "relay: lost"; "relay" => &link.node.name);
             counters::count(counters::RELAYS_LOST);
         }
-        if demand.relays(now_ms, self.strength, &[self.myself()]).is_empty() {
+        if demand.relays(now_ms, self.strength, &[self.own_node()]).is_empty()
+        {
             if !open.is_empty() {
-                self.change(Vec::new(), &open);
+                self.switch_links(Vec::new(), &open);
             }
             return;
         }
-        if offers.is_old(now_ms) {
+        if offers.is_stale(now_ms) {
             self.read_offers(offers, now_ms).await;
         }
         let usable = offers.usable(now_ms);
         let wanted = demand.relays(now_ms, self.strength, &usable);
-        self.connect(wanted, open, offers, now_ms).await;
+        self.connect_wanted(wanted, open, offers, now_ms).await;
     }
 
     /// Stands in for any other node, to see whether one is wanted at all.
-    fn myself(&self) -> RelayNode {
+    fn own_node(&self) -> RelayNode {
         RelayNode {
             name: self.node.clone(),
             address: String::new(),
@@ -142,18 +148,18 @@
     }
 
     async fn read_offers(&self, offers: &mut Offers, now_ms: u64) {
-        // A reading that fails is tried again with the next look.
-        match self.store.list(self.offers).await {
+        // A reading that fails is tried again with the next update_links.
+        match self.store.list(self.offers_prefix).await {
             Ok((_, found)) => {
-                offers.nodes = self.read(&found);
+                offers.nodes = self.parse_offers(&found);
                 offers.read_ms = Some(now_ms);
             }
-            Err(error) => note_failure(&error),
+            Err(error) => count_failure(&error),
         }
     }
 
     /// Reads what others offer; what can't be read is passed over.
-    fn read(&self, found: &[Versioned]) -> Vec<RelayNode> {
+    fn parse_offers(&self, found: &[Versioned]) -> Vec<RelayNode> {
         let read = |item: &Versioned| -> Option<RelayNode> {
             passed_over::read(&self.log, "offer to carry", item)
         };
@@ -162,7 +168,7 @@
     }
 
     /// Has the wanted relays carry, those that can be reached.
-    async fn connect(
+    async fn connect_wanted(
         &self,
         wanted: Vec<RelayNode>,
         open: Vec<Arc<RelayLink>>,
@@ -178,7 +184,7 @@
         for node in wanted.into_iter().filter(|node| known(node).is_none()) {
             let (holder, revision) = (self.node.clone(), self.lease_revision);
             let traffic = self.traffic.clone();
-            let opened = self.workers.opened().clone();
+            let opened = self.workers.pending_links().clone();
             opening.spawn(async move {
                 let name = node.name.clone();
                 let link =
@@ -206,12 +212,16 @@
                 Err(_) => {}
             }
         }
-        self.change(links, &open);
+        self.switch_links(links, &open);
     }
 
     /// Has these links carry; those that no longer do end once they are
     /// answered.
-    fn change(&self, links: Vec<Arc<RelayLink>>, before: &[Arc<RelayLink>]) {
+    fn switch_links(
+        &self,
+        links: Vec<Arc<RelayLink>>,
+        before: &[Arc<RelayLink>],
+    ) {
         let names: Vec<&str> =
             links.iter().map(|link| link.node.name.as_str()).collect();
         info!(self.log, "relay: chosen"; "relays" => names.join(" "),
@@ -221,11 +231,11 @@
         for old in before.iter().filter(|old| !kept(old)) {
             old.retire();
         }
-        self.workers.use_links(links);
-        drop(self.workers.opened().take());
+        self.workers.set_links(links);
+        drop(self.workers.pending_links().take_all());
     }
 }
 
-fn note_failure(error: &Error) {
+fn count_failure(error: &Error) {
     counters::platform_failure(error);
 }
--- a/crates/dewspard/src/jobs/relay/mod.rs
+++ b/crates/dewspard/src/jobs/relay/mod.rs
@@ -10,8 +10,8 @@
 | `server` | the node that carries: takes orders, makes the calls, answers |
 | `link` | the holder's connection to one relay |
 | `workers` | the workers, reached over relays or directly |
-| `detours` | the workers that their relay doesn't reach |
-| `keep` | the holder's choice of relays, kept up to date |
+| `route_overrides` | the workers that their relay doesn't reach |
+| `manager` | the holder's choice of relays, kept up to date |
 
 # What goes wrong
 
@@ -29,14 +29,14 @@
 */
 
 pub(super) use self::{
-    keep::{Keeper, keep},
+    manager::{RelayManager, manage},
     server::serve,
     workers::RelayedWorkers,
 };
 
-mod detours;
-mod keep;
 mod link;
+mod manager;
+mod route_overrides;
 mod server;
 mod wire;
 mod workers;
--- a/crates/dewspard/src/jobs/relay/server.rs
+++ b/crates/dewspard/src/jobs/relay/server.rs
@@ -6,8 +6,8 @@
 use {
     super::super::holder::stopped,
     super::wire::{
-        self, Answer, Answered, FrameSink, FromRelay, MESSAGE_BYTES, Order,
-        OrderKind, Start, ToRelay, VERSION,
+        self, Answer, Answered, FrameSink, FromRelay, Order, OrderKind, Start,
+        TARGET_MESSAGE_BYTES, ToRelay, VERSION,
     },
     crate::{clock, counters},
     dewspar::{
@@ -34,20 +34,20 @@
 
 /// How many orders of one holder may be under way: eight times the largest
 /// window of a holder that has one relay only.
-const MAX_UNDER_WAY: usize = 8_192;
+const MAX_IN_FLIGHT: usize = 8_192;
 
 /// How long answers are gathered after a message went out: a message costs the
 /// holder a wake-up and a system call, and 200 of them a second from each of a
 /// dozen relays are a tenth of its time.
-const GATHER: Duration = Duration::from_millis(5);
+const ANSWER_BATCH_INTERVAL: Duration = Duration::from_millis(5);
 
 /// How long an order is carried after its holder has given it up, in
 /// milliseconds: a full link of 2 Mbit/s holds 250 kB for that long, and what it
-/// brings so late is still the holder's plan. Suspensions take seconds.
-const GIVEN_UP_MS: u64 = 1_000;
+/// brings so late is still the holder's plan. Suspensions dispatch seconds.
+const LATE_ORDER_GRACE_MS: u64 = 1_000;
 
 /// The pause after a connection that couldn't be accepted.
-const RETRY: Duration = Duration::from_millis(100);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// The latest lease that any holder has shown.
 #[derive(Clone, Debug, Default)]
@@ -74,34 +74,34 @@
             Err(error) => {
                 warn!(log, "relay: a connection wasn't accepted";
                     "error" => %error);
-                sleep(RETRY).await;
+                sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
-        let carrier = Carrier {
+        let connection = HolderConnection {
             workers: workers.clone(),
             latest: latest.clone(),
             stopping: stopping.clone(),
-            under_way: Arc::default(),
+            in_flight: Arc::default(),
             log: log.clone(),
         };
-        tokio::spawn(async move { carrier.carry(stream).await });
+        tokio::spawn(async move { connection.run(stream).await });
     }
 }
 
 /// One holder's connection.
-struct Carrier<W> {
+struct HolderConnection<W> {
     workers: W,
     latest: LatestLease,
     stopping: watch::Receiver<bool>,
-    under_way: Arc<AtomicUsize>,
+    in_flight: Arc<AtomicUsize>,
     log: Logger,
 }
 
-impl<W: JobWorkers> Carrier<W> {
-    async fn carry(self, stream: TcpStream) {
+impl<W: JobWorkers> HolderConnection<W> {
+    async fn run(self, stream: TcpStream) {
         let log = self.log.clone();
-        let ended = self.carry_on(stream).await;
+        let ended = self.serve_orders(stream).await;
         let reason = match &ended {
             Ok(reason) => (*reason).to_owned(),
             Err(error) => error.to_string(),
@@ -110,7 +110,7 @@
     }
 
     /// Carries until the connection ends; returns why.
-    async fn carry_on(
+    async fn serve_orders(
         mut self,
         stream: TcpStream,
     ) -> io::Result<&'static str> {
@@ -154,28 +154,29 @@
             };
             let now_ms = clock::now_ms();
             let late_ms = lateness.of(at_ms, now_ms);
-            let left_ms = |order: &Order| {
+            let remaining_ms = |order: &Order| {
                 let age_ms = order.age_ms.saturating_add(late_ms);
-                let limit_ms = order.limit_ms.saturating_add(GIVEN_UP_MS);
+                let limit_ms =
+                    order.limit_ms.saturating_add(LATE_ORDER_GRACE_MS);
                 limit_ms.saturating_sub(age_ms)
             };
             // Nothing that was sent before this one is of use either, and the
             // holder's clock may not be what it was.
-            if orders.iter().all(|order| left_ms(order) == 0) {
+            if orders.iter().all(|order| remaining_ms(order) == 0) {
                 return Ok("all that came is over");
             }
             let payloads: Vec<Arc<str>> =
                 payloads.into_iter().map(Arc::from).collect();
             for order in orders {
-                let until_ms = now_ms.saturating_add(left_ms(&order));
-                self.take(order, until_ms, &payloads, &answers);
+                let until_ms = now_ms.saturating_add(remaining_ms(&order));
+                self.dispatch(order, until_ms, &payloads, &answers);
             }
         }
     }
 
     /// Makes an order's call, beside all others, unless its holder has long
     /// given it up.
-    fn take(
+    fn dispatch(
         &mut self,
         order: Order,
         until_ms: u64,
@@ -184,25 +185,25 @@
     ) {
         let answers = answers.clone();
         let id = order.id;
-        if self.under_way.load(Ordering::Relaxed) >= MAX_UNDER_WAY {
+        if self.in_flight.load(Ordering::Relaxed) >= MAX_IN_FLIGHT {
             counters::count(counters::RELAY_REFUSALS);
             let answer = Answer::Error(OrderError::NotSent);
             // A holder that is gone has no use for it.
             let _ = answers.send(Answered { id, answer });
             return;
         }
-        self.under_way.fetch_add(1, Ordering::Relaxed);
+        self.in_flight.fetch_add(1, Ordering::Relaxed);
         let call = Call::new(order, payloads);
-        let under_way = self.under_way.clone();
+        let in_flight = self.in_flight.clone();
         let workers = self.workers.clone();
         tokio::spawn(async move {
-            let over = clock::now_ms() >= until_ms;
-            let answer = if over {
+            let expired = clock::now_ms() >= until_ms;
+            let answer = if expired {
                 Answer::Error(OrderError::NotSent)
             } else {
-                call.make(&workers).await
+                call.execute(&workers).await
             };
-            under_way.fetch_sub(1, Ordering::Relaxed);
+            in_flight.fetch_sub(1, Ordering::Relaxed);
             // As above.
             let _ = answers.send(Answered { id, answer });
         });
@@ -213,7 +214,7 @@
 struct Call {
     worker: WorkerId,
     address: String,
-    what: OrderKind,
+    kind: OrderKind,
     payload: Option<Arc<str>>,
 }
 
@@ -228,14 +229,14 @@
         Call {
             worker: WorkerId::new(&order.worker),
             address: order.address,
-            what: order.what,
+            kind: order.what,
             payload,
         }
     }
 
-    async fn make<W: JobWorkers>(self, workers: &W) -> Answer {
-        let Call { worker, address, what, payload } = self;
-        let done = match what {
+    async fn execute<W: JobWorkers>(self, workers: &W) -> Answer {
+        let Call { worker, address, kind, payload } = self;
+        let done = match kind {
             OrderKind::Start(start) => {
                 let Some(payload) = payload else {
                     return Answer::Error(OrderError::NotSent);
@@ -277,13 +278,13 @@
     mut answered: mpsc::UnboundedReceiver<Answered>,
     mut stopping: watch::Receiver<bool>,
 ) {
-    let mut gathered_until = Instant::now();
-    let mut said = false;
+    let mut next_send_at = Instant::now();
+    let mut leaving_sent = false;
     loop {
         let first = tokio::select! {
             answer = answered.recv() => answer,
-            () = stopped(&mut stopping), if !said => {
-                said = true;
+            () = stopped(&mut stopping), if !leaving_sent => {
+                leaving_sent = true;
                 let leaving = wire::encode(&FromRelay::Leaving);
                 if sink.send(leaving).await.is_err() {
                     return;
@@ -292,18 +293,18 @@
             }
         };
         let Some(first) = first else { return };
-        sleep_until(gathered_until).await;
-        let mut bytes = first.bytes();
+        sleep_until(next_send_at).await;
+        let mut bytes = first.estimated_bytes();
         let mut answers = vec![first];
-        while bytes < MESSAGE_BYTES {
+        while bytes < TARGET_MESSAGE_BYTES {
             let Ok(answer) = answered.try_recv() else { break };
-            bytes += answer.bytes();
+            bytes += answer.estimated_bytes();
             answers.push(answer);
         }
         let message = wire::encode(&FromRelay::Answers(answers));
         if sink.send(message).await.is_err() {
             return;
         }
-        gathered_until = Instant::now() + GATHER;
+        next_send_at = Instant::now() + ANSWER_BATCH_INTERVAL;
     }
 }
--- a/crates/dewspard/src/jobs/relay/wire.rs
+++ b/crates/dewspard/src/jobs/relay/wire.rs
@@ -23,16 +23,16 @@
 
 /// The longest message, in bytes: some thousands of orders with a payload of
 /// 4 kB each.
-const MAX_FRAME: usize = 16 * 1024 * 1024;
+const MAX_FRAME_BYTES: usize = 16 * 1024 * 1024;
 
 /// How much a message holds before what follows goes into another, in bytes: a
 /// sixteenth of the longest, so that what is left out of account and one large
 /// order more find room.
-pub(super) const MESSAGE_BYTES: usize = 1024 * 1024;
+pub(super) const TARGET_MESSAGE_BYTES: usize = 1024 * 1024;
 
 /// What an order or a run in an answer takes beside its texts, in bytes: a dozen
 /// numbers.
-const ROW_BYTES: usize = 64;
+const ITEM_OVERHEAD_BYTES: usize = 64;
 
 /// Incoming frames.
 pub(super) type Frames = FramedRead<OwnedReadHalf, LengthDelimitedCodec>;
@@ -80,13 +80,13 @@
 
 impl Order {
     /// Returns about how long it is in a message, without a payload, in bytes.
-    pub(super) fn bytes(&self) -> usize {
+    pub(super) fn estimated_bytes(&self) -> usize {
         let texts = self.worker.len() + self.address.len();
         let more = match &self.what {
             OrderKind::Start(s) => s.checkpoint.len() + s.ticket.len(),
             OrderKind::Stop(_) | OrderKind::Pace(_) | OrderKind::Hold(_) => 0,
         };
-        ROW_BYTES + texts + more
+        ITEM_OVERHEAD_BYTES + texts + more
     }
 }
 
@@ -143,12 +143,14 @@
 
 impl Answered {
     /// Returns about how long it is in a message, in bytes.
-    pub(super) fn bytes(&self) -> usize {
-        let Answer::Report(report) = &self.answer else { return ROW_BYTES };
+    pub(super) fn estimated_bytes(&self) -> usize {
+        let Answer::Report(report) = &self.answer else {
+            return ITEM_OVERHEAD_BYTES;
+        };
         let active = report.active.iter().map(|run| run.checkpoint.len());
         let ended = report.ended.iter().map(|end| end.checkpoint.len());
-        let runs = active.chain(ended).map(|text| ROW_BYTES + text);
-        ROW_BYTES + runs.sum::<usize>()
+        let runs = active.chain(ended).map(|text| ITEM_OVERHEAD_BYTES + text);
+        ITEM_OVERHEAD_BYTES + runs.sum::<usize>()
     }
 }
 
@@ -163,7 +165,9 @@
 }
 
 fn codec() -> LengthDelimitedCodec {
-    LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME).new_codec()
+    LengthDelimitedCodec::builder()
+        .max_frame_length(MAX_FRAME_BYTES)
+        .new_codec()
 }
 
 /// Writes a message.
--- a/crates/dewspard/src/jobs/relay/workers.rs
+++ b/crates/dewspard/src/jobs/relay/workers.rs
@@ -5,8 +5,8 @@
 
 use {
     super::{
-        detours::Detours,
         link::RelayLink,
+        route_overrides::RouteOverrides,
         wire::{Answer, OrderKind, Start},
     },
     dewspar::{
@@ -28,7 +28,7 @@
 
 /// How much longer an order may take over a relay than directly: the way to
 /// it and back, and the time that its answers are gathered.
-const RELAY_MS: u64 = 100;
+const RELAY_OVERHEAD_MS: u64 = 100;
 
 /// Workers that are reached over relays where there are any.
 #[derive(Clone, Debug)]
@@ -42,26 +42,26 @@
 struct Shared {
     links: RwLock<Vec<Arc<RelayLink>>>,
     /// Every link that was opened under this lease and may not be in use yet.
-    opened: OpenedLinks,
+    pending: PendingLinks,
     /// Whether orders go out directly for now.
     paused: AtomicBool,
-    detours: Detours,
+    overrides: RouteOverrides,
     /// How many orders were sent, by whatever way.
-    calls: AtomicU64,
+    orders_sent: AtomicU64,
 }
 
 /// Links that were opened and aren't in use yet; clones share them.
 #[derive(Clone, Debug, Default)]
-pub(super) struct OpenedLinks(Arc<Mutex<Vec<Arc<RelayLink>>>>);
+pub(super) struct PendingLinks(Arc<Mutex<Vec<Arc<RelayLink>>>>);
 
-impl OpenedLinks {
+impl PendingLinks {
     /// Adds a link.
     pub(super) fn note(&self, link: &Arc<RelayLink>) {
         self.lock().push(link.clone());
     }
 
     /// Takes all of them.
-    pub(super) fn take(&self) -> Vec<Arc<RelayLink>> {
+    pub(super) fn take_all(&self) -> Vec<Arc<RelayLink>> {
         std::mem::take(&mut *self.lock())
     }
 
@@ -81,7 +81,7 @@
     ///
     /// A holder that can't renew its lease may have been superseded, and so has
     /// others do nothing for it that they know better by then.
-    pub(in super::super) fn pause(&self, paused: bool) {
+    pub(in super::super) fn set_relaying_paused(&self, paused: bool) {
         self.shared.paused.store(paused, Ordering::Relaxed);
     }
 
@@ -89,8 +89,8 @@
         self.shared.paused.load(Ordering::Relaxed)
     }
 
-    /// Returns how many relays carry now.
-    pub(in super::super) fn relays(&self) -> usize {
+    /// Returns how many relays forward now.
+    pub(in super::super) fn open_relays(&self) -> usize {
         if self.is_paused() {
             return 0;
         }
@@ -98,13 +98,13 @@
     }
 
     /// Returns how many orders were sent so far.
-    pub(super) fn calls(&self) -> u64 {
-        self.shared.calls.load(Ordering::Relaxed)
+    pub(super) fn orders_sent(&self) -> u64 {
+        self.shared.orders_sent.load(Ordering::Relaxed)
     }
 
     /// Returns the links that were opened and aren't in use yet.
-    pub(super) fn opened(&self) -> &OpenedLinks {
-        &self.shared.opened
+    pub(super) fn pending_links(&self) -> &PendingLinks {
+        &self.shared.pending
     }
 
     /// Returns the links in use.
@@ -114,8 +114,8 @@
         links.unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Has these links carry from now on.
-    pub(super) fn use_links(&self, links: Vec<Arc<RelayLink>>) {
+    /// Has these links forward from now on.
+    pub(super) fn set_links(&self, links: Vec<Arc<RelayLink>>) {
         // OK after a panic, as above.
         let current = self.shared.links.write();
         *current.unwrap_or_else(PoisonError::into_inner) = links;
@@ -123,9 +123,9 @@
 
     /// Returns the relay that carries a worker's orders, if one does.
     fn route(&self, worker: &WorkerId) -> Option<Arc<RelayLink>> {
-        self.shared.calls.fetch_add(1, Ordering::Relaxed);
-        let detours = &self.shared.detours;
-        if self.is_paused() || detours.is_direct(worker) {
+        self.shared.orders_sent.fetch_add(1, Ordering::Relaxed);
+        let overrides = &self.shared.overrides;
+        if self.is_paused() || overrides.is_direct(worker) {
             return None;
         }
         let links = self.shared.links.read();
@@ -138,24 +138,25 @@
 }
 
 impl<W: JobWorkers> RelayedWorkers<W> {
-    async fn carry(
+    async fn forward(
         &self,
         link: &RelayLink,
         address: &str,
         worker: &WorkerId,
-        what: OrderKind,
+        kind: OrderKind,
         payload: Option<Arc<str>>,
         wait_ms: u64,
     ) -> Result<Answer, OrderError> {
-        let limit_ms = self.direct.timeout_ms() + RELAY_MS + wait_ms;
+        let limit_ms = self.direct.timeout_ms() + RELAY_OVERHEAD_MS + wait_ms;
         let limit = Duration::from_millis(limit_ms);
         let worker = worker.as_str();
-        let carried = link.carry(worker, address, what, payload, limit).await;
+        let carried =
+            link.forward(worker, address, kind, payload, limit).await;
         carried.map_err(|_| OrderError::Unknown)
     }
 }
 
-fn clock_of(answer: Answer) -> Result<u64, OrderError> {
+fn worker_clock_ms(answer: Answer) -> Result<u64, OrderError> {
     match answer {
         Answer::Done(clock_ms) => Ok(clock_ms),
         Answer::Error(error) => Err(error),
@@ -166,7 +167,7 @@
 
 impl<W: JobWorkers> JobWorkers for RelayedWorkers<W> {
     fn timeout_ms(&self) -> u64 {
-        self.direct.timeout_ms() + RELAY_MS
+        self.direct.timeout_ms() + RELAY_OVERHEAD_MS
     }
 
     async fn start(
@@ -188,7 +189,9 @@
             ticket: order.ticket.clone(),
         });
         let payload = Some(order.payload.clone());
-        clock_of(self.carry(&link, address, worker, start, payload, 0).await?)
+        worker_clock_ms(
+            self.forward(&link, address, worker, start, payload, 0).await?,
+        )
     }
 
     async fn stop(
@@ -201,7 +204,9 @@
             return self.direct.stop(address, worker, order).await;
         };
         let stop = OrderKind::Stop(*order);
-        clock_of(self.carry(&link, address, worker, stop, None, 0).await?)
+        worker_clock_ms(
+            self.forward(&link, address, worker, stop, None, 0).await?,
+        )
     }
 
     async fn pace(
@@ -214,7 +219,9 @@
             return self.direct.pace(address, worker, order).await;
         };
         let pace = OrderKind::Pace(*order);
-        clock_of(self.carry(&link, address, worker, pace, None, 0).await?)
+        worker_clock_ms(
+            self.forward(&link, address, worker, pace, None, 0).await?,
+        )
     }
 
     async fn hold(
@@ -223,19 +230,20 @@
         worker: &WorkerId,
         order: &HoldOrder,
     ) -> Result<HoldReport, OrderError> {
-        let detours = &self.shared.detours;
+        let overrides = &self.shared.overrides;
         let Some(link) = self.route(worker) else {
             let report = self.direct.hold(address, worker, order).await;
             let is_reached = match report {
                 Ok(_) | Err(OrderError::Refused(_)) => true,
                 Err(OrderError::NotSent | OrderError::Unknown) => false,
             };
-            detours.asked_directly(worker, is_reached);
+            overrides.note_direct_result(worker, is_reached);
             return report;
         };
         let hold = OrderKind::Hold(*order);
         let wait_ms = order.wait_ms;
-        match self.carry(&link, address, worker, hold, None, wait_ms).await? {
+        match self.forward(&link, address, worker, hold, None, wait_ms).await?
+        {
             Answer::Report(report) => {
                 link.note_reached();
                 Ok(report)
@@ -243,7 +251,7 @@
             Answer::Error(
                 error @ (OrderError::NotSent | OrderError::Unknown),
             ) => {
-                detours.not_reached(worker, &link);
+                overrides.note_relay_failure(worker, &link);
                 Err(error)
             }
             Answer::Error(error) => Err(error),
