--- a/crates/dewspar-cli/src/commands/demo_jobs.rs
+++ b/crates/dewspar-cli/src/commands/demo_jobs.rs
@@ -15,7 +15,7 @@
     dewspar_platform::{KeyValue, Traffic, UnreadableNotes},
     dewspar_standin::{faults::Faults, store::Store, task_fleet::TaskFleet},
     dewspard::{
-        jobs::{JobNode, JobPlatform, JobSettings, RestCalls},
+        jobs::{JobNode, JobPlatform, JobSettings, RestProtocol},
         logs,
     },
     serde_json::{Value, json},
@@ -99,7 +99,7 @@
         store: store.clone(),
         workers: fleet.clone(),
         fleet: fleet.clone(),
-        protocol: RestCalls,
+        protocol: RestProtocol,
         readiness_path: "/ready",
         traffic: Traffic::default(),
         unreadable: UnreadableNotes::default(),
--- a/crates/dewspard/src/jobs/counts.rs
+++ b/crates/dewspard/src/jobs/counts.rs
@@ -14,7 +14,7 @@
 */
 
 use {
-    super::{election::Held, keys},
+    super::{election::HeldLease, keys},
     dewspar::record::RecordWritten,
     dewspar_platform::{Batch, Expected, Versioned},
     std::collections::BTreeMap,
@@ -78,7 +78,7 @@
     pub(super) fn write(
         &mut self,
         counts: WaitingJobs,
-        held: &Held,
+        held: &HeldLease,
         now_ms: u64,
     ) -> Option<Batch> {
         self.looked_ms = now_ms;
--- a/crates/dewspard/src/jobs/election.rs
+++ b/crates/dewspard/src/jobs/election.rs
@@ -50,34 +50,34 @@
 const STORE_LEASE_MS: u64 = 1_500;
 
 /// How often the key is read outright, in case its watch went silent.
-const LOOK: Duration = Duration::from_millis(1_500);
+const POLL_INTERVAL: Duration = Duration::from_millis(1_500);
 
 /// The pause after a call to the store that gave no result.
-const RETRY: Duration = Duration::from_millis(100);
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// The longest that a node waits before it tries to take the lease, so that
 /// they don't all call at once, in milliseconds.
-const SPREAD_MS: u64 = 30;
+const MAX_JITTER_MS: u64 = 30;
 
 /// How long the weakest node waits for a stronger one to take the lease, in
 /// milliseconds: several calls to the store, and short beside the lease.
-const WEAK_DELAY_MS: u64 = 700;
+const MAX_WEAK_DELAY_MS: u64 = 700;
 
 /// How long a node that couldn't keep up lets others go first, in
 /// milliseconds: a slowed VM is slow for some seconds.
-const OVERLOADED_MS: u64 = 10_000;
+const OVERLOAD_BACKOFF_MS: u64 = 10_000;
 
 /// How long a value under the lease's key that can't be read and that no lease
 /// ends must stand unchanged to count as nobody's, in milliseconds: three times
 /// as long as a holder may be silent.
-const UNKEPT_MS: u64 = 3 * STORE_LEASE_MS;
+const ORPHANED_AFTER_MS: u64 = 3 * STORE_LEASE_MS;
 
 /// How strong a node must be to try at once, in hundredths of the strongest.
-const STRONG_PERCENT: u64 = 80;
+const MIN_STRENGTH_PERCENT: u64 = 80;
 
 /// How long a node waits at the very first start for others to write their
 /// strength: nodes start within 0.3 s of each other.
-const FIRST_START: Duration = Duration::from_millis(400);
+const FIRST_START_DELAY: Duration = Duration::from_millis(400);
 
 /// The value of the lease's key.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
@@ -100,7 +100,7 @@
 
 /// The lease, as this node holds it.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Held {
+pub(super) struct HeldLease {
     pub(super) lease: Lease,
     pub(super) lease_ms: u64,
     /// The revision of the key's write.
@@ -112,7 +112,7 @@
 /// A value under the lease's key that can't be read and that no lease ends: no
 /// version of this program writes one.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Stray {
+pub(super) struct UnreadableOwner {
     version: u64,
     /// When this version was first seen.
     since_ms: u64,
@@ -141,21 +141,21 @@
     /// Until when others go first, because this node couldn't keep up.
     pub(super) overloaded_until_ms: u64,
     /// What was found under the lease's key that nobody may keep.
-    pub(super) stray: Option<Stray>,
+    pub(super) unreadable_owner: Option<UnreadableOwner>,
     pub(super) options: Options,
     pub(super) log: Logger,
 }
 
 /// Who holds the lease, as the store shows it.
-enum Seen {
+enum LeaseState {
     /// Nobody.
-    Nobody,
+    Free,
     /// Nobody, though a value that can't be read has been there for long.
-    Unkept(u64),
+    Orphaned(u64),
     /// An earlier process of this node, which is gone.
-    Former(u64),
+    FormerProcess(u64),
     /// This very process, by a write whose answer was lost.
-    This(u64),
+    ThisProcess(u64),
     /// Somebody else.
     Other {
         owner: String,
@@ -164,7 +164,7 @@
         /// The version of the lease's key.
         version: u64,
         /// The store's version when it was read.
-        looked_at: u64,
+        store_version: u64,
     },
 }
 
@@ -177,31 +177,36 @@
         self.write_strength().await;
         while !*self.stopping.borrow() {
             if !self.readiness.is_ready() {
-                sleep(RETRY).await;
+                sleep(RETRY_DELAY).await;
                 continue;
             }
-            match self.look(incarnation).await {
-                Ok(Seen::Other { owner, strength, version, looked_at }) => {
+            match self.read_lease(incarnation).await {
+                Ok(LeaseState::Other {
+                    owner,
+                    strength,
+                    version,
+                    store_version,
+                }) => {
                     if owner != known {
                         info!(self.log, "election: another node schedules";
                             "holder" => &owner, "revision" => version);
                         known = owner;
                     }
-                    let weak = is_weak(strength, self.strength);
+                    let weak = is_much_weaker(strength, self.strength);
                     if weak && !self.is_overloaded() {
                         self.claim(version).await;
                     }
-                    self.wait_for_change(looked_at).await;
+                    self.wait_for_change(store_version).await;
                 }
                 Ok(seen) => {
                     known.clear();
-                    if self.let_stronger_go_first(&seen).await {
-                        self.serve(seen, incarnation).await;
+                    if self.defer_to_stronger(&seen).await {
+                        self.take_and_schedule(seen, incarnation).await;
                     }
                 }
                 Err(error) => {
                     counters::platform_failure(&error);
-                    sleep(RETRY).await;
+                    sleep(RETRY_DELAY).await;
                 }
             }
         }
@@ -225,18 +230,18 @@
         }
         while let Err(error) = self.store.commit(&batch).await {
             counters::platform_failure(&error);
-            sleep(RETRY).await;
+            sleep(RETRY_DELAY).await;
             if *self.stopping.borrow() {
                 return;
             }
         }
-        if matches!(self.strongest().await, Ok((1, _))) {
-            sleep(FIRST_START).await;
+        if matches!(self.count_and_max_strength().await, Ok((1, _))) {
+            sleep(FIRST_START_DELAY).await;
         }
     }
 
     /// Returns how many nodes have written their strength, and the most.
-    async fn strongest(&self) -> Result<(usize, u64), Error> {
+    async fn count_and_max_strength(&self) -> Result<(usize, u64), Error> {
         let (_, nodes) = self.store.list(keys::NODES).await?;
         let strength = |node: &Versioned| -> Option<u64> {
             passed_over::read(&self.log, "strength of a node", node)
@@ -247,8 +252,8 @@
 
     /// Waits if this node is a weak one; returns whether the lease is still
     /// as it was seen.
-    async fn let_stronger_go_first(&self, seen: &Seen) -> bool {
-        let most = match self.strongest().await {
+    async fn defer_to_stronger(&self, seen: &LeaseState) -> bool {
+        let most = match self.count_and_max_strength().await {
             Ok((_, most)) => most.max(1),
             Err(error) => {
                 counters::platform_failure(&error);
@@ -256,66 +261,79 @@
             }
         };
         let overloaded = self.is_overloaded();
-        let weak = is_weak(self.strength, most) || overloaded;
+        let weak = is_much_weaker(self.strength, most) || overloaded;
         let free = match seen {
-            Seen::Nobody => Some(0),
-            Seen::Unkept(version) => Some(*version),
-            Seen::Former(_) | Seen::This(_) | Seen::Other { .. } => None,
+            LeaseState::Free => Some(0),
+            LeaseState::Orphaned(version) => Some(*version),
+            LeaseState::FormerProcess(_)
+            | LeaseState::ThisProcess(_)
+            | LeaseState::Other { .. } => None,
         };
         let Some(free) = free.filter(|_| weak) else { return true };
         let percent = if overloaded { 0 } else { self.strength * 100 / most };
-        let delay = WEAK_DELAY_MS * (100 - percent) / 100;
+        let delay = MAX_WEAK_DELAY_MS * (100 - percent) / 100;
         sleep(Duration::from_millis(delay)).await;
         // Somebody else may hold it by now.
         self.store.version(keys::OWNER).await == Ok(free)
     }
 
-    async fn look(&mut self, incarnation: u64) -> Result<Seen, Error> {
+    async fn read_lease(
+        &mut self,
+        incarnation: u64,
+    ) -> Result<LeaseState, Error> {
         // A list, because it names the store's version: a watch from the
         // key's own version asks for history that is soon gone.
-        let (looked_at, found) = self.store.list(keys::OWNER).await?;
-        Ok(self.judge(found.first(), looked_at, incarnation))
+        let (store_version, found) = self.store.list(keys::OWNER).await?;
+        Ok(self.classify(found.first(), store_version, incarnation))
     }
 
-    fn judge(
+    fn classify(
         &mut self,
         found: Option<&Versioned>,
-        looked_at: u64,
+        store_version: u64,
         incarnation: u64,
-    ) -> Seen {
-        let Some(found) = found else { return Seen::Nobody };
+    ) -> LeaseState {
+        let Some(found) = found else { return LeaseState::Free };
         let version = found.version;
         match serde_json::from_slice::<Owner>(&found.value) {
-            Ok(owner) if owner.node != self.node => Seen::Other {
+            Ok(owner) if owner.node != self.node => LeaseState::Other {
                 owner: owner.node,
                 strength: owner.strength,
                 version,
-                looked_at,
+                store_version,
             },
             Ok(owner) if owner.incarnation == incarnation => {
-                Seen::This(version)
+                LeaseState::ThisProcess(version)
             }
-            Ok(_) => Seen::Former(version),
+            Ok(_) => LeaseState::FormerProcess(version),
             Err(error) => {
                 let log = &self.log;
                 passed_over::record(log, "lease", &found.key, version, &error);
-                if !found.is_leased && self.is_unkept(version) {
-                    return Seen::Unkept(version);
+                if !found.is_leased && self.is_orphaned(version) {
+                    return LeaseState::Orphaned(version);
                 }
                 let owner = "unknown".to_owned();
-                Seen::Other { owner, strength: 0, version, looked_at }
+                LeaseState::Other {
+                    owner,
+                    strength: 0,
+                    version,
+                    store_version,
+                }
             }
         }
     }
 
     /// Returns whether a stray value has been there for so long that whoever
     /// keeps such values would have written it again.
-    fn is_unkept(&mut self, version: u64) -> bool {
+    fn is_orphaned(&mut self, version: u64) -> bool {
         let now_ms = clock::now_ms();
-        let known = self.stray.filter(|stray| stray.version == version);
-        let stray = known.unwrap_or(Stray { version, since_ms: now_ms });
-        self.stray = Some(stray);
-        now_ms >= stray.since_ms + UNKEPT_MS
+        let known = self
+            .unreadable_owner
+            .filter(|unreadable_owner| unreadable_owner.version == version);
+        let unreadable_owner =
+            known.unwrap_or(UnreadableOwner { version, since_ms: now_ms });
+        self.unreadable_owner = Some(unreadable_owner);
+        now_ms >= unreadable_owner.since_ms + ORPHANED_AFTER_MS
     }
 
     /// Returns by what name orders to the VM service are recorded.
@@ -330,8 +348,9 @@
     }
 
     /// Returns whether a claim is by a much stronger node than this one.
-    pub(super) fn is_weak_beside(&self, claim: &Claim) -> bool {
-        claim.node != self.node && is_weak(self.strength, claim.strength)
+    pub(super) fn is_much_weaker_than(&self, claim: &Claim) -> bool {
+        claim.node != self.node
+            && is_much_weaker(self.strength, claim.strength)
     }
 
     /// Asks the weak holder of the lease, as it was seen at this version, to
@@ -361,44 +380,45 @@
         }
     }
 
-    async fn wait_for_change(&self, looked_at: u64) {
+    async fn wait_for_change(&self, store_version: u64) {
         let gone = async {
-            let mut watch = self.store.watch(keys::OWNER, looked_at).await?;
+            let mut watch =
+                self.store.watch(keys::OWNER, store_version).await?;
             loop {
                 if !watch.next().await?.events.is_empty() {
                     return Ok::<(), Error>(());
                 }
             }
         };
-        match timeout(LOOK, gone).await {
+        match timeout(POLL_INTERVAL, gone).await {
             Ok(Ok(())) => {
-                let spread = clock::unix_ms() ^ self.node.len() as u64;
-                let spread = Duration::from_millis(spread % SPREAD_MS);
-                sleep(spread).await;
+                let jitter = clock::unix_ms() ^ self.node.len() as u64;
+                let jitter = Duration::from_millis(jitter % MAX_JITTER_MS);
+                sleep(jitter).await;
             }
             Ok(Err(error)) => {
                 counters::platform_failure(&error);
-                sleep(RETRY).await;
+                sleep(RETRY_DELAY).await;
             }
             // Time to look outright.
             Err(_) => {}
         }
     }
 
-    async fn serve(&mut self, seen: Seen, incarnation: u64) {
-        let held = match self.take(seen, incarnation).await {
+    async fn take_and_schedule(&mut self, seen: LeaseState, incarnation: u64) {
+        let held = match self.take_lease(seen, incarnation).await {
             Ok(Some(held)) => held,
             Ok(None) => {
                 // What stands there may be hidden from this node's readings:
                 // it isn't asked for again at once for as long as it does.
-                sleep(RETRY).await;
+                sleep(RETRY_DELAY).await;
                 return;
             }
             Err(error) => {
                 counters::platform_failure(&error);
                 info!(self.log, "election: the lease wasn't taken";
                     "error" => %error);
-                sleep(RETRY).await;
+                sleep(RETRY_DELAY).await;
                 return;
             }
         };
@@ -408,26 +428,26 @@
         let outcome = holder::run(self, held).await;
         if matches!(outcome, Outcome::Overloaded) {
             counters::count(counters::OVERLOADS);
-            self.overloaded_until_ms = clock::now_ms() + OVERLOADED_MS;
+            self.overloaded_until_ms = clock::now_ms() + OVERLOAD_BACKOFF_MS;
         }
-        self.leave(&held, outcome).await;
+        self.release(&held, outcome).await;
     }
 
-    async fn take(
+    async fn take_lease(
         &self,
-        seen: Seen,
+        seen: LeaseState,
         incarnation: u64,
-    ) -> Result<Option<Held>, Error> {
+    ) -> Result<Option<HeldLease>, Error> {
         let expected = match seen {
-            Seen::Nobody => Expected::Absent,
+            LeaseState::Free => Expected::Absent,
             // A write of this process is replaced as well: the lease that
             // it came with is unknown by now.
-            Seen::Unkept(version)
-            | Seen::Former(version)
-            | Seen::This(version) => Expected::Version(version),
-            Seen::Other { .. } => return Ok(None),
+            LeaseState::Orphaned(version)
+            | LeaseState::FormerProcess(version)
+            | LeaseState::ThisProcess(version) => Expected::Version(version),
+            LeaseState::Other { .. } => return Ok(None),
         };
-        let asked_ms = clock::now_ms();
+        let requested_ms = clock::now_ms();
         let lease_ms = STORE_LEASE_MS.max(self.min_lease_ms);
         let lease = self.store.grant(lease_ms).await?;
         let owner = Owner {
@@ -444,16 +464,16 @@
         );
         match self.store.commit(&batch).await? {
             Commit::Conflict(_) => Ok(None),
-            Commit::Done(revision) => Ok(Some(Held {
+            Commit::Done(revision) => Ok(Some(HeldLease {
                 lease,
                 lease_ms,
                 revision,
-                renewed_ms: asked_ms,
+                renewed_ms: requested_ms,
             })),
         }
     }
 
-    async fn leave(&self, held: &Held, outcome: Outcome) {
+    async fn release(&self, held: &HeldLease, outcome: Outcome) {
         let reason = match outcome {
             Outcome::Lost(reason) => reason,
             Outcome::Stopping => "the node stops",
@@ -478,8 +498,8 @@
 
 /// Returns whether a node is much weaker than another; one that doesn't say
 /// how strong it is counts as strong.
-fn is_weak(strength: u64, other: u64) -> bool {
+fn is_much_weaker(strength: u64, other: u64) -> bool {
     // What others say of themselves may be any number.
     strength > 0
-        && strength.saturating_mul(100) / other.max(1) < STRONG_PERCENT
+        && strength.saturating_mul(100) / other.max(1) < MIN_STRENGTH_PERCENT
 }
--- a/crates/dewspard/src/jobs/feeds.rs
+++ b/crates/dewspard/src/jobs/feeds.rs
@@ -5,7 +5,7 @@
 
 use {
     super::{
-        election::Held,
+        election::HeldLease,
         event::{Event, EventSender},
         keys,
         lives::Looked,
@@ -86,7 +86,7 @@
     /// Pauses as long as its cost asks for.
     async fn pause(self, pace: PollPace) {
         let bytes = self.cost.received(self.purpose) - self.received;
-        let cost_ms = self.cost.machine.reading_ms(bytes);
+        let cost_ms = self.cost.machine.list_read_ms(bytes);
         let took_ms = clock::now_ms().saturating_sub(self.asked_ms);
         sleep(Duration::from_millis(pace.pause_ms(cost_ms, took_ms))).await;
     }
@@ -287,7 +287,7 @@
 /// Renews the lease, a few times within its length.
 pub(super) async fn renew<K: KeyValue>(
     store: K,
-    held: Held,
+    held: HeldLease,
     sender: EventSender,
 ) {
     let pause = Duration::from_millis(held.lease_ms / RENEWALS_A_LEASE);
--- a/crates/dewspard/src/jobs/front.rs
+++ b/crates/dewspard/src/jobs/front.rs
@@ -9,7 +9,7 @@
 
 use {
     super::{
-        backoff::{Backoff, RETRY_PAUSE},
+        backoff::{Backoff, MIN_RETRY_DELAY},
         counts::CountsReader,
         gate::StoreGate,
         intent, keys,
@@ -50,10 +50,10 @@
 };
 
 /// The largest body of a call, in bytes: far above any job that is taken.
-const MAX_BODY: usize = 1024 * 1024;
+const MAX_BODY_BYTES: usize = 1024 * 1024;
 
 /// How long a connection may take to send a request's head.
-const HEAD_LIMIT: Duration = Duration::from_secs(30);
+const HEADER_READ_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// How long a call takes at most where neither caller nor queue says so, in
 /// milliseconds.
@@ -61,7 +61,7 @@
 
 /// How much of a call's time is kept for the answer's way back, in
 /// milliseconds: a few times the way to callers.
-const ANSWER_RESERVE_MS: u64 = 100;
+const RESPONSE_RESERVE_MS: u64 = 100;
 
 /// How often a call that certainly did nothing is tried again.
 const MAX_RETRIES: u32 = 2;
@@ -71,7 +71,7 @@
 pub(super) const RETRY_AFTER_MS: u64 = 1_000;
 
 /// What serves callers; shared by all their connections.
-pub(super) struct Front<K, P> {
+pub(super) struct Frontend<K, P> {
     pub(super) store: K,
     pub(super) protocol: P,
     pub(super) reader: intent::Reader,
@@ -97,16 +97,16 @@
     }
 
     /// Closes connections as they fall idle, and waits for that.
-    pub(super) async fn stop(self, at_most: Duration) {
+    pub(super) async fn stop(self, max_wait: Duration) {
         let _ = self.stop.send(true);
-        let _ = tokio::time::timeout(at_most, self.done).await;
+        let _ = tokio::time::timeout(max_wait, self.done).await;
     }
 }
 
 /// Serves callers at an address.
 pub(super) async fn serve<K: KeyValue, P: JobProtocol>(
     address: SocketAddr,
-    front: Arc<Front<K, P>>,
+    front: Arc<Frontend<K, P>>,
 ) -> io::Result<Server> {
     let listener = TcpListener::bind(address).await?;
     let address = listener.local_addr()?;
@@ -120,7 +120,7 @@
             };
             let Ok((stream, _)) = accepted else {
                 // Out of descriptors: some will be closed soon.
-                sleep(RETRY_PAUSE).await;
+                sleep(MIN_RETRY_DELAY).await;
                 continue;
             };
             let _ = stream.set_nodelay(true);
@@ -136,28 +136,28 @@
 
 fn connection<K: KeyValue, P: JobProtocol>(
     stream: TcpStream,
-    front: Arc<Front<K, P>>,
+    front: Arc<Frontend<K, P>>,
 ) -> impl hyper_util::server::graceful::GracefulConnection<Error = hyper::Error>
 + Send
 + 'static {
     let service = service_fn(move |request| {
         let front = Arc::clone(&front);
-        async move { Ok::<_, Infallible>(front.answer(request).await) }
+        async move { Ok::<_, Infallible>(front.handle(request).await) }
     });
     http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(HEAD_LIMIT)
+        .header_read_timeout(HEADER_READ_TIMEOUT)
         .serve_connection(TokioIo::new(stream), service)
 }
 
-impl<K: KeyValue, P: JobProtocol> Front<K, P> {
-    async fn answer(
+impl<K: KeyValue, P: JobProtocol> Frontend<K, P> {
+    async fn handle(
         &self,
         request: Request<Incoming>,
     ) -> Response<Full<Bytes>> {
         let arrived = Instant::now();
         let (head, body) = request.into_parts();
-        let body = Limited::new(body, MAX_BODY).collect().await;
+        let body = Limited::new(body, MAX_BODY_BYTES).collect().await;
         let reply = match body {
             Ok(body) => self.reply(&head, &body.to_bytes(), arrived).await,
             Err(error) => JobReply::Invalid(format!("body: {error}")),
@@ -191,16 +191,16 @@
                 return reason.into();
             }
         };
-        let reply = self.carry_out(&call, queues, arrived).await;
-        self.record(&call, queues, &reading, &reply, arrived);
+        let reply = self.execute(&call, queues, arrived).await;
+        self.record_call(&call, queues, &reading, &reply, arrived);
         reply
     }
 
-    fn record(
+    fn record_call(
         &self,
         call: &JobCall,
         queues: &QueueSet,
-        reading: &intent::Reading,
+        reading: &intent::Snapshot,
         reply: &JobReply,
         arrived: Instant,
     ) {
@@ -227,7 +227,7 @@
         histogram!(counters::JOB_CALL_TIME).record(took.as_secs_f64());
     }
 
-    async fn carry_out(
+    async fn execute(
         &self,
         call: &JobCall,
         queues: &QueueSet,
@@ -238,9 +238,9 @@
             .map(|queue| queue.timeout_ms)
             .filter(|timeout_ms| *timeout_ms > 0)
             .unwrap_or(DEFAULT_DEADLINE_MS);
-        let asked_ms = call.deadline_ms.unwrap_or(timeout_ms);
-        let deadline_ms = asked_ms.min(timeout_ms);
-        let left_ms = deadline_ms.saturating_sub(ANSWER_RESERVE_MS);
+        let requested_ms = call.deadline_ms.unwrap_or(timeout_ms);
+        let deadline_ms = requested_ms.min(timeout_ms);
+        let left_ms = deadline_ms.saturating_sub(RESPONSE_RESERVE_MS);
         let deadline = arrived + Duration::from_millis(left_ms);
         match &call.operation {
             JobOperation::Submit { id, spec } => {
@@ -283,12 +283,12 @@
         }
         match self.write(&batch, deadline).await {
             // It is there already, be it from this call's first try.
-            Written::Done | Written::Conflict => JobReply::Accepted,
-            Written::NotDone => {
+            WriteResult::Done | WriteResult::Conflict => JobReply::Accepted,
+            WriteResult::NotDone => {
                 counters::count_by(counters::REFUSALS, "reason", "store");
                 JobReply::NotDone { retry_after_ms: RETRY_AFTER_MS }
             }
-            Written::Unknown => JobReply::Unknown,
+            WriteResult::Unknown => JobReply::Unknown,
         }
     }
 
@@ -301,11 +301,13 @@
                 let batch =
                     Batch::default().put(&keys::cancelled(id), Vec::new());
                 match self.write(&batch, deadline).await {
-                    Written::Done | Written::Conflict => JobReply::Cancelled,
-                    Written::NotDone => {
+                    WriteResult::Done | WriteResult::Conflict => {
+                        JobReply::Cancelled
+                    }
+                    WriteResult::NotDone => {
                         JobReply::NotDone { retry_after_ms: RETRY_AFTER_MS }
                     }
-                    Written::Unknown => JobReply::Unknown,
+                    WriteResult::Unknown => JobReply::Unknown,
                 }
             }
         }
@@ -321,35 +323,39 @@
 
     /// Writes, again if need be: until the deadline once it may have been
     /// done, and only a few times while it certainly was not.
-    async fn write(&self, batch: &Batch, deadline: Instant) -> Written {
-        let mut maybe_done = false;
+    async fn write(&self, batch: &Batch, deadline: Instant) -> WriteResult {
+        let mut may_be_done = false;
         let mut retries = 0;
         let mut backoff = Backoff::default();
         loop {
-            let sent = self.gate.sent();
+            let sent = self.gate.begin_call();
             match timeout_at(deadline, self.store.commit(batch)).await {
                 Ok(Ok(commit)) => {
                     sent.answered();
                     return match commit {
-                        Commit::Done(_) => Written::Done,
-                        Commit::Conflict(_) => Written::Conflict,
+                        Commit::Done(_) => WriteResult::Done,
+                        Commit::Conflict(_) => WriteResult::Conflict,
                     };
                 }
                 Ok(Err(error)) => {
                     sent.failed();
-                    maybe_done |= error.may_have_taken_effect();
+                    may_be_done |= error.may_have_taken_effect();
                     self.note_failure(&error);
                 }
-                Err(_) => maybe_done = true,
+                Err(_) => may_be_done = true,
             }
             retries += 1;
-            let gives_up = retries > MAX_RETRIES || self.gate.is_out();
-            if !maybe_done && gives_up {
-                return Written::NotDone;
+            let gives_up = retries > MAX_RETRIES || self.gate.is_unavailable();
+            if !may_be_done && gives_up {
+                return WriteResult::NotDone;
             }
-            if !backoff.pause(deadline).await {
-                let unknown = Written::Unknown;
-                return if maybe_done { unknown } else { Written::NotDone };
+            if !backoff.wait_before(deadline).await {
+                let unknown = WriteResult::Unknown;
+                return if may_be_done {
+                    unknown
+                } else {
+                    WriteResult::NotDone
+                };
             }
         }
     }
@@ -361,7 +367,7 @@
 }
 
 /// What became of a write.
-enum Written {
+enum WriteResult {
     Done,
     Conflict,
     NotDone,
--- a/crates/dewspard/src/jobs/gate.rs
+++ b/crates/dewspard/src/jobs/gate.rs
@@ -29,7 +29,7 @@
 
 /// How long a probe may take: longer than the slowest answers, and short
 /// enough for callers to be told while they can still come back.
-const PROBE_LIMIT: Duration = Duration::from_millis(1_000);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// The gate that new jobs pass; clones share it.
 #[derive(Clone)]
@@ -37,13 +37,13 @@
     store: K,
     breaker: Arc<Mutex<Breaker>>,
     /// Told whenever the calls that wait may be sent or are refused.
-    verdict: Arc<Notify>,
+    state_changed: Arc<Notify>,
     log: Logger,
 }
 
 /// The store is out: nothing was sent.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct StoreOut;
+pub struct StoreUnavailable;
 
 impl<K: KeyValue> StoreGate<K> {
     /// Makes a gate to a store that counts as answering.
@@ -51,7 +51,7 @@
         StoreGate {
             store,
             breaker: Arc::new(Mutex::new(Breaker::new(SILENCE_MS))),
-            verdict: Arc::default(),
+            state_changed: Arc::default(),
             log,
         }
     }
@@ -61,21 +61,24 @@
     ///
     /// # Errors
     ///
-    /// Returns [`StoreOut`] when it may not be sent by the deadline.
-    pub async fn admit(&self, deadline: Instant) -> Result<(), StoreOut> {
+    /// Returns [`StoreUnavailable`] when it may not be sent by the deadline.
+    pub async fn admit(
+        &self,
+        deadline: Instant,
+    ) -> Result<(), StoreUnavailable> {
         loop {
-            let verdict = self.verdict.notified();
+            let state_changed = self.state_changed.notified();
             let admission = self.breaker().admit(clock::now_ms());
             match admission {
                 Admission::Send => return Ok(()),
                 Admission::Refuse { .. } => {
                     self.probe();
-                    return Err(StoreOut);
+                    return Err(StoreUnavailable);
                 }
                 Admission::Wait => {
                     self.probe();
-                    if timeout_at(deadline, verdict).await.is_err() {
-                        return Err(StoreOut);
+                    if timeout_at(deadline, state_changed).await.is_err() {
+                        return Err(StoreUnavailable);
                     }
                 }
             }
@@ -83,24 +86,24 @@
     }
 
     /// Returns whether the store is known to be out.
-    pub fn is_out(&self) -> bool {
+    pub fn is_unavailable(&self) -> bool {
         self.breaker().is_out()
     }
 
     /// Notes that a call was sent, until its result is known.
-    pub fn sent(&self) -> Sent<'_, K> {
+    pub fn begin_call(&self) -> InFlightCall<'_, K> {
         self.breaker().sent(clock::now_ms());
-        Sent { gate: self, noted: false }
+        InFlightCall { gate: self, settled: false }
     }
 
     /// Notes that some other call was answered.
-    pub fn heard(&self) {
+    pub fn note_answer(&self) {
         let change = self.breaker().heard(clock::now_ms());
-        self.tell(change);
+        self.apply(change);
     }
 
     /// Has the calls that wait ask again if they may be sent or are refused.
-    fn tell(&self, change: Change) {
+    fn apply(&self, change: Change) {
         match change {
             Change::Same => return,
             Change::Cleared | Change::Out { .. } => {}
@@ -109,7 +112,7 @@
                     "out_for_ms" => out_for_ms);
             }
         }
-        self.verdict.notify_waiters();
+        self.state_changed.notify_waiters();
     }
 
     fn breaker(&self) -> MutexGuard<'_, Breaker> {
@@ -136,19 +139,19 @@
             if let Err(error) = &probed {
                 self.note_failure(error, change);
             }
-            self.tell(change);
+            self.apply(change);
             if !self.breaker().probes_again() {
                 return;
             }
-            backoff.pause_always().await;
+            backoff.wait().await;
         }
     }
 
     async fn probe_once(&self) -> Result<u64, Error> {
         let reading = self.store.version(keys::OWNER);
-        let probed = timeout(PROBE_LIMIT, reading).await;
+        let probed = timeout(PROBE_TIMEOUT, reading).await;
         probed.unwrap_or_else(|_| {
-            let reason = format!("no answer in {PROBE_LIMIT:?}");
+            let reason = format!("no answer in {PROBE_TIMEOUT:?}");
             Err(Error::Lost { call: "probe", reason })
         })
     }
@@ -165,30 +168,30 @@
 }
 
 /// A call that was sent and has no result yet.
-pub struct Sent<'a, K: KeyValue> {
+pub struct InFlightCall<'a, K: KeyValue> {
     gate: &'a StoreGate<K>,
-    noted: bool,
+    settled: bool,
 }
 
-impl<K: KeyValue> Sent<'_, K> {
+impl<K: KeyValue> InFlightCall<'_, K> {
     /// Notes that it was answered.
     pub fn answered(mut self) {
-        self.noted = true;
+        self.settled = true;
         let change = self.gate.breaker().answered(clock::now_ms());
-        self.gate.tell(change);
+        self.gate.apply(change);
     }
 
     /// Notes that it got no result, and has the store probed.
     pub fn failed(mut self) {
-        self.noted = true;
+        self.settled = true;
         self.gate.breaker().failed(clock::now_ms());
         self.gate.probe();
     }
 }
 
-impl<K: KeyValue> Drop for Sent<'_, K> {
+impl<K: KeyValue> Drop for InFlightCall<'_, K> {
     fn drop(&mut self) {
-        if !self.noted {
+        if !self.settled {
             self.gate.breaker().dropped(clock::now_ms());
         }
     }
--- a/crates/dewspard/src/jobs/holder.rs
+++ b/crates/dewspard/src/jobs/holder.rs
@@ -20,7 +20,7 @@
         counts::CountsWriter,
         decisions,
         duties::{self, Burst, LoadedWaves},
-        election::{Candidate, Held},
+        election::{Candidate, HeldLease},
         event::{self, Event, EventSender, SentEvent},
         feeds::{
             ReadingCost, follow_feed, look_up, read_directory, read_vms, renew,
@@ -90,7 +90,7 @@
 /// Schedules until the lease is lost or the node stops.
 pub(super) async fn run<K: KeyValue, W: JobWorkers, F: Fleet>(
     candidate: &Candidate<K, W, F>,
-    held: Held,
+    held: HeldLease,
 ) -> Outcome {
     let (sender, events) = event::channel();
     // Dropped, and so ended, with this function.
@@ -172,7 +172,7 @@
     pub(super) candidate: &'a Candidate<K, W, F>,
     /// The workers, over relays where there are any.
     workers: RelayedWorkers<W>,
-    pub(super) held: Held,
+    pub(super) held: HeldLease,
     pub(super) scheduler: Scheduler,
     /// The version of each job's progress in the store.
     pub(super) versions: RecordVersions,
--- a/crates/dewspard/src/jobs/intake.rs
+++ b/crates/dewspard/src/jobs/intake.rs
@@ -58,7 +58,7 @@
                 FeedEvent::Unreadable(id) => self.leave_unread(id),
                 FeedEvent::Cancelled(id) => self.scheduler.cancel(id, now()),
                 FeedEvent::Claimed(claim) => {
-                    self.claimed |= self.candidate.is_weak_beside(&claim);
+                    self.claimed |= self.candidate.is_much_weaker_than(&claim);
                 }
                 FeedEvent::Owner { revision } => {
                     if revision > self.held.revision {
--- a/crates/dewspard/src/jobs/intent.rs
+++ b/crates/dewspard/src/jobs/intent.rs
@@ -17,28 +17,28 @@
 
 /// How many times the store is read within the time in which a
 /// configuration must be in force.
-const READS_A_BOUND: u64 = 2;
+const READS_PER_APPLY_TIME: u64 = 2;
 
 /// How long to wait after a reading that failed.
-const RETRY: Duration = Duration::from_millis(100);
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// The newest reading.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Reading {
+pub(super) struct Snapshot {
     pub(super) intent: Arc<Intent>,
     /// When it was asked for, on the steady clock; 0 for never.
-    pub(super) asked_ms: u64,
+    pub(super) requested_ms: u64,
 }
 
-impl Reading {
+impl Snapshot {
     /// Returns the reading's age in milliseconds.
     pub(super) fn age_ms(&self) -> u64 {
-        clock::now_ms().saturating_sub(self.asked_ms)
+        clock::now_ms().saturating_sub(self.requested_ms)
     }
 }
 
 /// A way to the newest reading.
-pub(super) type Reader = watch::Receiver<Reading>;
+pub(super) type Reader = watch::Receiver<Snapshot>;
 
 /// Starts to keep up with what the operator wants.
 pub(super) fn start<F: Fleet>(
@@ -46,8 +46,14 @@
     config_apply_ms: u64,
     log: Logger,
 ) -> Reader {
-    let (sender, reader) = watch::channel(Reading::default());
-    let task = Follower { fleet, config_apply_ms, sender, log, lost: false };
+    let (sender, reader) = watch::channel(Snapshot::default());
+    let task = Follower {
+        fleet,
+        config_apply_ms,
+        sender,
+        log,
+        is_unreachable: false,
+    };
     tokio::spawn(task.run());
     reader
 }
@@ -55,9 +61,9 @@
 struct Follower<F> {
     fleet: F,
     config_apply_ms: u64,
-    sender: watch::Sender<Reading>,
+    sender: watch::Sender<Snapshot>,
     log: Logger,
-    lost: bool,
+    is_unreachable: bool,
 }
 
 impl<F: Fleet> Follower<F> {
@@ -66,36 +72,36 @@
             if self.read().await {
                 self.wait_for_change().await;
             } else {
-                sleep(RETRY).await;
+                sleep(RETRY_DELAY).await;
             }
         }
     }
 
     /// Reads the store; returns whether it answered.
     async fn read(&mut self) -> bool {
-        let asked_ms = clock::now_ms();
+        let requested_ms = clock::now_ms();
         match self.fleet.intent().await {
             Ok(intent) => {
-                if self.lost {
+                if self.is_unreachable {
                     info!(self.log, "operator: store answers again");
-                    self.lost = false;
+                    self.is_unreachable = false;
                 }
-                self.take_over(intent, asked_ms);
+                self.publish(intent, requested_ms);
                 true
             }
             Err(error) => {
                 counters::platform_failure(&error);
-                if !self.lost {
+                if !self.is_unreachable {
                     warn!(self.log, "operator: store doesn't answer";
                         "error" => %error);
-                    self.lost = true;
+                    self.is_unreachable = true;
                 }
                 false
             }
         }
     }
 
-    fn take_over(&self, mut intent: Intent, asked_ms: u64) {
+    fn publish(&self, mut intent: Intent, requested_ms: u64) {
         let current = self.sender.borrow().clone();
         let version = |intent: &Intent| {
             intent.queues.as_ref().map_or(0, |queues| queues.version())
@@ -109,24 +115,24 @@
             info!(self.log, "operator: configuration in force";
                 "version" => new, "before" => old,
                 "read_at" => intent.read_at,
-                "age_ms" => clock::now_ms().saturating_sub(asked_ms));
+                "age_ms" => clock::now_ms().saturating_sub(requested_ms));
             counters::set(counters::CONFIG_REVISION, new as f64);
         }
         let intent = Arc::new(intent);
-        self.sender.send_replace(Reading { intent, asked_ms });
+        self.sender.send_replace(Snapshot { intent, requested_ms });
     }
 
     async fn wait_for_change(&self) {
         let read_at = self.sender.borrow().intent.read_at;
-        let at_most =
-            Duration::from_millis(self.config_apply_ms / READS_A_BOUND);
+        let max_wait =
+            Duration::from_millis(self.config_apply_ms / READS_PER_APPLY_TIME);
         let changed = self.fleet.intent_changed(read_at);
-        match tokio::time::timeout(at_most, changed).await {
+        match tokio::time::timeout(max_wait, changed).await {
             // Time to read outright, whatever the watch would have said.
             Err(_) | Ok(Ok(_)) => {}
             Ok(Err(error)) => {
                 counters::platform_failure(&error);
-                sleep(RETRY).await;
+                sleep(RETRY_DELAY).await;
             }
         }
     }
--- a/crates/dewspard/src/jobs/lookup.rs
+++ b/crates/dewspard/src/jobs/lookup.rs
@@ -9,7 +9,7 @@
     super::{
         backoff::Backoff,
         counts::{CountsReader, Record, WaitingJobs},
-        front::{Front, RETRY_AFTER_MS},
+        front::{Frontend, RETRY_AFTER_MS},
         holder::json,
         keys::{self, FeedKey},
     },
@@ -35,7 +35,7 @@
     due_ms: u64,
 }
 
-impl<K: KeyValue, P: JobProtocol> Front<K, P> {
+impl<K: KeyValue, P: JobProtocol> Frontend<K, P> {
     /// Reads how far a job has come; `None` if there is no such job.
     pub(super) async fn phase(
         &self,
@@ -59,11 +59,11 @@
         key: &str,
         deadline: Instant,
     ) -> Result<Option<Phase>, JobReply> {
-        let Some(found) = self.find(key, deadline).await? else {
+        let Some(found) = self.read_versioned(key, deadline).await? else {
             return Ok(None);
         };
         let progress = serde_json::from_slice::<Progress>(&found.value);
-        match self.readable("progress", &found, progress) {
+        match self.parsed_or_skipped("progress", &found, progress) {
             Some(progress) => Ok(Some(progress.phase)),
             // Whatever we said of the job might be wrong.
             None => Err(JobReply::NotDone { retry_after_ms: RETRY_AFTER_MS }),
@@ -97,7 +97,7 @@
         reader: &mut CountsReader,
         deadline: Instant,
     ) -> Result<(), JobReply> {
-        let found = self.find(keys::PENDING, deadline).await?;
+        let found = self.read_versioned(keys::PENDING, deadline).await?;
         let now_ms = clock::now_ms();
         let record = reader.judge(found.as_ref(), now_ms);
         info!(self.log, "call: counts of waiting jobs read";
@@ -111,7 +111,7 @@
             }
             Record::Unfit(reason) => reason,
         };
-        self.recount(reader, reason, deadline).await
+        self.shared_count(reader, reason, deadline).await
     }
 
     /// Counts the stored jobs that wait.
@@ -133,8 +133,8 @@
             Ok(open) => open,
             Err(reply) => return reply,
         };
-        let of_queue = open.into_iter().filter(|job| job.queue == queue);
-        JobReply::Jobs(of_queue.map(|job| job.listed).collect())
+        let in_queue = open.into_iter().filter(|job| job.queue == queue);
+        JobReply::Jobs(in_queue.map(|job| job.listed).collect())
     }
 
     /// Reads the jobs that aren't over: those whose entry is still in the
@@ -159,11 +159,11 @@
             }
             Err(_) => return Err(JobReply::NotDone { retry_after_ms }),
         };
-        self.gate.heard();
-        Ok(self.open_among(&feed, &progress))
+        self.gate.note_answer();
+        Ok(self.select_open(&feed, &progress))
     }
 
-    fn open_among(
+    fn select_open(
         &self,
         feed: &[Versioned],
         progress: &[Versioned],
@@ -173,7 +173,10 @@
             .filter_map(|item| {
                 let id = keys::job_of_progress(&item.key)?;
                 let stored = serde_json::from_slice::<Progress>(&item.value);
-                Some((id, self.readable("progress", item, stored)?.phase))
+                Some((
+                    id,
+                    self.parsed_or_skipped("progress", item, stored)?.phase,
+                ))
             })
             .collect();
         let mut cancelled = BTreeSet::new();
@@ -186,7 +189,8 @@
                 Some(FeedKey::Accepted(id)) => {
                     let job =
                         serde_json::from_slice::<AcceptedJob>(&item.value);
-                    let Some(job) = self.readable("accepted job", item, job)
+                    let Some(job) =
+                        self.parsed_or_skipped("accepted job", item, job)
                     else {
                         continue;
                     };
@@ -206,7 +210,7 @@
     }
 
     /// Passes over what can't be read, with a line that says so.
-    fn readable<T>(
+    fn parsed_or_skipped<T>(
         &self,
         what: &'static str,
         item: &Versioned,
@@ -226,11 +230,11 @@
         key: &str,
         deadline: Instant,
     ) -> Result<Option<Vec<u8>>, JobReply> {
-        Ok(self.find(key, deadline).await?.map(|found| found.value))
+        Ok(self.read_versioned(key, deadline).await?.map(|found| found.value))
     }
 
     /// Reads a key, again if need be, until the deadline.
-    async fn find(
+    async fn read_versioned(
         &self,
         key: &str,
         deadline: Instant,
@@ -239,13 +243,13 @@
         loop {
             match timeout_at(deadline, self.store.get(key)).await {
                 Ok(Ok(found)) => {
-                    self.gate.heard();
+                    self.gate.note_answer();
                     return Ok(found);
                 }
                 Ok(Err(error)) => counters::platform_failure(&error),
                 Err(_) => {}
             }
-            if !backoff.pause(deadline).await {
+            if !backoff.wait_before(deadline).await {
                 let retry_after_ms = RETRY_AFTER_MS;
                 return Err(JobReply::NotDone { retry_after_ms });
             }
--- a/crates/dewspard/src/jobs/mod.rs
+++ b/crates/dewspard/src/jobs/mod.rs
@@ -35,7 +35,7 @@
 
 pub use self::{
     node::{JobNode, JobPlatform},
-    rest::RestCalls,
+    rest::RestProtocol,
     settings::JobSettings,
 };
 
--- a/crates/dewspard/src/jobs/node.rs
+++ b/crates/dewspard/src/jobs/node.rs
@@ -6,7 +6,7 @@
     super::{
         counts::CountsReader,
         election::Candidate,
-        front::{self, Front},
+        front::{self, Frontend},
         gate::StoreGate,
         holder, intent,
         readiness::{self, Readiness},
@@ -107,7 +107,7 @@
         {
             readiness::serve_metrics(address, metrics).await?;
         }
-        let front = Front {
+        let front = Frontend {
             store: platform.store.with_purpose(Purpose::Callers),
             protocol: platform.protocol,
             reader: reader.clone(),
@@ -151,7 +151,7 @@
             min_lease_ms: timing.min_store_lease_ms,
             strength: settings.machine.strength(),
             overloaded_until_ms: 0,
-            stray: None,
+            unreadable_owner: None,
             options: Options::default()
                 .max_lease_ms(timing.max_lease_ms)
                 .kept_ms(timing.kept_ms)
--- a/crates/dewspard/src/jobs/readiness.rs
+++ b/crates/dewspard/src/jobs/readiness.rs
@@ -56,7 +56,7 @@
     path: &'static str,
     readiness: Readiness,
 ) -> io::Result<()> {
-    serve_each(address, move |request: &Request<Incoming>| {
+    serve_http(address, move |request: &Request<Incoming>| {
         if request.uri().path() != path {
             return StatusCode::NOT_FOUND.into();
         }
@@ -74,7 +74,7 @@
     address: SocketAddr,
     metrics: PrometheusHandle,
 ) -> io::Result<()> {
-    serve_each(address, move |_: &Request<Incoming>| {
+    serve_http(address, move |_: &Request<Incoming>| {
         let body = Bytes::from(metrics.render());
         Page { status: StatusCode::OK, body }
     })
@@ -92,7 +92,7 @@
     }
 }
 
-async fn serve_each<H>(address: SocketAddr, handle: H) -> io::Result<()>
+async fn serve_http<H>(address: SocketAddr, handle: H) -> io::Result<()>
 where
     H: Fn(&Request<Incoming>) -> Page + Clone + Send + Sync + 'static,
 {
--- a/crates/dewspard/src/jobs/recount.rs
+++ b/crates/dewspard/src/jobs/recount.rs
@@ -13,7 +13,7 @@
 use {
     super::{
         counts::{CountsReader, WaitingJobs},
-        front::{Front, RETRY_AFTER_MS},
+        front::{Frontend, RETRY_AFTER_MS},
         holder::json,
         keys,
     },
@@ -29,63 +29,63 @@
 
 /// How long a node may count for all, in milliseconds: a small link takes most
 /// of that for a megabyte and a half.
-const COUNTING_MS: u64 = 3_000;
+const LOCK_TTL_MS: u64 = 3_000;
 
 /// For how long a count is there for other nodes, in milliseconds, unless the
 /// store's shortest lease is longer: callers may be told counts that are 2 s
 /// old.
-const COUNTED_MS: u64 = 1_000;
+const COUNTS_TTL_MS: u64 = 1_000;
 
 /// How often a node looks for the count that another one is making.
-const LOOK: Duration = Duration::from_millis(250);
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
 /// How a node comes by counts.
-enum Counting {
+enum CountSource {
     /// Another node has left its counts.
-    Found(WaitingJobs),
+    Published(WaitingJobs),
     /// This node is to count, under the lock at this version.
-    Mine(u64),
+    LockTaken(u64),
     /// Another node is counting.
-    Others,
+    InProgress,
 }
 
-impl<K: KeyValue, P: JobProtocol> Front<K, P> {
+impl<K: KeyValue, P: JobProtocol> Frontend<K, P> {
     /// Takes over the counts that some node makes for all, or makes them.
-    pub(super) async fn recount(
+    pub(super) async fn shared_count(
         &self,
         reader: &mut CountsReader,
         reason: &'static str,
         deadline: Instant,
     ) -> Result<(), JobReply> {
         loop {
-            let counting = timeout_at(deadline, self.counting()).await;
-            match counting {
-                Ok(Ok(Counting::Found(counts))) => {
+            let source = timeout_at(deadline, self.find_or_lock()).await;
+            match source {
+                Ok(Ok(CountSource::Published(counts))) => {
                     reader.take_record(counts, clock::now_ms());
                     return Ok(());
                 }
-                Ok(Ok(Counting::Mine(lock))) => {
+                Ok(Ok(CountSource::LockTaken(lock))) => {
                     info!(self.log, "call: counts waiting jobs for all";
                         "reason" => reason, "lock" => lock);
                     return self.count_for_all(reader, lock, deadline).await;
                 }
-                Ok(Ok(Counting::Others)) => {}
+                Ok(Ok(CountSource::InProgress)) => {}
                 Ok(Err(error)) => counters::platform_failure(&error),
                 Err(_) => {}
             }
-            if Instant::now() + LOOK >= deadline {
+            if Instant::now() + POLL_INTERVAL >= deadline {
                 let retry_after_ms = RETRY_AFTER_MS;
                 return Err(JobReply::NotDone { retry_after_ms });
             }
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 
-    async fn counting(&self) -> Result<Counting, Error> {
+    async fn find_or_lock(&self) -> Result<CountSource, Error> {
         let store = self.store.with_purpose(Purpose::Counts);
         if let Some(found) = store.get(keys::COUNTED).await? {
             match serde_json::from_slice(&found.value) {
-                Ok(counts) => return Ok(Counting::Found(counts)),
+                Ok(counts) => return Ok(CountSource::Published(counts)),
                 Err(error) => {
                     let (key, version) = (&found.key, found.version);
                     passed_over::record(
@@ -94,15 +94,15 @@
                 }
             }
         }
-        let lease = store.grant(COUNTING_MS).await?;
+        let lease = store.grant(LOCK_TTL_MS).await?;
         let lock = Batch::default()
             .when(keys::COUNTING, Expected::Absent)
             .put_leased(keys::COUNTING, Vec::new(), lease);
         match store.commit(&lock).await? {
-            Commit::Done(version) => Ok(Counting::Mine(version)),
+            Commit::Done(version) => Ok(CountSource::LockTaken(version)),
             Commit::Conflict(_) => {
                 store.revoke(lease).await?;
-                Ok(Counting::Others)
+                Ok(CountSource::InProgress)
             }
         }
     }
@@ -115,12 +115,12 @@
         deadline: Instant,
     ) -> Result<(), JobReply> {
         let counted = self.count_open_jobs(deadline).await;
-        let left = match &counted {
-            Ok(counts) => self.leave_counts(counts, lock).await,
+        let released = match &counted {
+            Ok(counts) => self.publish_counts(counts, lock).await,
             // Another node may be luckier.
             Err(_) => self.unlock().await,
         };
-        if let Err(error) = left {
+        if let Err(error) = released {
             // The lock goes with its lease, and another node counts again.
             counters::platform_failure(&error);
         }
@@ -133,13 +133,13 @@
 
     /// Leaves counts for other nodes, unless that took so long that another
     /// one counts by now.
-    async fn leave_counts(
+    async fn publish_counts(
         &self,
         counts: &WaitingJobs,
         lock: u64,
     ) -> Result<(), Error> {
         let store = self.store.with_purpose(Purpose::Counts);
-        let lease = store.grant(COUNTED_MS.max(self.min_lease_ms)).await?;
+        let lease = store.grant(COUNTS_TTL_MS.max(self.min_lease_ms)).await?;
         // OK because texts and numbers can always be written.
         let value = serde_json::to_vec(counts).expect("plain JSON");
         let batch = Batch::default()
--- a/crates/dewspard/src/jobs/rest.rs
+++ b/crates/dewspard/src/jobs/rest.rs
@@ -29,29 +29,29 @@
 };
 
 /// What every path begins with.
-const QUEUES: &str = "/v1/queues/";
+const QUEUES_PATH: &str = "/v1/queues/";
 
 /// The product's own calls.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct RestCalls;
+pub struct RestProtocol;
 
 /// A job as callers write it.
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-struct Body {
+struct JobBody {
     payload: String,
     steps: Vec<StepSpec>,
     repeat: Option<Repeat>,
 }
 
-impl JobProtocol for RestCalls {
+impl JobProtocol for RestProtocol {
     fn read(
         &self,
         queues: &QueueSet,
         head: &Parts,
         body: &[u8],
     ) -> Result<JobCall, NotRead> {
-        let rest = head.uri.path().strip_prefix(QUEUES);
+        let rest = head.uri.path().strip_prefix(QUEUES_PATH);
         let rest = rest.ok_or(NotRead::NoSuchQueue)?;
         if let Some(queue) = rest.strip_suffix("/jobs") {
             return list(queues, queue, head);
@@ -158,12 +158,12 @@
 
 fn spec(queue: &str, body: &[u8]) -> Result<JobSpec, NotRead> {
     let json = &mut serde_json::Deserializer::from_slice(body);
-    let body: Body =
+    let body: JobBody =
         serde_path_to_error::deserialize(json).map_err(|error| {
             let (path, inner) = (error.path().to_string(), error.inner());
             NotRead::Invalid(format!("field `{path}`: {inner}"))
         })?;
-    let Body { payload, steps, repeat } = body;
+    let JobBody { payload, steps, repeat } = body;
     let spec = JobSpec { queue: queue.to_owned(), payload, steps, repeat };
     spec.check().map_err(|error| NotRead::Invalid(error.to_string()))?;
     Ok(spec)
--- a/crates/dewspard/src/jobs/settings.rs
+++ b/crates/dewspard/src/jobs/settings.rs
@@ -84,39 +84,40 @@
 /// What link a thousandth of a core needs for scheduling, in megabits a
 /// second: some 500 orders and their answers for each thousandth would take
 /// that, with room to spare.
-const LINK_MBPS_A_CPU_MILLI: f64 = 0.2;
+const LINK_MBPS_PER_CPU_MILLI: f64 = 0.2;
 
 /// How many bytes of a list a thousandth of a core reads in a millisecond and
 /// takes in: 330 kB of 1,100 workers take half a core some 66 ms.
-const LIST_BYTES_A_CPU_MILLI_MS: f64 = 10.0;
+const LIST_BYTES_PER_CPU_MILLI_MS: f64 = 10.0;
 
 /// The slowest link that times are worked out for, in megabits a second: a
 /// setting of 0 means that nobody knows, and must not make a call wait for
 /// ever.
-const LEAST_LINK_MBPS: f64 = 0.5;
+const MIN_LINK_MBPS: f64 = 0.5;
 
 impl Machine {
     /// Returns how much the VM can schedule, to be compared with others.
     pub fn strength(&self) -> u64 {
-        let by_link = self.link_mbps / LINK_MBPS_A_CPU_MILLI;
+        let by_link = self.link_mbps / LINK_MBPS_PER_CPU_MILLI;
         // OK to convert: a float goes to the nearest value that fits.
         self.cpu_millis.min(by_link).max(1.0) as u64
     }
 
     /// Returns what it costs the VM to read so many bytes of lists, in
     /// milliseconds: its link and then its processor are busy that long.
-    pub fn reading_ms(&self, bytes: u64) -> u64 {
-        let bytes_a_ms = LIST_BYTES_A_CPU_MILLI_MS * self.cpu_millis.max(1.0);
+    pub fn list_read_ms(&self, bytes: u64) -> u64 {
+        let bytes_per_ms =
+            LIST_BYTES_PER_CPU_MILLI_MS * self.cpu_millis.max(1.0);
         // OK to truncate: a part of a millisecond doesn't matter.
-        self.link_ms(bytes) + (bytes as f64 / bytes_a_ms) as u64
+        self.transfer_ms(bytes) + (bytes as f64 / bytes_per_ms) as u64
     }
 
     /// Returns how long the link takes for so many bytes, in milliseconds.
-    pub fn link_ms(&self, bytes: u64) -> u64 {
+    pub fn transfer_ms(&self, bytes: u64) -> u64 {
         // Megabits a second are as many thousand bits a millisecond.
-        let bits_a_ms = self.link_mbps.max(LEAST_LINK_MBPS) * 1e3;
+        let bits_per_ms = self.link_mbps.max(MIN_LINK_MBPS) * 1e3;
         // OK to truncate: a part of a millisecond doesn't matter.
-        (bytes as f64 * 8.0 / bits_a_ms) as u64
+        (bytes as f64 * 8.0 / bits_per_ms) as u64
     }
 }
 
--- a/crates/dewspard/src/main.rs
+++ b/crates/dewspard/src/main.rs
@@ -152,7 +152,7 @@
         )
         .with_adviser(platform.adviser.map(|a| a.to_string()));
         let order_timeout_ms =
-            ORDER_TIMEOUT_MS + settings.machine.link_ms(BYTES_AHEAD);
+            ORDER_TIMEOUT_MS + settings.machine.transfer_ms(BYTES_AHEAD);
         let unreadable = store.unreadable().clone();
         let workers = TaskWorkers::new(client(order_timeout_ms))
             .with_unreadable(&unreadable);
--- a/crates/dewspard/tests/gate.rs
+++ b/crates/dewspard/tests/gate.rs
@@ -6,7 +6,7 @@
     dewspar_standin::{faults::Faults, store::Store},
     dewspard::{
         counters,
-        jobs::gate::{StoreGate, StoreOut},
+        jobs::gate::{StoreGate, StoreUnavailable},
         logs,
     },
     metrics_exporter_prometheus::{PrometheusBuilder, PrometheusRecorder},
@@ -18,13 +18,13 @@
 };
 
 /// Longer than any probe may take, in microseconds.
-const SILENT_US: u64 = 60_000_000;
+const STORE_DELAY_US: u64 = 60_000_000;
 
 /// How long a job waits at most: less than a probe may take.
-const IMPATIENCE: Duration = Duration::from_millis(500);
+const JOB_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// More than a job ever waits: until the verdict is there.
-const PATIENCE: Duration = Duration::from_secs(600);
+const LONG_TIMEOUT: Duration = Duration::from_secs(600);
 
 /// Makes a gate whose store fails as ordered.
 fn gate(faults: &Faults) -> StoreGate<Store> {
@@ -32,11 +32,11 @@
 }
 
 /// Has a job wait at the gate, and returns once it does.
-async fn waits<K: KeyValue>(
+async fn spawn_waiting_job<K: KeyValue>(
     gate: &StoreGate<K>,
-) -> JoinHandle<Result<(), StoreOut>> {
+) -> JoinHandle<Result<(), StoreUnavailable>> {
     let gate = gate.clone();
-    let deadline = Instant::now() + IMPATIENCE;
+    let deadline = Instant::now() + JOB_TIMEOUT;
     let waiting = tokio::spawn(async move { gate.admit(deadline).await });
     // The clock only moves on once everything else has come to a halt.
     sleep(Duration::from_millis(1)).await;
@@ -53,7 +53,7 @@
         .collect()
 }
 
-fn failures(count: u64) -> Vec<String> {
+fn failure_series(count: u64) -> Vec<String> {
     let name = counters::PLATFORM_FAILURES;
     vec![format!("{name}{{reason=\"unavailable\"}} {count}")]
 }
@@ -61,11 +61,11 @@
 #[tokio::test(start_paused = true)]
 async fn the_answer_of_another_write_lets_waiting_jobs_pass() {
     let faults = Faults::new(1);
-    faults.set_delay_us(SILENT_US);
+    faults.set_delay_us(STORE_DELAY_US);
     let gate = gate(&faults);
-    let other = gate.sent();
-    gate.sent().failed();
-    let waiting = waits(&gate).await;
+    let other = gate.begin_call();
+    gate.begin_call().failed();
+    let waiting = spawn_waiting_job(&gate).await;
     other.answered();
     assert_eq!(waiting.await.expect("an end"), Ok(()));
 }
@@ -73,11 +73,11 @@
 #[tokio::test(start_paused = true)]
 async fn the_answer_of_a_read_lets_waiting_jobs_pass() {
     let faults = Faults::new(1);
-    faults.set_delay_us(SILENT_US);
+    faults.set_delay_us(STORE_DELAY_US);
     let gate = gate(&faults);
-    gate.sent().failed();
-    let waiting = waits(&gate).await;
-    gate.heard();
+    gate.begin_call().failed();
+    let waiting = spawn_waiting_job(&gate).await;
+    gate.note_answer();
     assert_eq!(waiting.await.expect("an end"), Ok(()));
 }
 
@@ -88,17 +88,17 @@
     let faults = Faults::new(1);
     faults.set_outage(true);
     let gate = gate(&faults);
-    gate.sent().failed();
+    gate.begin_call().failed();
     // It is told right after the first probe, and the next comes later.
-    let verdict = gate.admit(Instant::now() + PATIENCE).await;
-    assert_eq!(verdict, Err(StoreOut));
+    let verdict = gate.admit(Instant::now() + LONG_TIMEOUT).await;
+    assert_eq!(verdict, Err(StoreUnavailable));
     let failed = series(&recorder, counters::PLATFORM_FAILURES);
-    assert_eq!(failed, failures(1));
+    assert_eq!(failed, failure_series(1));
     while faults.reads() < 2 {
         sleep(Duration::from_millis(1)).await;
     }
     let failed = series(&recorder, counters::PLATFORM_FAILURES);
-    assert_eq!(failed, failures(2));
+    assert_eq!(failed, failure_series(2));
     // Both belong to one outage.
     let outages = series(&recorder, counters::STORE_OUTAGES);
     assert_eq!(outages, [format!("{} 1", counters::STORE_OUTAGES)]);
@@ -109,14 +109,14 @@
     let recorder = PrometheusBuilder::new().build_recorder();
     let _counted = metrics::set_default_local_recorder(&recorder);
     let faults = Faults::new(1);
-    faults.set_delay_us(SILENT_US);
+    faults.set_delay_us(STORE_DELAY_US);
     let gate = gate(&faults);
-    gate.sent().failed();
-    waits(&gate).await.abort();
-    gate.heard();
+    gate.begin_call().failed();
+    spawn_waiting_job(&gate).await.abort();
+    gate.note_answer();
     // The probe is given up meanwhile.
-    sleep(PATIENCE).await;
-    assert!(!gate.is_out());
+    sleep(LONG_TIMEOUT).await;
+    assert!(!gate.is_unavailable());
     let outages = series(&recorder, counters::STORE_OUTAGES);
     assert_eq!(outages, Vec::<String>::new());
     let failed = series(&recorder, counters::PLATFORM_FAILURES);
--- a/crates/dewspard/tests/jobs.rs
+++ b/crates/dewspard/tests/jobs.rs
@@ -13,7 +13,7 @@
     },
     dewspar_standin::{faults::Faults, store::Store, task_fleet::TaskFleet},
     dewspard::{
-        jobs::{JobNode, JobPlatform, JobSettings, RestCalls},
+        jobs::{JobNode, JobPlatform, JobSettings, RestProtocol},
         logs,
     },
     http_body_util::{BodyExt, Full},
@@ -84,7 +84,7 @@
             store: self.store.clone(),
             workers: self.fleet.clone(),
             fleet: self.fleet.clone(),
-            protocol: RestCalls,
+            protocol: RestProtocol,
             readiness_path: "/ready",
             traffic: Traffic::default(),
             unreadable: UnreadableNotes::default(),
--- a/crates/dewspard/tests/jobs_records.rs
+++ b/crates/dewspard/tests/jobs_records.rs
@@ -27,7 +27,7 @@
     dewspar_standin::{faults::Faults, store::Store, task_fleet::TaskFleet},
     dewspard::{
         clock,
-        jobs::{JobNode, JobPlatform, JobSettings, RestCalls},
+        jobs::{JobNode, JobPlatform, JobSettings, RestProtocol},
         logs,
     },
     std::{future::Future, time::Duration},
@@ -99,7 +99,7 @@
             store: self.store.clone(),
             workers: self.fleet.clone(),
             fleet: self.fleet.clone(),
-            protocol: RestCalls,
+            protocol: RestProtocol,
             readiness_path: "/ready",
             traffic: Traffic::default(),
             unreadable: UnreadableNotes::default(),
--- a/crates/dewspard/tests/late_orders.rs
+++ b/crates/dewspard/tests/late_orders.rs
@@ -18,7 +18,7 @@
     dewspar_standin::{faults::Faults, store::Store, task_fleet::TaskFleet},
     dewspard::{
         clock,
-        jobs::{JobNode, JobPlatform, JobSettings, RestCalls},
+        jobs::{JobNode, JobPlatform, JobSettings, RestProtocol},
     },
     slog::{Drain, Logger, Never, OwnedKVList, Record, o},
     std::{
@@ -141,7 +141,7 @@
             store: store.clone(),
             workers: fleet.clone(),
             fleet: fleet.clone(),
-            protocol: RestCalls,
+            protocol: RestProtocol,
             readiness_path: "/ready",
             traffic: Traffic::default(),
             unreadable: UnreadableNotes::default(),
--- a/crates/dewspard/tests/late_relays.rs
+++ b/crates/dewspard/tests/late_relays.rs
@@ -19,7 +19,7 @@
     dewspar_standin::{faults::Faults, store::Store, task_fleet::TaskFleet},
     dewspard::{
         clock,
-        jobs::{JobNode, JobPlatform, JobSettings, RestCalls},
+        jobs::{JobNode, JobPlatform, JobSettings, RestProtocol},
         logs,
     },
     std::{
@@ -180,7 +180,7 @@
         store: store.clone(),
         workers: fleet.clone(),
         fleet,
-        protocol: RestCalls,
+        protocol: RestProtocol,
         readiness_path: "/ready",
         traffic: Traffic::default(),
         unreadable: UnreadableNotes::default(),
--- a/crates/dewspard/tests/later_tokens.rs
+++ b/crates/dewspard/tests/later_tokens.rs
@@ -18,7 +18,7 @@
     dewspar_standin::{faults::Faults, store::Store, task_fleet::TaskFleet},
     dewspard::{
         clock,
-        jobs::{JobNode, JobPlatform, JobSettings, RestCalls},
+        jobs::{JobNode, JobPlatform, JobSettings, RestProtocol},
     },
     slog::{Drain, KV, Logger, Never, OwnedKVList, Record, Serializer, o},
     std::{
@@ -115,7 +115,7 @@
             store: store.clone(),
             workers: fleet.clone(),
             fleet: fleet.clone(),
-            protocol: RestCalls,
+            protocol: RestProtocol,
             readiness_path: "/ready",
             traffic: Traffic::default(),
             unreadable: UnreadableNotes::default(),
--- a/crates/dewspard/tests/relays.rs
+++ b/crates/dewspard/tests/relays.rs
@@ -14,7 +14,7 @@
     dewspar_standin::{faults::Faults, store::Store, task_fleet::TaskFleet},
     dewspard::{
         clock,
-        jobs::{JobNode, JobPlatform, JobSettings, RestCalls},
+        jobs::{JobNode, JobPlatform, JobSettings, RestProtocol},
     },
     slog::{Drain, Logger, Never, OwnedKVList, Record, o},
     std::{
@@ -220,7 +220,7 @@
         store,
         workers: fleet.clone(),
         fleet,
-        protocol: RestCalls,
+        protocol: RestProtocol,
         readiness_path: "/ready",
         traffic: Traffic::default(),
         unreadable: UnreadableNotes::default(),
--- a/crates/dewspard/tests/strange_owner.rs
+++ b/crates/dewspard/tests/strange_owner.rs
@@ -18,7 +18,7 @@
     dewspar_standin::{faults::Faults, store::Store, task_fleet::TaskFleet},
     dewspard::{
         clock,
-        jobs::{JobNode, JobPlatform, JobSettings, RestCalls},
+        jobs::{JobNode, JobPlatform, JobSettings, RestProtocol},
     },
     slog::{Drain, Logger, Never, OwnedKVList, Record, o},
     std::{
@@ -122,7 +122,7 @@
         store: store.clone(),
         workers: fleet.clone(),
         fleet: fleet.clone(),
-        protocol: RestCalls,
+        protocol: RestProtocol,
         readiness_path: "/ready",
         traffic: Traffic::default(),
         unreadable: UnreadableNotes::default(),
--- a/crates/dewspard/tests/suspension.rs
+++ b/crates/dewspard/tests/suspension.rs
@@ -18,7 +18,7 @@
     dewspar_standin::{faults::Faults, store::Store, task_fleet::TaskFleet},
     dewspard::{
         clock,
-        jobs::{JobNode, JobPlatform, JobSettings, RestCalls},
+        jobs::{JobNode, JobPlatform, JobSettings, RestProtocol},
         logs,
     },
     hyper::{Method, StatusCode},
@@ -96,7 +96,7 @@
         store: store.clone(),
         workers: fleet.clone(),
         fleet: fleet.clone(),
-        protocol: RestCalls,
+        protocol: RestProtocol,
         readiness_path: "/ready",
         traffic: Traffic::default(),
         unreadable: UnreadableNotes::default(),
