--- a/crates/dewspard/src/jobs/holder.rs
+++ b/crates/dewspard/src/jobs/holder.rs
@@ -19,7 +19,7 @@
         counts::CountsWriter,
         decisions,
         deferred_ends::DeferredEnds,
-        election::{Candidate, Held},
+        election::{Candidate, HeldLease},
         event::{self, Event, EventSender, SentEvent},
         feeds::{
             PollCost, follow_feed, look_up, read_directory, read_vms, renew,
@@ -28,7 +28,7 @@
         keys,
         load_stats::LoadStats,
         orders,
-        relay::{self, Keeper, RelayedWorkers},
+        relay::{self, RelayManager, RelayedWorkers},
         start_logs::StartLogWrites,
         step_down::StepDown,
         takeover::{self, LoadedFleetState},
@@ -90,7 +90,7 @@
 /// Schedules until the lease is lost or the node stops.
 pub(super) async fn run<K: KeyValue, W: JobWorkers, F: Fleet>(
     candidate: &Candidate<K, W, F>,
-    held: Held,
+    held: HeldLease,
 ) -> StepDown {
     let (sender, events) = event::channel();
     // Dropped, and so ended, with this function.
@@ -117,9 +117,9 @@
         candidate.log.clone(),
     ));
     let workers = RelayedWorkers::new(candidate.workers.clone());
-    tasks.spawn(relay::keep(Keeper {
+    tasks.spawn(relay::manage(RelayManager {
         store: store(Purpose::Relays),
-        offers: keys::RELAYS,
+        offers_prefix: keys::RELAYS,
         node: candidate.node.clone(),
         strength: candidate.strength,
         lease_revision: held.revision,
@@ -172,7 +172,7 @@
     pub(super) candidate: &'a Candidate<K, W, F>,
     /// The workers, over relays where there are any.
     workers: RelayedWorkers<W>,
-    pub(super) held: Held,
+    pub(super) held: HeldLease,
     pub(super) scheduler: Scheduler,
     /// The version of each job's progress in the store.
     pub(super) versions: RecordVersions,
@@ -423,12 +423,12 @@
         if now.steady_ms > lease_over_ms + DETACHED_MS {
             return Some(StepDown::Lost("the lease couldn't be renewed"));
         }
-        self.workers.pause(now.steady_ms >= lease_over_ms);
+        self.workers.set_relaying_paused(now.steady_ms >= lease_over_ms);
         if !self.is_confirmed(now) {
             return self.lost.map(StepDown::Lost);
         }
         self.configure(now);
-        self.scheduler.set_relayed(self.workers.relays() > 0);
+        self.scheduler.set_relayed(self.workers.open_relays() > 0);
         let began = Instant::now();
         let actions = self.scheduler.plan(now);
         self.load.planned(began, &actions);
@@ -473,7 +473,7 @@
         let behind_ms = now.steady_ms.saturating_sub(self.feed_current_ms);
         let link = self.scheduler.link();
         let log = &self.candidate.log;
-        let relays = self.workers.relays();
+        let relays = self.workers.open_relays();
         self.load.log(log, now.steady_ms, window, link, behind_ms, relays);
         None
     }
