--- a/crates/dewspar/src/schedule/full_pools.rs
+++ b/crates/dewspar/src/schedule/full_pools.rs
@@ -1,5 +1,5 @@
 use {
-    crate::schedule::{Room, place::PoolNumber},
+    crate::schedule::{Room, placement::PoolNumber},
     std::collections::BTreeMap,
 };
 
--- a/crates/dewspar/src/schedule/in_doubt.rs
+++ b/crates/dewspar/src/schedule/in_doubt.rs
@@ -37,7 +37,7 @@
         job::{InDoubtRecord, JobId, TaskId},
         schedule::{
             Decision, Now, Scheduler, WorkerId,
-            board::Task,
+            job_state::Task,
             worker::{Run, Worker},
         },
     },
--- a/crates/dewspar/src/schedule/jobs.rs
+++ b/crates/dewspar/src/schedule/jobs.rs
@@ -8,7 +8,7 @@
 */
 
 use {
-    crate::{job::JobId, schedule::board::Job},
+    crate::{job::JobId, schedule::job_state::Job},
     std::{
         collections::{BTreeMap, BTreeSet},
         mem,
--- a/crates/dewspar/src/schedule/lasting.rs
+++ b/crates/dewspar/src/schedule/long_running.rs
@@ -19,8 +19,8 @@
         job::{StepSpec, TaskId},
         schedule::{
             Now, Room, Scheduler, WorkerId,
-            board::{Job, demand},
-            place::has_label,
+            job_state::{Job, demand},
+            placement::has_label,
             worker::{Purpose, Worker},
         },
     },
--- a/crates/dewspar/src/schedule/waits.rs
+++ b/crates/dewspar/src/schedule/long_waits.rs
@@ -10,7 +10,7 @@
     crate::{
         job::{StepSpec, TaskId},
         schedule::{
-            Decision, Lack, Now, Scheduler, board::demand, worker::Worker,
+            Decision, Lack, Now, Scheduler, job_state::demand, worker::Worker,
         },
     },
     std::collections::BTreeMap,
--- a/crates/dewspar/src/schedule/place.rs
+++ b/crates/dewspar/src/schedule/placement.rs
@@ -14,8 +14,8 @@
         link::Class,
         schedule::{
             Action, Decision, Now, Placing, Scheduler, StartOrder, WorkerId,
-            board::{Job, demand},
             full_pools::{FullPools, UnaskedPools},
+            job_state::{Job, demand},
             suspects::Company,
             worker::{Run, Worker},
             workers::WorkerNumber,
@@ -25,9 +25,9 @@
     std::{collections::BTreeSet, mem},
 };
 
-mod alike;
 mod candidates;
 mod gang;
+mod uniform;
 
 pub(super) use self::candidates::{Candidate, Candidates, PoolNumber};
 
--- a/crates/dewspar/src/schedule/place/candidates.rs
+++ b/crates/dewspar/src/schedule/placement/candidates.rs
@@ -13,7 +13,7 @@
         job::{JobId, TaskId},
         schedule::{
             Now, Room,
-            board::{Job, demand},
+            job_state::{Job, demand},
             jobs::Jobs,
         },
     },
--- a/crates/dewspar/src/schedule/place/gang.rs
+++ b/crates/dewspar/src/schedule/placement/gang.rs
@@ -12,7 +12,7 @@
     crate::{
         job::{StepSpec, TaskId},
         schedule::{
-            Action, Now, Scheduler, WorkerId, board::demand, worker::Run,
+            Action, Now, Scheduler, WorkerId, job_state::demand, worker::Run,
         },
     },
 };
--- a/crates/dewspar/src/schedule/place/alike.rs
+++ b/crates/dewspar/src/schedule/placement/uniform.rs
@@ -13,7 +13,7 @@
     crate::{
         job::{StepSpec, TaskId},
         schedule::{
-            Now, Room, Scheduler, WorkerId, board::demand, worker::Worker,
+            Now, Room, Scheduler, WorkerId, job_state::demand, worker::Worker,
             workers::WorkerNumber,
         },
     },
--- a/crates/dewspar/src/schedule/projection.rs
+++ b/crates/dewspar/src/schedule/projection.rs
@@ -13,7 +13,7 @@
 use {
     crate::{
         job::{JobId, JobSpec},
-        schedule::{Now, Room, Scheduler, board::Job, board::demand},
+        schedule::{Now, Room, Scheduler, job_state::Job, job_state::demand},
     },
     std::collections::{BTreeMap, HashMap},
 };
--- a/crates/dewspar/src/schedule/records.rs
+++ b/crates/dewspar/src/schedule/records.rs
@@ -13,7 +13,7 @@
     job::{JobId, Phase, Progress, TaskId, TaskRecord},
     schedule::{
         Now, Scheduler, WorkerId,
-        board::{Job, Task},
+        job_state::{Job, Task},
         suspects::Crashes,
     },
 };
--- a/crates/dewspar/src/schedule/report.rs
+++ b/crates/dewspar/src/schedule/report.rs
@@ -10,7 +10,7 @@
             Incarnation, Now, OrderError, Refusal, Room, Scheduler, WorkerId,
             WorkerListing,
             answers::call_end,
-            board::{Job, demand},
+            job_state::{Job, demand},
             processes::Succession,
             worker::{OwedHold, Run, RunState},
         },
--- a/crates/dewspar/src/schedule/places.rs
+++ b/crates/dewspar/src/schedule/reservations.rs
@@ -23,8 +23,8 @@
         job::TaskId,
         schedule::{
             Decision, Now, Room, Scheduler, WorkerId,
-            board::demand,
-            place::{Candidate, RoomFrom},
+            job_state::demand,
+            placement::{Candidate, RoomFrom},
             worker::{Kept, Worker},
         },
     },
--- a/crates/dewspar/src/schedule/places/gang.rs
+++ b/crates/dewspar/src/schedule/reservations/gang.rs
@@ -25,8 +25,8 @@
     crate::{
         job::TaskId,
         schedule::{
-            Now, Room, Scheduler, WorkerId, board::demand, place::RoomFrom,
-            worker::Kept,
+            Now, Room, Scheduler, WorkerId, job_state::demand,
+            placement::RoomFrom, worker::Kept,
         },
     },
     std::collections::BTreeMap,
--- a/crates/dewspar/src/schedule/places/search.rs
+++ b/crates/dewspar/src/schedule/reservations/search.rs
@@ -12,8 +12,8 @@
     crate::{
         job::{StepSpec, TaskId},
         schedule::{
-            Now, Room, Scheduler, WorkerId, board::demand, place::RoomFrom,
-            worker::Worker,
+            Now, Room, Scheduler, WorkerId, job_state::demand,
+            placement::RoomFrom, worker::Worker,
         },
     },
     std::collections::{BTreeMap, BinaryHeap, HashMap},
--- a/crates/dewspar/src/schedule/sizing.rs
+++ b/crates/dewspar/src/schedule/sizing.rs
@@ -17,7 +17,7 @@
         schedule::{
             Decision, Forecast, Now, Room, Scheduler, Sizing, VmLife, VmOrder,
             VmOrderError, WorkerId,
-            board::demand,
+            job_state::demand,
             worker::{Purpose, Worker},
         },
     },
--- a/crates/dewspar/src/schedule/suspects.rs
+++ b/crates/dewspar/src/schedule/suspects.rs
@@ -45,8 +45,8 @@
         job::{JobId, Phase, StepSpec, TaskId, TaskRecord},
         schedule::{
             Decision, Now, Scheduler, WorkerId,
-            board::{Job, Task, demand},
             crash_series::{Guest, KeptFor, likely_age_ms},
+            job_state::{Job, Task, demand},
             steadiness::Steadiness,
             unseen_starts::UnheardLoss,
             worker::{Run, Suspicion, Worker},
--- a/crates/dewspar/src/schedule/unseen_starts.rs
+++ b/crates/dewspar/src/schedule/unseen_starts.rs
@@ -30,7 +30,7 @@
     job::{JobId, Progress, TaskId, TaskRecord},
     schedule::{
         Decision, Incarnation, Now, Scheduler, VmLife, WorkerId,
-        board::{Job, Task},
+        job_state::{Job, Task},
         processes::Succession,
         suspects::{Crashes, LostRuns},
         worker::Worker,
--- a/crates/dewspar/tests/schedule/duties.rs
+++ b/crates/dewspar/tests/schedule/duties.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        pools::{move_of_spare, vm_orders, world_with_spare},
+        pool_sizing::{move_of_spare, vm_orders, world_with_spare},
         world::{World, at, id, job, step},
     },
     dewspar::{
--- a/crates/dewspar/tests/schedule/gangs_that_last.rs
+++ b/crates/dewspar/tests/schedule/gang_reservations.rs
@@ -10,7 +10,7 @@
 
 use {
     crate::{
-        moving::{STOP_MS, lasting, look},
+        task_moves::{STOP_MS, lasting, look},
         waves::{maintain_for_a_while, request_wave, request_wave_of},
         world::{POOL, ROOM, RunKind, World, at, id, job, listing, step},
     },
--- a/crates/dewspar/tests/schedule/elsewhere.rs
+++ b/crates/dewspar/tests/schedule/move_safety.rs
@@ -9,8 +9,8 @@
 
 use {
     crate::{
-        moving::{STOP_MS, lasting, look},
-        review::{large, starts_of, submit_lasting, world_of},
+        reservation_cases::{large, starts_of, submit_lasting, world_of},
+        task_moves::{STOP_MS, lasting, look},
         waves::request_wave_of,
         world::{POOL, ROOM, World, id, job},
     },
--- a/crates/dewspar/tests/schedule/review.rs
+++ b/crates/dewspar/tests/schedule/reservation_cases.rs
@@ -8,7 +8,7 @@
 
 use {
     crate::{
-        moving::{STOP_MS, lasting, look},
+        task_moves::{STOP_MS, lasting, look},
         waves::request_wave_of,
         world::{
             POOL, ROOM, RunKind, World, at, id, job, listing, managed, step,
--- a/crates/dewspar/tests/schedule/kept_and_priority.rs
+++ b/crates/dewspar/tests/schedule/reservation_priority.rs
@@ -5,7 +5,7 @@
 
 use {
     crate::{
-        moving::lasting,
+        task_moves::lasting,
         world::{ROOM, RunKind, World, id, job, step},
     },
     dewspar::{job::StepSpec, schedule::Room},
--- a/crates/dewspar/tests/schedule/kept_places.rs
+++ b/crates/dewspar/tests/schedule/reservations.rs
@@ -10,11 +10,11 @@
 
 use {
     crate::{
-        moving::{STOP_MS, lasting, look},
-        review::{
+        reservation_cases::{
             MISSED_MS, add_to_peak, large, starts_of, submit, submit_lasting,
             submit_short, world_of, world_with_move,
         },
+        task_moves::{STOP_MS, lasting, look},
         waves::request_wave_of,
         world::{POOL, World, at, id, job, step},
     },
--- a/crates/dewspar/tests/schedule/restarted_workers.rs
+++ b/crates/dewspar/tests/schedule/restarted_workers.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         crashing::{MOST_STARTS, first_task, starts_of},
-        moving::look,
+        task_moves::look,
         world::{RunKind, World, at, id, job, next_hold, step},
     },
     dewspar::{
--- a/crates/dewspar/tests/schedule/moving.rs
+++ b/crates/dewspar/tests/schedule/task_moves.rs
@@ -15,7 +15,7 @@
 
 use {
     crate::{
-        pools::vm_orders,
+        pool_sizing::vm_orders,
         waves::request_wave_of,
         world::{POOL, ROOM, World, at, id, job, listing, managed, step},
     },
--- a/crates/dewspar/tests/schedule/waves.rs
+++ b/crates/dewspar/tests/schedule/waves.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        pools::vm_orders,
+        pool_sizing::vm_orders,
         world::{ROOM, World, at, id, job, listing, managed, step},
     },
     dewspar::{
--- a/crates/dewspar/tests/schedule/waves_in_time.rs
+++ b/crates/dewspar/tests/schedule/waves_in_time.rs
@@ -7,7 +7,7 @@
 
 use {
     crate::{
-        pools::{move_of_spare, vm_orders},
+        pool_sizing::{move_of_spare, vm_orders},
         world::{POOL, ROOM, World, at, id, job, listing, managed, step},
     },
     dewspar::{
