--- a/crates/dewspar/src/schedule/full_pools.rs
+++ b/crates/dewspar/src/schedule/full_pools.rs
@@ -16,7 +16,7 @@
 }
 
 impl FullPools {
-    pub(super) fn note(&mut self, pool: PoolNumber, demand: Room) {
+    pub(super) fn record_refusal(&mut self, pool: PoolNumber, demand: Room) {
         if self.refused.len() <= pool {
             self.refused.resize_with(pool + 1, Vec::new);
         }
@@ -25,11 +25,7 @@
         refused.push(demand);
     }
 
-    pub(super) fn has_none_for(
-        &self,
-        pool: PoolNumber,
-        demand: &Room,
-    ) -> bool {
+    pub(super) fn is_full_for(&self, pool: PoolNumber, demand: &Room) -> bool {
         let refused = self.refused.get(pool);
         refused.is_some_and(|r| r.iter().any(|least| demand.holds(least)))
     }
@@ -38,21 +34,21 @@
 /// Which pools have workers that weren't asked yet what a former holder
 /// started there; each pool is looked at once within one plan.
 #[derive(Debug, Default)]
-pub(super) struct UnaskedPools {
+pub(super) struct UnsyncedPools {
     known: BTreeMap<String, bool>,
 }
 
-impl UnaskedPools {
+impl UnsyncedPools {
     pub(super) fn contains(
         &mut self,
         pool: &str,
-        look: impl FnOnce() -> bool,
+        check: impl FnOnce() -> bool,
     ) -> bool {
         if let Some(known) = self.known.get(pool) {
             return *known;
         }
-        let unasked = look();
-        self.known.insert(pool.to_owned(), unasked);
-        unasked
+        let unsynced = check();
+        self.known.insert(pool.to_owned(), unsynced);
+        unsynced
     }
 }
--- a/crates/dewspar/src/schedule/long_running.rs
+++ b/crates/dewspar/src/schedule/long_running.rs
@@ -32,7 +32,7 @@
 
 /// What the tasks of a pool that are to last need of VMs.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct LastingNeed {
+pub(super) struct LongRunningNeed {
     /// The fewest VMs that hold them all.
     pub(super) floor_vms: u64,
     /// How many more VMs those need that could start now and find no place.
@@ -40,7 +40,7 @@
 }
 
 /// The tasks of one step, as they are to be put on VMs.
-struct Part<'a> {
+struct StepDemand<'a> {
     first: TaskId,
     spec: &'a StepSpec,
     demand: Room,
@@ -50,10 +50,10 @@
     waiting: u64,
 }
 
-/// The parts of a pool, and the workers that they run on.
+/// The steps of a pool, and the workers that they run on.
 #[derive(Default)]
-struct PoolParts<'a> {
-    parts: Vec<Part<'a>>,
+struct PoolDemand<'a> {
+    steps: Vec<StepDemand<'a>>,
     /// The workers that stay, each with what is to last there.
     on: HashMap<&'a WorkerId, Room>,
 }
@@ -67,24 +67,24 @@
 
 impl Bin<'_> {
     /// Puts as many of so many tasks here as fit; returns how many do.
-    fn take(&mut self, part: &Part, count: u64) -> u64 {
-        let label = &part.spec.required_label;
+    fn take(&mut self, step: &StepDemand, count: u64) -> u64 {
+        let label = &step.spec.required_label;
         if self.worker.is_some_and(|worker| !has_label(worker, label)) {
             return 0;
         }
-        let fitting = self.free.times_held(&part.demand);
-        let taken = count.min(fitting).min(self.siblings_left(part));
-        self.free.subtract(&part.demand.times(taken));
+        let fitting = self.free.times_held(&step.demand);
+        let taken = count.min(fitting).min(self.siblings_left(step));
+        self.free.subtract(&step.demand.times(taken));
         taken
     }
 
     /// Returns how many more tasks of a step may stand here.
-    fn siblings_left(&self, part: &Part) -> u64 {
-        let most = u64::from(part.spec.max_per_worker);
+    fn siblings_left(&self, step: &StepDemand) -> u64 {
+        let most = u64::from(step.spec.max_per_worker);
         if most == 0 {
             return u64::MAX;
         }
-        let here = self.worker.map_or(0, |w| w.runs_of_step(&part.first));
+        let here = self.worker.map_or(0, |w| w.runs_of_step(&step.first));
         most.saturating_sub(here as u64)
     }
 }
@@ -93,26 +93,26 @@
 /// be added for that.
 fn added_vms<'a>(
     mut bins: Vec<Bin<'a>>,
-    parts: &[(&Part, u64)],
+    steps: &[(&StepDemand, u64)],
     vms: &[Room],
 ) -> u64 {
-    let Some(smallest) = smallest(parts) else { return 0 };
+    let Some(smallest) = smallest(steps) else { return 0 };
     let mut added = 0;
-    for (part, count) in parts {
+    for (step, count) in steps {
         let mut left = *count;
         // What is full isn't looked at again: else each step looks at all VMs
         // that the steps before it have filled.
         bins.retain_mut(|bin| {
-            left -= bin.take(part, left);
+            left -= bin.take(step, left);
             bin.free.holds(&smallest)
         });
-        let fitting = vms.iter().filter(|vm| vm.holds(&part.demand));
+        let fitting = vms.iter().filter(|vm| vm.holds(&step.demand));
         let Some(vm) = fitting.max_by_key(|vm| vm.cpu_millis) else {
             continue;
         };
         while left > 0 {
             let mut bin = Bin { free: *vm, worker: None };
-            left -= bin.take(part, left);
+            left -= bin.take(step, left);
             added += 1;
             bins.push(bin);
         }
@@ -121,19 +121,19 @@
 }
 
 /// Returns the least of each kind of room that some task asks for.
-fn smallest(parts: &[(&Part, u64)]) -> Option<Room> {
-    let demands = parts.iter().map(|(part, _)| part.demand);
+fn smallest(steps: &[(&StepDemand, u64)]) -> Option<Room> {
+    let demands = steps.iter().map(|(step, _)| step.demand);
     demands.reduce(|least, demand| least.smaller(&demand))
 }
 
 impl Scheduler {
     /// Works out what each pool's tasks that are to last need.
-    pub(super) fn measure_lasting(&mut self, now: Now) {
-        let pools = self.lasting_parts(now);
-        let needs = pools.iter().map(|(pool, parts)| {
-            let need = LastingNeed {
-                floor_vms: self.floor_vms(parts),
-                lacking_vms: self.lacking_vms(pool, parts, now),
+    pub(super) fn compute_long_running_needs(&mut self, now: Now) {
+        let pools = self.long_running_demand(now);
+        let needs = pools.iter().map(|(pool, demand)| {
+            let need = LongRunningNeed {
+                floor_vms: self.floor_vms(demand),
+                lacking_vms: self.lacking_vms(pool, demand, now),
             };
             ((*pool).to_owned(), need)
         });
@@ -141,33 +141,35 @@
     }
 
     /// Returns what a pool's tasks that are to last need.
-    pub(super) fn lasting_need(&self, pool: &str) -> LastingNeed {
+    pub(super) fn long_running_need(&self, pool: &str) -> LongRunningNeed {
         self.lasting_needs.get(pool).copied().unwrap_or_default()
     }
 
     /// Returns the tasks that are to last, by their pools, the largest first.
-    fn lasting_parts(&self, now: Now) -> BTreeMap<&str, PoolParts<'_>> {
-        let mut pools: BTreeMap<&str, PoolParts> = BTreeMap::new();
+    fn long_running_demand(&self, now: Now) -> BTreeMap<&str, PoolDemand<'_>> {
+        let mut pools: BTreeMap<&str, PoolDemand> = BTreeMap::new();
         for first in &self.lasting_steps {
             let Some(job) = self.jobs.get(&first.job) else { continue };
             let pool = pools.entry(&job.terms.pool).or_default();
-            let part = self.lasting_part(job, *first, &mut pool.on, now);
-            pool.parts.extend(part);
+            let step = self.step_demand(job, *first, &mut pool.on, now);
+            pool.steps.extend(step);
         }
         for pool in pools.values_mut() {
-            pool.parts.sort_by_key(|part| Reverse(self.share(&part.demand)));
+            pool.steps.sort_by_key(|step| {
+                Reverse(self.dominant_share(&step.demand))
+            });
         }
         pools
     }
 
     /// Returns a step's tasks, and notes on which workers they stay.
-    fn lasting_part<'a>(
+    fn step_demand<'a>(
         &'a self,
         job: &'a Job,
         first: TaskId,
         on: &mut HashMap<&'a WorkerId, Room>,
         now: Now,
-    ) -> Option<Part<'a>> {
+    ) -> Option<StepDemand<'a>> {
         let spec = job.step_spec(&first)?;
         let step = job.step(&first)?;
         let demand = demand(spec);
@@ -188,25 +190,26 @@
         }
         let (round, index) = (first.round as usize, first.step as usize);
         let ready = job.is_ready(round, index, now.unix_ms);
-        let may_start = ready && !self.is_unaccounted_for(job, spec, now);
+        let may_start =
+            ready && !self.may_run_from_former_lease(job, spec, now);
         let task = |index: &u32| TaskId { index: *index, ..first };
         let without_place = step
             .waiting
             .iter()
-            .filter(|index| self.places.place_of(&task(index)).is_none());
+            .filter(|index| self.places.worker_for(&task(index)).is_none());
         let waiting = if may_start { without_place.count() as u64 } else { 0 };
-        Some(Part { first, spec, demand, unplaced, waiting })
+        Some(StepDemand { first, spec, demand, unplaced, waiting })
     }
 
     /// Returns which part of the largest VM a task takes, in thousandths of
     /// the kind of room that it takes most of.
-    fn share(&self, demand: &Room) -> u64 {
+    fn dominant_share(&self, demand: &Room) -> u64 {
         let largest = self.capacities.iter();
         let largest = largest.fold(Room::default(), |a, b| a.larger(b));
         demand.per_thousand_of(&largest)
     }
 
-    fn floor_vms(&self, pool: &PoolParts) -> u64 {
+    fn floor_vms(&self, pool: &PoolDemand) -> u64 {
         let bins = pool.on.iter().filter_map(|(id, used)| {
             let worker = self.workers.get(id)?;
             let free = worker.listing.capacity.less(used);
@@ -215,32 +218,33 @@
         let mut bins: Vec<Bin> = bins.collect();
         bins.sort_by_key(|bin| bin.worker.map(Worker::id));
         let occupied = bins.len() as u64;
-        let parts = pool.parts.iter().map(|part| (part, part.unplaced));
-        let parts: Vec<_> = parts.filter(|(_, count)| *count > 0).collect();
-        occupied + added_vms(bins, &parts, &self.capacities)
+        let steps = pool.steps.iter().map(|step| (step, step.unplaced));
+        let steps: Vec<_> = steps.filter(|(_, count)| *count > 0).collect();
+        occupied + added_vms(bins, &steps, &self.capacities)
     }
 
-    fn lacking_vms(&self, pool: &str, parts: &PoolParts, now: Now) -> u64 {
-        let waiting = parts.parts.iter().map(|part| (part, part.waiting));
+    fn lacking_vms(&self, pool: &str, demand: &PoolDemand, now: Now) -> u64 {
+        let waiting = demand.steps.iter().map(|step| (step, step.waiting));
         let waiting: Vec<_> =
             waiting.filter(|(_, count)| *count > 0).collect();
         if waiting.is_empty() {
             return 0;
         }
         let workers = self.workers.in_pool(pool);
-        let staying = workers.filter(|(_, worker)| is_there_soon(worker, now));
+        let staying =
+            workers.filter(|(_, worker)| is_available_soon(worker, now));
         let bins = staying.map(|(_, worker)| Bin {
             free: worker.free(),
             worker: Some(worker),
         });
-        let coming = self.coming_rooms(pool);
+        let coming = self.incoming_rooms(pool);
         let coming = coming.map(|free| Bin { free, worker: None });
         let bins = bins.chain(coming).collect();
         added_vms(bins, &waiting, &self.capacities)
     }
 
     /// Returns the room of each VM that is on its way to a pool.
-    fn coming_rooms(&self, pool: &str) -> impl Iterator<Item = Room> {
+    fn incoming_rooms(&self, pool: &str) -> impl Iterator<Item = Room> {
         let ordered = self.moving.iter().filter(move |(_, m)| m.to == pool);
         let ordered =
             ordered.filter_map(|(vm, _)| Some(self.vms.get(vm)?.capacity));
@@ -253,8 +257,8 @@
 }
 
 /// Returns whether a worker takes orders, or will once it has answered.
-fn is_there_soon(worker: &Worker, now: Now) -> bool {
-    let asked = !worker.is_accounted_for() || worker.is_fencing();
+fn is_available_soon(worker: &Worker, now: Now) -> bool {
+    let asked = !worker.runs_are_known() || worker.is_fencing();
     let stays = worker.emptying.is_none()
         && !worker.listing.draining
         && worker.silent_since_ms.is_none();
--- a/crates/dewspar/src/schedule/long_waits.rs
+++ b/crates/dewspar/src/schedule/long_waits.rs
@@ -18,63 +18,65 @@
 
 /// How long a task waits before that is told, in milliseconds: about as long
 /// as a worker takes to be heard of again.
-const TOLD_AFTER_MS: u64 = 500;
+const REPORT_AFTER_MS: u64 = 500;
 
 /// How often waits are looked at, in milliseconds.
-const LOOK_INTERVAL_MS: u64 = 500;
+const CHECK_INTERVAL_MS: u64 = 500;
 
 /// How many steps a look tells of, so that a pool without any worker doesn't
 /// fill the log; the next looks go on with the others.
-const TOLD_A_LOOK: usize = 4;
+const MAX_REPORTS_PER_CHECK: usize = 4;
 
 /// How long nothing more is told of a step, in milliseconds.
-const TOLD_AGAIN_MS: u64 = 2_000;
+const REPEAT_INTERVAL_MS: u64 = 2_000;
 
-/// When the waits of tasks that are to last were looked at and told.
+/// When the waits of tasks that are to last were looked at and reported.
 #[derive(Debug, Default)]
 pub(super) struct LongWaits {
-    looked_at_ms: u64,
+    checked_ms: u64,
     /// The steps that were told of, by their first task, and when.
-    told_ms: BTreeMap<TaskId, u64>,
+    reported_ms: BTreeMap<TaskId, u64>,
 }
 
 impl LongWaits {
-    fn may_tell(&mut self, step: &TaskId, now_ms: u64) -> bool {
-        self.told_ms.retain(|_, told| now_ms < *told + TOLD_AGAIN_MS);
-        !self.told_ms.contains_key(step)
+    fn may_report(&mut self, step: &TaskId, now_ms: u64) -> bool {
+        self.reported_ms
+            .retain(|_, reported| now_ms < *reported + REPEAT_INTERVAL_MS);
+        !self.reported_ms.contains_key(step)
     }
 }
 
 impl Scheduler {
     /// Tells of tasks that are to last and wait for long.
-    pub(super) fn tell_long_waits(&mut self, now: Now) {
-        if now.steady_ms < self.long_waits.looked_at_ms + LOOK_INTERVAL_MS {
+    pub(super) fn report_long_waits(&mut self, now: Now) {
+        if now.steady_ms < self.long_waits.checked_ms + CHECK_INTERVAL_MS {
             return;
         }
-        self.long_waits.looked_at_ms = now.steady_ms;
-        let mut told = 0;
-        for step in self.waiting_long_steps() {
-            if told == TOLD_A_LOOK {
+        self.long_waits.checked_ms = now.steady_ms;
+        let mut reported = 0;
+        for step in self.waiting_long_running_steps() {
+            if reported == MAX_REPORTS_PER_CHECK {
                 return;
             }
-            if self.tell_wait(&step, now) {
-                told += 1;
+            if self.report_wait(&step, now) {
+                reported += 1;
             }
         }
     }
 
     /// Returns the first waiting task of each step that is ready and to last.
-    pub(super) fn waiting_long_steps(&self) -> Vec<TaskId> {
-        let lasting = self.candidates.lasting_steps().filter_map(|step| {
-            let step_state = self.jobs.get(&step.job)?.step(&step)?;
-            let index = *step_state.waiting.first()?;
-            Some(TaskId { index, ..step })
-        });
+    pub(super) fn waiting_long_running_steps(&self) -> Vec<TaskId> {
+        let lasting =
+            self.candidates.long_running_steps().filter_map(|step| {
+                let step_state = self.jobs.get(&step.job)?.step(&step)?;
+                let index = *step_state.waiting.first()?;
+                Some(TaskId { index, ..step })
+            });
         lasting.collect()
     }
 
     /// Tells why a task waits, if that is due; returns whether it was.
-    fn tell_wait(&mut self, task: &TaskId, now: Now) -> bool {
+    fn report_wait(&mut self, task: &TaskId, now: Now) -> bool {
         let Some(job) = self.jobs.get(&task.job) else { return false };
         let (Some(spec), Some(step)) = (job.step_spec(task), job.step(task))
         else {
@@ -82,23 +84,23 @@
         };
         let waited_ms = now.steady_ms.saturating_sub(step.ready_ms);
         let first = TaskId { index: 0, ..*task };
-        if waited_ms < TOLD_AFTER_MS
-            || !self.long_waits.may_tell(&first, now.steady_ms)
+        if waited_ms < REPORT_AFTER_MS
+            || !self.long_waits.may_report(&first, now.steady_ms)
         {
             return false;
         }
         let tasks = step.waiting.len();
-        let reason = if self.is_unaccounted_for(job, spec, now) {
+        let reason = if self.may_run_from_former_lease(job, spec, now) {
             "a worker that may run it wasn't asked yet"
-        } else if !self.is_on_record(job, task) {
+        } else if !self.may_start_as_recorded(job, task) {
             "its start isn't on record yet"
-        } else if self.place_for(task, now).is_some() {
+        } else if self.best_worker_for(task, now).is_some() {
             "there is a place, but no order may be sent"
         } else {
             "no worker of its pool can take it"
         };
-        let lack = self.lack_for(spec, task, now);
-        self.long_waits.told_ms.insert(first, now.steady_ms);
+        let lack = self.shortage_for(spec, task, now);
+        self.long_waits.reported_ms.insert(first, now.steady_ms);
         self.note(Decision::Waits {
             task: *task,
             tasks,
@@ -110,7 +112,7 @@
     }
 
     /// Counts what the workers of its pool lack for a task.
-    fn lack_for(&self, spec: &StepSpec, task: &TaskId, now: Now) -> Lack {
+    fn shortage_for(&self, spec: &StepSpec, task: &TaskId, now: Now) -> Lack {
         let mut lack = Lack::default();
         let Some(job) = self.jobs.get(&task.job) else { return lack };
         let demand = demand(spec);
--- a/crates/dewspar/src/schedule/maintenance.rs
+++ b/crates/dewspar/src/schedule/maintenance.rs
@@ -258,7 +258,7 @@
 
     /// Stops what has to leave workers that are being emptied or end soon.
     pub(super) fn empty_workers(&mut self, now: Now) {
-        self.forget_unplaced();
+        self.clear_unplaced();
         let emptying: Vec<WorkerId> = self
             .workers
             .values()
@@ -330,7 +330,7 @@
         }
         // A worker that wasn't asked yet may have the task already: until that
         // is known it starts nowhere, and was without work for 13 s.
-        if self.is_unaccounted_for(job, spec, now) {
+        if self.may_run_from_former_lease(job, spec, now) {
             return Leave::NotYet;
         }
         let kept = self.is_kept_by_step(task, id);
@@ -382,7 +382,7 @@
         id: &WorkerId,
         now: Now,
     ) -> bool {
-        self.place_for(task, now).is_some_and(|worker| worker != id)
+        self.best_worker_for(task, now).is_some_and(|worker| worker != id)
     }
 
     /// Reports a wave once, as soon as it is known.
--- a/crates/dewspar/src/schedule/placement.rs
+++ b/crates/dewspar/src/schedule/placement.rs
@@ -8,13 +8,13 @@
 */
 
 use {
-    self::candidates::Wanted,
+    self::candidates::Requirements,
     crate::{
         job::{StepSpec, TaskId},
         link::Class,
         schedule::{
             Action, Decision, Now, Placing, Scheduler, StartOrder, WorkerId,
-            full_pools::{FullPools, UnaskedPools},
+            full_pools::{FullPools, UnsyncedPools},
             job_state::{Job, demand},
             suspects::Company,
             worker::{Run, Worker},
@@ -33,46 +33,46 @@
 
 /// How many numbers of runs are passed over for a task that a former holder
 /// may have started unseen, so that its number stays the highest.
-const RUN_GAP: u64 = 8;
+const RUN_NUMBER_GAP: u64 = 8;
 
 /// How much a worker near a task's data is preferred, in thousandths of a
 /// core: more than any worker's room, since elsewhere a task takes twice as
 /// long or more.
-const NEAR_DATA_SCORE: i64 = 60_000;
+const DATA_LOCALITY_SCORE: i64 = 60_000;
 
 /// How much a long-running task is drawn to workers that have such tasks
 /// already, so that fewer VMs are tied down: half a worker's processor, in
 /// thousandths of a core.
-const TOGETHER_SCORE: i64 = 16_000;
+const COLOCATION_SCORE: i64 = 16_000;
 
 /// How much a worker is shunned for each run that would disturb or be
 /// disturbed: more than any worker's free processor time, in thousandths of
 /// a core.
-const DISTURBANCE_SCORE: i64 = 100_000;
+const INTERFERENCE_PENALTY: i64 = 100_000;
 
 /// How old what a worker says of its room may be where it doesn't guard that
 /// itself, in milliseconds: a room that has shrunk counts some 3 s later at the
 /// earliest, and the directory is read every 0.3 to 1.5 s.
-const TOLD_MS: u64 = 2_500;
+const MAX_REPORT_AGE_MS: u64 = 2_500;
 
 /// What was found out about the pools within one plan.
 #[derive(Default)]
-struct Pools {
+struct PoolCache {
     full: FullPools,
-    unasked: UnaskedPools,
+    unsynced: UnsyncedPools,
 }
 
 /// When there must be room for a task.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(super) enum RoomFrom {
+pub(super) enum RoomHorizon {
     /// At once.
     Now,
     /// Once all is over that isn't to last.
-    Soon,
+    AfterShortTasks,
 }
 
 /// Why a task isn't started now.
-enum NotNow {
+enum PlacementError {
     /// No worker has room for it.
     NoRoom,
     /// None that has room has a ticket for it.
@@ -92,11 +92,11 @@
             return;
         }
         let mut without_place = BTreeSet::new();
-        let mut pools = Pools::default();
+        let mut pools = PoolCache::default();
         let late_last = self.placing().late_last;
         self.candidates.update(&mut self.jobs, late_last, now);
         debug_assert!(
-            self.candidates.are_as_anew(&mut self.jobs, late_last, now),
+            self.candidates.match_full_rebuild(&mut self.jobs, late_last, now),
             "what was kept of the order is out of date"
         );
         // Taken out, since starting something changes the scheduler.
@@ -120,8 +120,8 @@
             // The step that found the pool full asked for no more, so it has
             // said already whether the pool has no place.
             // What has a place kept needs none of that room.
-            if pools.full.has_none_for(wanted.pool, &wanted.demand)
-                && !self.places.has_some_of(candidate)
+            if pools.full.is_full_for(wanted.pool, &wanted.demand)
+                && !self.places.has_any_for(candidate)
             {
                 continue;
             }
@@ -150,16 +150,21 @@
     fn start_step(
         &mut self,
         candidate: &Candidate,
-        wanted: &Wanted,
+        wanted: &Requirements,
         now: Now,
-        pools: &mut Pools,
+        pools: &mut PoolCache,
         actions: &mut Vec<Action>,
     ) -> Option<String> {
         let Candidate { job: id, round, step, .. } = *candidate;
         let job = &self.jobs[&id];
         let spec = job.spec.clone();
         let spec = &spec.steps[step];
-        if self.is_unaccounted(job, spec, now, &mut pools.unasked) {
+        if self.may_run_from_former_lease_cached(
+            job,
+            spec,
+            now,
+            &mut pools.unsynced,
+        ) {
             return None;
         }
         let inherited = job.revision < self.lease_revision;
@@ -174,24 +179,27 @@
             index: 0,
         };
         let on_record = |index: &u32| {
-            self.is_on_record(job, &TaskId { index: *index, ..first })
+            self.may_start_as_recorded(job, &TaskId { index: *index, ..first })
         };
         let mut waiting: Vec<u32> =
             state.waiting.iter().copied().filter(on_record).collect();
         // First those for which a place is kept.
         waiting.sort_by_key(|index| {
-            self.places.place_of(&TaskId { index: *index, ..first }).is_none()
+            self.places
+                .worker_for(&TaskId { index: *index, ..first })
+                .is_none()
         });
         let pool = job.terms.pool.clone();
-        let fits = self.fits_somewhere(spec);
+        let fits = self.fits_any_vm(spec);
         if spec.gang {
             let placed = self.start_gang(spec, &first, &waiting, now, actions);
             return (!placed && fits).then_some(pool);
         }
         let task = |index: u32| TaskId { index, ..first };
-        let any = waiting.iter().find(|i| !self.has_own_place(&task(**i)));
+        let any =
+            waiting.iter().find(|i| !self.needs_own_placement(&task(**i)));
         let mut alike =
-            any.and_then(|i| self.places_for_alike(spec, &task(*i), now));
+            any.and_then(|i| self.uniform_placement(spec, &task(*i), now));
         let mut without_place = false;
         for index in waiting {
             if !self.may_start() {
@@ -199,29 +207,29 @@
             }
             let task = TaskId { index, ..first };
             let chosen = match &mut alike {
-                Some(places) if !self.has_own_place(&task) => {
-                    places.next(self, &task).ok_or(NotNow::NoRoom)
+                Some(places) if !self.needs_own_placement(&task) => {
+                    places.next(self, &task).ok_or(PlacementError::NoRoom)
                 }
-                _ => self.choose(spec, &task, now),
+                _ => self.choose_worker(spec, &task, now),
             };
             match chosen {
                 Ok(worker) => {
-                    let run = self.next_run(&task);
+                    let run = self.next_run_number(&task);
                     actions.extend(self.start(spec, &task, run, worker, now));
                 }
-                Err(NotNow::NoTicket) => {
+                Err(PlacementError::NoTicket) => {
                     actions.extend(self.ask_adviser(spec, &task, now));
                     break;
                 }
-                Err(NotNow::NoRoom) if self.is_in_doubt(&task) => {}
-                Err(NotNow::NoRoom) => {
+                Err(PlacementError::NoRoom) if self.is_in_doubt(&task) => {}
+                Err(PlacementError::NoRoom) => {
                     without_place = true;
-                    if self.may_go_anywhere(spec, &task) {
-                        pools.full.note(wanted.pool, wanted.demand);
+                    if self.is_unconstrained(spec, &task) {
+                        pools.full.record_refusal(wanted.pool, wanted.demand);
                     }
                     // Where one finds none, only one that looks for its own
                     // place might.
-                    if !self.has_own_place(&task) {
+                    if !self.needs_own_placement(&task) {
                         break;
                     }
                 }
@@ -251,7 +259,7 @@
     }
 
     /// Returns whether a VM of the fleet could hold a task of the step.
-    pub(super) fn fits_somewhere(&self, spec: &StepSpec) -> bool {
+    pub(super) fn fits_any_vm(&self, spec: &StepSpec) -> bool {
         let demand = demand(spec);
         let label = &spec.required_label;
         let fits = self.capacities.iter().any(|room| room.holds(&demand));
@@ -262,20 +270,20 @@
 
     /// Returns whether a task may go to any worker of its pool that has room
     /// and takes orders.
-    fn may_go_anywhere(&self, spec: &StepSpec, task: &TaskId) -> bool {
+    fn is_unconstrained(&self, spec: &StepSpec, task: &TaskId) -> bool {
         let advised = self.jobs[&task.job].terms.advice.is_some();
         spec.required_label.is_empty()
             && spec.max_per_worker == 0
             && !advised
-            && !self.has_own_place(task)
+            && !self.needs_own_placement(task)
     }
 
     /// Returns whether a task looks for its place by itself: it has failed on
     /// some worker, may crash them, may still start on one, or has a place kept
     /// for it.
-    pub(super) fn has_own_place(&self, task: &TaskId) -> bool {
+    pub(super) fn needs_own_placement(&self, task: &TaskId) -> bool {
         let state = self.jobs[&task.job].task(task);
-        self.places.place_of(task).is_some()
+        self.places.worker_for(task).is_some()
             || state.is_some_and(|state| {
                 !state.avoid.is_empty()
                     || state.crashes.count > 0
@@ -283,24 +291,24 @@
             })
     }
 
-    fn next_run(&self, task: &TaskId) -> u64 {
+    fn next_run_number(&self, task: &TaskId) -> u64 {
         let job = &self.jobs[&task.job];
         let run = job.task(task).map_or(0, |state| state.run);
         let inherited = job.revision < self.lease_revision;
         // The first run under this lease passes over what may be unseen.
         let first = job.task(task).is_some_and(|s| s.run == s.ended_run);
-        if inherited && first { run + RUN_GAP } else { run + 1 }
+        if inherited && first { run + RUN_NUMBER_GAP } else { run + 1 }
     }
 
     /// Chooses the worker for a task.
-    fn choose(
+    fn choose_worker(
         &self,
         spec: &StepSpec,
         task: &TaskId,
         now: Now,
-    ) -> Result<WorkerId, NotNow> {
-        if self.waits_for_kept_room(task, &demand(spec)) {
-            return Err(NotNow::NoRoom);
+    ) -> Result<WorkerId, PlacementError> {
+        if self.waits_for_reserved_room(task, &demand(spec)) {
+            return Err(PlacementError::NoRoom);
         }
         let job = &self.jobs[&task.job];
         if let Some(worker) = self.best_worker(spec, task, now) {
@@ -308,7 +316,11 @@
         }
         let suits = self.suitable_workers(spec, task, now).next().is_some();
         let advised = job.terms.advice.is_some();
-        Err(if suits && advised { NotNow::NoTicket } else { NotNow::NoRoom })
+        Err(if suits && advised {
+            PlacementError::NoTicket
+        } else {
+            PlacementError::NoRoom
+        })
     }
 
     /// Returns the workers that a task may go to, tickets aside.
@@ -318,17 +330,18 @@
         task: &TaskId,
         now: Now,
     ) -> impl Iterator<Item = &Worker> {
-        let suitable = self.suitable_numbers(spec, task, RoomFrom::Now, now);
+        let suitable =
+            self.suitable_with_numbers(spec, task, RoomHorizon::Now, now);
         suitable.map(|(_, worker)| worker)
     }
 
     /// Returns the same with each one's number, in the order of their
     /// identifiers.
-    pub(super) fn suitable_numbers(
+    pub(super) fn suitable_with_numbers(
         &self,
         spec: &StepSpec,
         task: &TaskId,
-        room: RoomFrom,
+        room: RoomHorizon,
         now: Now,
     ) -> impl DoubleEndedIterator<Item = (WorkerNumber, &Worker)> {
         // Most workers of a large pool are full, and this is
@@ -345,7 +358,7 @@
         &self,
         spec: &StepSpec,
         task: &TaskId,
-        room: RoomFrom,
+        room: RoomHorizon,
         now: Now,
     ) -> impl Fn(&Worker) -> bool {
         let job = self.jobs.get(&task.job);
@@ -361,8 +374,8 @@
         let steadiness = known.map(|(state, job)| {
             self.steadiness_wanted(spec, state, &job.terms.pool, now)
         });
-        let may_go_back =
-            spec.long_running || self.may_go_back(spec, task, now);
+        let may_retry_failed_worker =
+            spec.long_running || self.may_retry_failed_worker(spec, task, now);
         move |worker| {
             let (Some(_), Some(state)) = (job, state) else { return false };
             let apart = || {
@@ -370,18 +383,21 @@
                 most == 0 || worker.runs_of_step(task) < most
             };
             let free = match room {
-                RoomFrom::Now => worker.free_for(task),
-                RoomFrom::Soon => worker.free_soon_for(task),
+                RoomHorizon::Now => worker.free_for(task),
+                RoomHorizon::AfterShortTasks => worker.free_soon_for(task),
             };
             free.holds(&demand)
                 && worker.takes_orders(now.steady_ms)
-                && (guarded || worker.has_sure_room(now.steady_ms, TOLD_MS))
+                && (guarded
+                    || worker
+                        .has_current_room(now.steady_ms, MAX_REPORT_AGE_MS))
                 && !worker.runs.contains_key(task)
                 && state.in_doubt.allow(worker.id(), now, self.taken_over_ms)
                 && company.is_none_or(|company| company.allows(worker))
                 && !self.is_kept_from(worker, task, tested, now)
                 && steadiness.is_none_or(|s| self.is_as_steady(worker, s, now))
-                && (may_go_back || !state.avoid.contains(worker.id()))
+                && (may_retry_failed_worker
+                    || !state.avoid.contains(worker.id()))
                 && has_label(worker, &spec.required_label)
                 && apart()
                 && !self.is_denied(task, worker.id())
@@ -390,19 +406,24 @@
 
     /// Returns whether a worker of a pool is known to have the room that it
     /// seems to have, or refuses itself what it has no room for.
-    pub(super) fn is_sure_of_room(
+    pub(super) fn has_reliable_room(
         &self,
         worker: &Worker,
         pool: &str,
         now: Now,
     ) -> bool {
         !self.unguarded_pools.contains(pool)
-            || worker.has_sure_room(now.steady_ms, TOLD_MS)
+            || worker.has_current_room(now.steady_ms, MAX_REPORT_AGE_MS)
     }
 
     /// Returns whether a task may go to a worker on which it has failed: it
     /// has waited, and its pool has no other that could ever hold it.
-    fn may_go_back(&self, spec: &StepSpec, task: &TaskId, now: Now) -> bool {
+    fn may_retry_failed_worker(
+        &self,
+        spec: &StepSpec,
+        task: &TaskId,
+        now: Now,
+    ) -> bool {
         let Some(job) = self.jobs.get(&task.job) else { return false };
         let (Some(step), Some(state)) = (job.step(task), job.task(task))
         else {
@@ -435,7 +456,7 @@
             true => self.score_apart(worker, spec),
             false => self.score_for(worker, spec),
         };
-        let kept = self.places.place_of(task);
+        let kept = self.places.worker_for(task);
         // Where it would have to leave again soon, it is missing twice.
         let stays = |worker: &Worker| {
             !spec.long_running || !self.awaits_maintenance(&worker.listing.vm)
@@ -451,7 +472,7 @@
     }
 
     /// Returns where a task that runs could run instead.
-    pub(super) fn place_for(
+    pub(super) fn best_worker_for(
         &self,
         task: &TaskId,
         now: Now,
@@ -463,7 +484,11 @@
 
     /// Returns whether a task may start without its start being put on record
     /// first, or that is done.
-    pub(super) fn is_on_record(&self, job: &Job, task: &TaskId) -> bool {
+    pub(super) fn may_start_as_recorded(
+        &self,
+        job: &Job,
+        task: &TaskId,
+    ) -> bool {
         job.task(task).is_none_or(|task| {
             job.may_start(task) && !self.may_have_crashed_unseen(job, task)
         })
@@ -471,23 +496,28 @@
 
     /// Returns whether a step's tasks may still run where a former holder
     /// started them, outside of a plan.
-    pub(super) fn is_unaccounted_for(
+    pub(super) fn may_run_from_former_lease(
         &self,
         job: &Job,
         spec: &StepSpec,
         now: Now,
     ) -> bool {
-        self.is_unaccounted(job, spec, now, &mut UnaskedPools::default())
+        self.may_run_from_former_lease_cached(
+            job,
+            spec,
+            now,
+            &mut UnsyncedPools::default(),
+        )
     }
 
     /// Returns whether a step's tasks may still run where a former holder
     /// started them.
-    fn is_unaccounted(
+    fn may_run_from_former_lease_cached(
         &self,
         job: &Job,
         spec: &StepSpec,
         now: Now,
-        unasked: &mut UnaskedPools,
+        unsynced: &mut UnsyncedPools,
     ) -> bool {
         // A copy does no harm, but is wasted if most workers answer at once.
         let settled = self.taken_over_ms + self.placing().copy_after_ms;
@@ -496,15 +526,15 @@
         let pool = job.terms.pool.as_str();
         inherited
             && !may_copy
-            && unasked.contains(pool, || self.may_run_unseen(pool, now))
+            && unsynced.contains(pool, || self.has_unsynced_workers(pool, now))
     }
 
     /// Returns whether a worker wasn't asked yet that may run what a former
     /// holder started.
-    fn may_run_unseen(&self, pool: &str, now: Now) -> bool {
+    fn has_unsynced_workers(&self, pool: &str, now: Now) -> bool {
         !self.lives_known
             || self.workers.in_pool(pool).any(|(_, worker)| {
-                !worker.is_accounted_for()
+                !worker.runs_are_known()
                     && now.steady_ms <= worker.lease_over_ms
             })
     }
@@ -520,7 +550,7 @@
         let near = !spec.data_rack.is_empty()
             && worker.listing.rack == spec.data_rack;
         if near {
-            score += NEAR_DATA_SCORE;
+            score += DATA_LOCALITY_SCORE;
         }
         let step_of = |task: &TaskId| {
             self.jobs.get(&task.job).and_then(|job| job.step_spec(task))
@@ -540,9 +570,9 @@
             && spec.long_running
             && worker.runs.keys().filter_map(step_of).any(long)
         {
-            score += TOGETHER_SCORE;
+            score += COLOCATION_SCORE;
         }
-        score - disturbing as i64 * DISTURBANCE_SCORE
+        score - disturbing as i64 * INTERFERENCE_PENALTY
     }
 
     /// Notes a start and makes its order, unless it must be on record first.
@@ -555,7 +585,7 @@
         now: Now,
     ) -> Option<Action> {
         let ticket = self.ticket(task, &worker_id, now)?;
-        self.release_place(task, now);
+        self.release_reservation(task, now);
         let worker = self.workers.get(&worker_id)?;
         // It must have told its clock.
         worker.lease_until_ms(now.steady_ms, &self.options)?;
--- a/crates/dewspar/src/schedule/placement/candidates.rs
+++ b/crates/dewspar/src/schedule/placement/candidates.rs
@@ -48,22 +48,22 @@
 
 /// What a step asks for.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(super) struct Wanted {
+pub(super) struct Requirements {
     pub(super) pool: PoolNumber,
     pub(super) demand: Room,
     /// Whether some task that waits may crash its worker.
     pub(super) suspects: bool,
     /// Whether its tasks are to last.
-    lasts: bool,
+    long_running: bool,
 }
 
 /// The steps that have tasks to start.
 #[derive(Debug, Default)]
 pub(in crate::schedule) struct Candidates {
-    pub(super) ordered: BTreeMap<Candidate, Wanted>,
-    of_jobs: BTreeMap<JobId, OfJob>,
+    pub(super) ordered: BTreeMap<Candidate, Requirements>,
+    by_job: BTreeMap<JobId, JobCandidates>,
     /// The jobs to be looked at again, by the time of day in milliseconds.
-    reviews: BTreeSet<(u64, JobId)>,
+    rechecks: BTreeSet<(u64, JobId)>,
     pools: BTreeMap<String, PoolNumber>,
     /// The time of day of the last look.
     unix_ms: u64,
@@ -71,16 +71,16 @@
 
 /// What was found out about one job.
 #[derive(Debug, Default)]
-struct OfJob {
-    candidates: Vec<(Candidate, Wanted)>,
+struct JobCandidates {
+    candidates: Vec<(Candidate, Requirements)>,
     /// When time alone changes that; `None` for never.
-    review_unix_ms: Option<u64>,
+    recheck_unix_ms: Option<u64>,
 }
 
-impl OfJob {
-    fn review_at(&mut self, unix_ms: u64) {
-        let earlier = self.review_unix_ms.unwrap_or(u64::MAX);
-        self.review_unix_ms = Some(earlier.min(unix_ms));
+impl JobCandidates {
+    fn recheck_at(&mut self, unix_ms: u64) {
+        let earlier = self.recheck_unix_ms.unwrap_or(u64::MAX);
+        self.recheck_unix_ms = Some(earlier.min(unix_ms));
     }
 }
 
@@ -98,53 +98,58 @@
         }
         self.unix_ms = now.unix_ms;
         let mut stale = jobs.take_changed();
-        while let Some((at_ms, id)) = self.reviews.first().copied() {
+        while let Some((at_ms, id)) = self.rechecks.first().copied() {
             if at_ms > now.unix_ms {
                 break;
             }
-            self.reviews.pop_first();
+            self.rechecks.pop_first();
             stale.insert(id);
         }
         for id in stale {
-            self.forget(&id);
+            self.remove_job(&id);
             if let Some(job) = jobs.get_to_annotate(&id) {
-                self.look_at(id, job, late_last, now);
+                self.add_job(id, job, late_last, now);
             }
         }
     }
 
     /// Returns whether the order is what looking at every job gives; for
     /// builds with assertions, since it takes as long as the order saves.
-    pub(super) fn are_as_anew(
+    pub(super) fn match_full_rebuild(
         &self,
         jobs: &mut Jobs,
         late_last: bool,
         now: Now,
     ) -> bool {
         let ids: Vec<JobId> = jobs.keys().copied().collect();
-        let mut anew = BTreeMap::new();
+        let mut rebuilt = BTreeMap::new();
         for id in ids {
             let Some(job) = jobs.get_to_annotate(&id) else { continue };
             let pool = self.pools.get(&job.terms.pool).copied();
             let pool = pool.unwrap_or(PoolNumber::MAX);
-            anew.extend(of_job(id, job, pool, late_last, now).candidates);
+            rebuilt.extend(
+                candidates_of_job(id, job, pool, late_last, now).candidates,
+            );
         }
-        anew == self.ordered
+        rebuilt == self.ordered
     }
 
     /// Returns the first task of each step that is to last and has tasks to
     /// start, in the order of their turns.
     ///
     /// Asked ten times a second, among thousands of steps.
-    pub(in crate::schedule) fn lasting_steps(
+    pub(in crate::schedule) fn long_running_steps(
         &self,
     ) -> impl Iterator<Item = TaskId> {
-        let lasting = self.ordered.iter().filter(|(_, wanted)| wanted.lasts);
-        lasting.map(|(candidate, _)| candidate.first_task())
+        let long_running =
+            self.ordered.iter().filter(|(_, wanted)| wanted.long_running);
+        long_running.map(|(candidate, _)| candidate.first_task())
     }
 
     /// Returns the priority of the step that goes first, by pool.
-    pub(in crate::schedule) fn first_priorities(&self) -> BTreeMap<&str, u32> {
+    pub(in crate::schedule) fn highest_priorities(
+        &self,
+    ) -> BTreeMap<&str, u32> {
         let mut first: BTreeMap<PoolNumber, u32> = BTreeMap::new();
         for (candidate, wanted) in &self.ordered {
             first.entry(wanted.pool).or_insert(candidate.priority);
@@ -156,35 +161,35 @@
         known.collect()
     }
 
-    fn forget(&mut self, id: &JobId) {
-        let Some(known) = self.of_jobs.remove(id) else { return };
+    fn remove_job(&mut self, id: &JobId) {
+        let Some(known) = self.by_job.remove(id) else { return };
         for (candidate, _) in known.candidates {
             self.ordered.remove(&candidate);
         }
-        if let Some(at_ms) = known.review_unix_ms {
-            self.reviews.remove(&(at_ms, *id));
+        if let Some(at_ms) = known.recheck_unix_ms {
+            self.rechecks.remove(&(at_ms, *id));
         }
     }
 
-    fn look_at(
+    fn add_job(
         &mut self,
         id: JobId,
         job: &mut Job,
         late_last: bool,
         now: Now,
     ) {
-        let pool = self.number_of(&job.terms.pool);
-        let found = of_job(id, job, pool, late_last, now);
+        let pool = self.pool_number(&job.terms.pool);
+        let found = candidates_of_job(id, job, pool, late_last, now);
         self.ordered.extend(found.candidates.iter().copied());
-        if let Some(at_ms) = found.review_unix_ms {
-            self.reviews.insert((at_ms, id));
+        if let Some(at_ms) = found.recheck_unix_ms {
+            self.rechecks.insert((at_ms, id));
         }
-        if !found.candidates.is_empty() || found.review_unix_ms.is_some() {
-            self.of_jobs.insert(id, found);
+        if !found.candidates.is_empty() || found.recheck_unix_ms.is_some() {
+            self.by_job.insert(id, found);
         }
     }
 
-    fn number_of(&mut self, pool: &str) -> PoolNumber {
+    fn pool_number(&mut self, pool: &str) -> PoolNumber {
         if let Some(number) = self.pools.get(pool) {
             return *number;
         }
@@ -196,14 +201,14 @@
 
 /// Returns the steps of a job with tasks to start, and notes on those that
 /// have become ready since when they are.
-fn of_job(
+fn candidates_of_job(
     id: JobId,
     job: &mut Job,
     pool: PoolNumber,
     late_last: bool,
     now: Now,
-) -> OfJob {
-    let mut found = OfJob::default();
+) -> JobCandidates {
+    let mut found = JobCandidates::default();
     if job.phase.is_final() {
         return found;
     }
@@ -213,7 +218,7 @@
         }
         let due_ms = job.spec.due_ms(round as u32);
         if now.unix_ms < due_ms {
-            found.review_at(due_ms);
+            found.recheck_at(due_ms);
             continue;
         }
         let objective_ms = job.objective_ms(round);
@@ -237,7 +242,7 @@
             let may_be_late = late_last && !spec.long_running;
             let late = may_be_late && now.unix_ms + left_ms > objective_ms;
             if may_be_late && !late {
-                found.review_at(objective_ms - left_ms + 1);
+                found.recheck_at(objective_ms - left_ms + 1);
             }
             let objective_ms = if spec.long_running {
                 job.accepted_at_ms
@@ -254,10 +259,11 @@
                 step,
             };
             let demand = demand(spec);
-            let lasts = spec.long_running;
-            found
-                .candidates
-                .push((candidate, Wanted { pool, demand, suspects, lasts }));
+            let long_running = spec.long_running;
+            found.candidates.push((
+                candidate,
+                Requirements { pool, demand, suspects, long_running },
+            ));
         }
     }
     found
--- a/crates/dewspar/src/schedule/placement/gang.rs
+++ b/crates/dewspar/src/schedule/placement/gang.rs
@@ -8,7 +8,7 @@
 */
 
 use {
-    super::NotNow,
+    super::PlacementError,
     crate::{
         job::{StepSpec, TaskId},
         schedule::{
@@ -34,12 +34,12 @@
         }
         let members: Vec<TaskId> =
             waiting.iter().map(|&index| TaskId { index, ..*first }).collect();
-        if !self.take_free_places(&members, now) {
+        if !self.claim_room_for_gang(&members, now) {
             return false;
         }
-        let run = members.iter().map(|task| self.next_run(task)).max();
+        let run = members.iter().map(|task| self.next_run_number(task)).max();
         let run = run.unwrap_or(1);
-        let places = self.find_places(spec, &members, run, now, actions);
+        let places = self.find_gang_workers(spec, &members, run, now, actions);
         if places.len() < members.len() {
             return false;
         }
@@ -53,7 +53,7 @@
 
     /// Returns a worker for each member in turn, up to the first that has
     /// none now.
-    fn find_places(
+    fn find_gang_workers(
         &mut self,
         spec: &StepSpec,
         members: &[TaskId],
@@ -62,19 +62,19 @@
         actions: &mut Vec<Action>,
     ) -> Vec<WorkerId> {
         let mut places = Vec::new();
-        let mut taken_back = Vec::new();
+        let mut suspended = Vec::new();
         for task in members {
-            match self.choose(spec, task, now) {
+            match self.choose_worker(spec, task, now) {
                 Ok(worker) => {
-                    taken_back.extend(self.take_back_place(task, now));
-                    self.reserve(spec, task, run, &worker, now);
+                    suspended.extend(self.suspend_reservation(task, now));
+                    self.reserve_tentatively(spec, task, run, &worker, now);
                     places.push(worker);
                 }
-                Err(NotNow::NoTicket) => {
+                Err(PlacementError::NoTicket) => {
                     actions.extend(self.ask_adviser(spec, task, now));
                     break;
                 }
-                Err(NotNow::NoRoom) => break,
+                Err(PlacementError::NoRoom) => break,
             }
         }
         for (task, worker) in members.iter().zip(&places) {
@@ -85,15 +85,15 @@
             }
         }
         if places.len() < members.len() {
-            for place in taken_back {
-                self.put_back_place(place);
+            for place in suspended {
+                self.restore_reservation(place);
             }
         }
         places
     }
 
     /// Takes room for a member while the others look for theirs.
-    fn reserve(
+    fn reserve_tentatively(
         &mut self,
         spec: &StepSpec,
         task: &TaskId,
--- a/crates/dewspar/src/schedule/placement/uniform.rs
+++ b/crates/dewspar/src/schedule/placement/uniform.rs
@@ -9,7 +9,7 @@
 */
 
 use {
-    super::RoomFrom,
+    super::RoomHorizon,
     crate::{
         job::{StepSpec, TaskId},
         schedule::{
@@ -21,14 +21,14 @@
 };
 
 /// The workers that suit a step, the best first.
-pub(super) struct PlacesForAlike {
+pub(super) struct UniformPlacement {
     workers: Vec<WorkerNumber>,
     /// The first that may still have room.
     next: usize,
     demand: Room,
 }
 
-impl PlacesForAlike {
+impl UniformPlacement {
     /// Returns the worker that suits the next task best.
     pub(super) fn next(
         &mut self,
@@ -55,12 +55,12 @@
 impl Scheduler {
     /// Returns the places for a step whose tasks are all alike, of which
     /// `next` waits to be started; `None` for one whose tasks have to be looked at one by one.
-    pub(super) fn places_for_alike(
+    pub(super) fn uniform_placement(
         &self,
         spec: &StepSpec,
         next: &TaskId,
         now: Now,
-    ) -> Option<PlacesForAlike> {
+    ) -> Option<UniformPlacement> {
         let job = self.jobs.get(&next.job)?;
         // A task of these changes how well its worker suits the next one in
         // some other way than by making it fuller.
@@ -73,7 +73,8 @@
         if one_by_one {
             return None;
         }
-        let suitable = self.suitable_numbers(spec, next, RoomFrom::Now, now);
+        let suitable =
+            self.suitable_with_numbers(spec, next, RoomHorizon::Now, now);
         let mut scored: Vec<(Reverse<i64>, WorkerNumber)> = suitable
             .rev()
             .map(|(number, worker)| {
@@ -83,6 +84,6 @@
         // Stable: of those that suit alike, the last by identifier is first.
         scored.sort_by_key(|(score, _)| *score);
         let workers = scored.into_iter().map(|(_, number)| number).collect();
-        Some(PlacesForAlike { workers, next: 0, demand: demand(spec) })
+        Some(UniformPlacement { workers, next: 0, demand: demand(spec) })
     }
 }
--- a/crates/dewspar/src/schedule/projection.rs
+++ b/crates/dewspar/src/schedule/projection.rs
@@ -122,7 +122,7 @@
                 used.add(&going.room);
                 let goes_on =
                     begins_ms <= ahead_ms && ahead_ms < begins_ms + lasts_ms;
-                if !ready && goes_on && self.fits_somewhere(spec) {
+                if !ready && goes_on && self.fits_any_vm(spec) {
                     let waiting = state.waiting.len() as u64;
                     used.add(&demand(spec).times(waiting));
                 }
@@ -144,7 +144,7 @@
             let begins_ms = begins_ms(spec, step, &ends);
             let lasts_ms = step_spec.estimate_ms;
             ends.push(begins_ms + lasts_ms);
-            if step_spec.long_running || !self.fits_somewhere(step_spec) {
+            if step_spec.long_running || !self.fits_any_vm(step_spec) {
                 continue;
             }
             let within_ms = lasts_ms.min(ahead_ms.saturating_sub(begins_ms));
--- a/crates/dewspar/src/schedule/reservations.rs
+++ b/crates/dewspar/src/schedule/reservations.rs
@@ -18,13 +18,13 @@
 */
 
 use {
-    self::{gang::GangTurns, outranked::Patience},
+    self::{gang::GangTurns, outranked::PendingWaits},
     crate::{
         job::TaskId,
         schedule::{
             Decision, Now, Room, Scheduler, WorkerId,
             job_state::demand,
-            placement::{Candidate, RoomFrom},
+            placement::{Candidate, RoomHorizon},
             worker::{Kept, Worker},
         },
     },
@@ -38,25 +38,25 @@
 /// How long a task waits before a place is kept for it, in milliseconds: what is
 /// kept is used by nobody meanwhile, and a task that starts with one of the next
 /// plans needs none.
-const KEPT_AFTER_MS: u64 = 200;
+const RESERVE_AFTER_MS: u64 = 200;
 
 /// How often it is looked which tasks wait and how the kept places are, in
 /// milliseconds: a tenth of what short tasks take.
-const LOOK_INTERVAL_MS: u64 = 100;
+const REVIEW_INTERVAL_MS: u64 = 100;
 
 /// For how many tasks a look seeks a place, since each search goes through all
 /// workers of a pool. The next look goes on with the others.
-const SOUGHT_A_LOOK: usize = 16;
+const MAX_SEARCHES_PER_REVIEW: usize = 16;
 
 /// How long a worker may take no orders, or not suit a task for some other
 /// passing reason, before its place counts as lost, in milliseconds: longer than
 /// a worker may wait before it answers a question, which clears up an order
 /// without an answer.
-const UNFIT_MS: u64 = 500;
+const UNFIT_GRACE_MS: u64 = 500;
 
 /// A task for which room is kept.
 #[derive(Clone, Debug)]
-struct PlannedStart {
+struct Reservation {
     /// The worker that it is to leave; `None` for one that waited before.
     from: Option<WorkerId>,
     /// Where room is kept for it.
@@ -66,15 +66,15 @@
 }
 
 /// What becomes of a planned start.
-enum Outlook {
+enum ReservationState {
     /// It goes on as planned.
-    Good,
+    Valid,
     /// The task waits, and its room isn't free yet.
-    NotYetFree,
+    Pending,
     /// The place is lost or doesn't suit any more.
-    PlaceLost,
+    Lost,
     /// No place is needed any more.
-    Over,
+    Unneeded,
 }
 
 /// What tasks take together, by pool.
@@ -82,29 +82,29 @@
 
 /// The places that are kept.
 #[derive(Debug, Default)]
-pub(super) struct KeptPlaces {
-    planned: BTreeMap<TaskId, PlannedStart>,
+pub(super) struct Reservations {
+    planned: BTreeMap<TaskId, Reservation>,
     /// The tasks that should move, but for which their pools have no room.
     unplaced: Unplaced,
-    looked_at_ms: u64,
+    reviewed_ms: u64,
     /// The step with which the next look goes on, by its first waiting task.
     next_step: Option<TaskId>,
     /// The planned start with which the next look goes on.
-    next_planned: Option<TaskId>,
+    next_reservation: Option<TaskId>,
     /// The gangs among those that have places kept.
     turns: GangTurns,
     /// How long single tasks have waited for their places.
-    patience: Patience,
+    pending_waits: PendingWaits,
 }
 
-impl KeptPlaces {
+impl Reservations {
     /// Returns where room is kept for a task.
-    pub(super) fn place_of(&self, task: &TaskId) -> Option<&WorkerId> {
+    pub(super) fn worker_for(&self, task: &TaskId) -> Option<&WorkerId> {
         self.planned.get(task).map(|planned| &planned.to)
     }
 
     /// Returns whether room is kept for some task of a step.
-    pub(super) fn has_some_of(&self, step: &Candidate) -> bool {
+    pub(super) fn has_any_for(&self, step: &Candidate) -> bool {
         let first = step.first_task();
         let last = TaskId { index: u32::MAX, ..first };
         self.planned.range(first..=last).next().is_some()
@@ -123,28 +123,28 @@
         from: &WorkerId,
         now: Now,
     ) -> Option<WorkerId> {
-        if self.is_lasting_gang(task) {
+        if self.is_long_running_gang(task) {
             return self.plan_gang_move(task, now);
         }
         if let Some(planned) = self.places.planned.get(task) {
             let to = planned.to.clone();
-            return self.take_kept_room(task, &to).then_some(to);
+            return self.claim_reserved_room(task, &to).then_some(to);
         }
-        if let Some(to) = self.place_for(task, now).cloned() {
-            self.keep_place(task, Some(from.clone()), &to);
+        if let Some(to) = self.best_worker_for(task, now).cloned() {
+            self.reserve_room(task, Some(from.clone()), &to);
             return Some(to);
         }
-        if let Some(to) = self.place_soon(task, now) {
-            self.keep_place(task, Some(from.clone()), &to);
+        if let Some(to) = self.worker_with_room_soon(task, now) {
+            self.reserve_room(task, Some(from.clone()), &to);
         } else {
-            self.note_unplaced(task);
+            self.record_unplaced(task);
         }
         None
     }
 
     /// Returns whether the room that is kept for a task is there now, and lets
     /// nobody else have it from now on.
-    fn take_kept_room(&mut self, task: &TaskId, to: &WorkerId) -> bool {
+    fn claim_reserved_room(&mut self, task: &TaskId, to: &WorkerId) -> bool {
         let Some(room) = self.step_spec(task).map(demand) else {
             return false;
         };
@@ -156,7 +156,7 @@
         is_free
     }
 
-    fn keep_place(
+    fn reserve_room(
         &mut self,
         task: &TaskId,
         from: Option<WorkerId>,
@@ -167,7 +167,7 @@
         let was_free = worker.free().holds(&room);
         worker.keep_for(*task, Kept { room, was_free });
         let planned =
-            PlannedStart { from, to: to.clone(), unfit_since_ms: None };
+            Reservation { from, to: to.clone(), unfit_since_ms: None };
         self.places.planned.insert(*task, planned);
     }
 
@@ -175,14 +175,14 @@
     /// tasks of a queue that goes first would take it.
     ///
     /// Members of gangs keep their room however their run has ended.
-    pub(super) fn keep_place_again(
+    pub(super) fn reserve_again(
         &mut self,
         task: &TaskId,
         to: &WorkerId,
         now: Now,
     ) {
-        if self.is_lasting_gang(task) {
-            self.keep_room_of_member(task, to, now);
+        if self.is_long_running_gang(task) {
+            self.reserve_room_of_member(task, to, now);
             return;
         }
         let lasts = self.step_spec(task).is_some_and(|s| s.long_running);
@@ -190,8 +190,8 @@
             let step = job.step(task);
             step.is_some_and(|step| step.waiting.contains(&task.index))
         });
-        if lasts && waits && self.places.place_of(task).is_none() {
-            self.keep_place(task, None, to);
+        if lasts && waits && self.places.worker_for(task).is_none() {
+            self.reserve_room(task, None, to);
         }
     }
 
@@ -210,7 +210,7 @@
 
     /// Notes that a task that should move has no place for want of room: a VM
     /// that comes would only help with that.
-    fn note_unplaced(&mut self, task: &TaskId) {
+    fn record_unplaced(&mut self, task: &TaskId) {
         let Some(job) = self.jobs.get(&task.job) else { return };
         let Some(spec) = job.step_spec(task) else { return };
         let room = demand(spec);
@@ -222,7 +222,7 @@
         };
         let pool = job.terms.pool.as_str();
         let mut workers = self.workers.in_pool(pool);
-        if !self.fits_somewhere(spec) || workers.any(|(_, w)| has_room(w)) {
+        if !self.fits_any_vm(spec) || workers.any(|(_, w)| has_room(w)) {
             return;
         }
         let pool = pool.to_owned();
@@ -231,76 +231,79 @@
 
     /// Forgets which tasks that should move had no place, since they are
     /// looked at anew.
-    pub(super) fn forget_unplaced(&mut self) {
+    pub(super) fn clear_unplaced(&mut self) {
         self.places.unplaced.clear();
     }
 
     /// Looks at the places that are kept, and keeps some for tasks that are to
     /// last and have waited for a while.
-    pub(super) fn keep_places(&mut self, now: Now) {
-        if now.steady_ms < self.places.looked_at_ms + LOOK_INTERVAL_MS {
+    pub(super) fn update_reservations(&mut self, now: Now) {
+        if now.steady_ms < self.places.reviewed_ms + REVIEW_INTERVAL_MS {
             return;
         }
-        self.places.looked_at_ms = now.steady_ms;
-        self.review_places(now);
-        self.review_gangs(now);
-        self.keep_for_waiting(now);
+        self.places.reviewed_ms = now.steady_ms;
+        self.review_reservations(now);
+        self.review_gang_reservations(now);
+        self.reserve_for_waiting(now);
     }
 
     /// Gives up the places that nobody needs or that suit no more, and takes
     /// others that are there first.
-    fn review_places(&mut self, now: Now) {
-        let mut not_yet_free = Vec::new();
+    fn review_reservations(&mut self, now: Now) {
+        let mut pending = Vec::new();
         let tasks = self.places.planned.keys().copied();
-        let singles = tasks.filter(|task| !self.is_lasting_gang(task));
+        let singles = tasks.filter(|task| !self.is_long_running_gang(task));
         let singles: Vec<TaskId> = singles.collect();
         for task in singles {
-            self.note_fitness(&task, now);
-            match self.outlook(&task, now) {
-                Outlook::Good => {}
-                Outlook::NotYetFree => not_yet_free.push(task),
-                Outlook::Over => self.release_place(&task, now),
-                Outlook::PlaceLost => self.replace_place(&task, now),
+            self.update_fitness(&task, now);
+            match self.reservation_state(&task, now) {
+                ReservationState::Valid => {}
+                ReservationState::Pending => pending.push(task),
+                ReservationState::Unneeded => {
+                    self.release_reservation(&task, now)
+                }
+                ReservationState::Lost => self.replace_reservation(&task, now),
             }
         }
-        let mut not_yet_free = self.give_up_outranked(not_yet_free, now);
-        let next = self.places.next_planned;
-        let begin = not_yet_free.partition_point(|task| Some(*task) < next);
-        not_yet_free.rotate_left(begin);
-        self.places.next_planned = not_yet_free.get(SOUGHT_A_LOOK).copied();
-        for task in not_yet_free.into_iter().take(SOUGHT_A_LOOK) {
-            self.take_free_place(&task, now);
+        let mut pending = self.release_outranked(pending, now);
+        let next = self.places.next_reservation;
+        let begin = pending.partition_point(|task| Some(*task) < next);
+        pending.rotate_left(begin);
+        self.places.next_reservation =
+            pending.get(MAX_SEARCHES_PER_REVIEW).copied();
+        for task in pending.into_iter().take(MAX_SEARCHES_PER_REVIEW) {
+            self.switch_to_free_worker(&task, now);
         }
     }
 
     /// Seeks another place for a task that has lost its one.
-    fn replace_place(&mut self, task: &TaskId, now: Now) {
+    fn replace_reservation(&mut self, task: &TaskId, now: Now) {
         let Some(planned) = self.places.planned.get(task).cloned() else {
             return;
         };
-        self.release_place(task, now);
-        let place = self.place_for(task, now).cloned();
-        let place = place.or_else(|| self.place_soon(task, now));
+        self.release_reservation(task, now);
+        let place = self.best_worker_for(task, now).cloned();
+        let place = place.or_else(|| self.worker_with_room_soon(task, now));
         if let Some(to) = place {
-            self.keep_place(task, planned.from, &to);
+            self.reserve_room(task, planned.from, &to);
         }
     }
 
     /// Takes a place that is free now instead of one that will be.
-    fn take_free_place(&mut self, task: &TaskId, now: Now) {
+    fn switch_to_free_worker(&mut self, task: &TaskId, now: Now) {
         let planned = self.places.planned.get(task);
         let Some(from) = planned.map(|planned| planned.from.clone()) else {
             return;
         };
-        if let Some(to) = self.place_for(task, now).cloned() {
-            self.release_place(task, now);
-            self.keep_place(task, from, &to);
+        if let Some(to) = self.best_worker_for(task, now).cloned() {
+            self.release_reservation(task, now);
+            self.reserve_room(task, from, &to);
         }
     }
 
     /// Keeps places for tasks that are to last and have waited for a while.
-    fn keep_for_waiting(&mut self, now: Now) {
-        let mut steps = self.waiting_long_steps();
+    fn reserve_for_waiting(&mut self, now: Now) {
+        let mut steps = self.waiting_long_running_steps();
         // Stable: nearly none had a turn, and these keep their order.
         steps.sort_by_key(|step| self.places.turns.last_ms(step));
         let next = self.places.next_step.take();
@@ -309,19 +312,19 @@
         };
         let begin = steps.iter().position(is_next).unwrap_or(0);
         steps.rotate_left(begin);
-        let mut tries = SOUGHT_A_LOOK;
+        let mut tries = MAX_SEARCHES_PER_REVIEW;
         for step in steps {
-            let is_gang = self.is_lasting_gang(&step);
+            let is_gang = self.is_long_running_gang(&step);
             if is_gang && !self.may_have_turn(&step, now) {
                 continue;
             }
-            let tasks = self.tasks_without_place(&step, now);
+            let tasks = self.tasks_to_reserve_for(&step, now);
             if is_gang {
                 if tries == 0 {
                     self.places.next_step = Some(step);
                     return;
                 }
-                let searches = self.keep_for_gang(&tasks, now);
+                let searches = self.reserve_for_gang(&tasks, now);
                 tries = tries.saturating_sub(searches);
                 continue;
             }
@@ -331,9 +334,9 @@
                     return;
                 }
                 tries -= 1;
-                if let Some(to) = self.place_soon(&task, now) {
-                    self.keep_place(&task, None, &to);
-                } else if !self.has_own_place(&task) {
+                if let Some(to) = self.worker_with_room_soon(&task, now) {
+                    self.reserve_room(&task, None, &to);
+                } else if !self.needs_own_placement(&task) {
                     // The others of the step find none either.
                     break;
                 }
@@ -343,7 +346,7 @@
 
     /// Returns the tasks of a waiting step that could start and have waited
     /// without a place.
-    fn tasks_without_place(&self, first: &TaskId, now: Now) -> Vec<TaskId> {
+    fn tasks_to_reserve_for(&self, first: &TaskId, now: Now) -> Vec<TaskId> {
         let job = self.jobs.get(&first.job);
         let (Some(job), Some(step), Some(spec)) = (
             job,
@@ -353,29 +356,33 @@
             return Vec::new();
         };
         let waited_ms = now.steady_ms.saturating_sub(step.ready_ms);
-        let may_start = waited_ms >= KEPT_AFTER_MS
-            && !self.is_unaccounted_for(job, spec, now);
+        let may_start = waited_ms >= RESERVE_AFTER_MS
+            && !self.may_run_from_former_lease(job, spec, now);
         if !may_start {
             return Vec::new();
         }
         let waiting = step.waiting.iter();
         let tasks = waiting.map(|index| TaskId { index: *index, ..*first });
         tasks
-            .filter(|task| self.places.place_of(task).is_none())
-            .filter(|task| !self.places.patience.is_put_off(task))
-            .filter(|task| self.is_on_record(job, task))
+            .filter(|task| self.places.worker_for(task).is_none())
+            .filter(|task| !self.places.pending_waits.is_deferred(task))
+            .filter(|task| self.may_start_as_recorded(job, task))
             .collect()
     }
 
     /// Returns the worker on which there is room for a task first, as far as
     /// that can be told: the emptiest of those whose tasks that are to last
     /// leave enough.
-    fn place_soon(&self, task: &TaskId, now: Now) -> Option<WorkerId> {
+    fn worker_with_room_soon(
+        &self,
+        task: &TaskId,
+        now: Now,
+    ) -> Option<WorkerId> {
         let spec = self.step_spec(task)?;
-        let soon = RoomFrom::Soon;
+        let soon = RoomHorizon::AfterShortTasks;
         let stays =
             |worker: &Worker| !self.awaits_maintenance(&worker.listing.vm);
-        let workers = self.suitable_numbers(spec, task, soon, now);
+        let workers = self.suitable_with_numbers(spec, task, soon, now);
         let best = workers.map(|(_, worker)| worker).max_by_key(|worker| {
             (stays(worker), worker.free().cpu_millis, worker.id())
         });
@@ -384,7 +391,7 @@
 
     /// Returns whether a task waits for room that is kept for it and isn't
     /// free yet.
-    pub(super) fn waits_for_kept_room(
+    pub(super) fn waits_for_reserved_room(
         &self,
         task: &TaskId,
         demand: &Room,
@@ -398,7 +405,7 @@
 
     /// Returns how many VMs a pool needs so that its tasks that should move and
     /// have no place get one; 0 if each has one.
-    pub(super) fn need_for_unplaced(&self, pool: &str) -> u64 {
+    pub(super) fn vms_needed_for_unplaced(&self, pool: &str) -> u64 {
         let Some(unplaced) = self.places.unplaced.get(pool) else { return 0 };
         let mut vm = Room::default();
         for room in &self.capacities {
@@ -416,7 +423,7 @@
     }
 
     /// Gives the place up that is kept for a task, if there is one.
-    pub(super) fn release_place(&mut self, task: &TaskId, now: Now) {
+    pub(super) fn release_reservation(&mut self, task: &TaskId, now: Now) {
         let Some(planned) = self.places.planned.remove(task) else { return };
         if let Some(worker) = self.workers.get_mut(&planned.to) {
             worker.release(task, now.steady_ms);
@@ -424,12 +431,12 @@
     }
 
     /// Notes since when the worker that keeps a place hasn't suited its task.
-    fn note_fitness(&mut self, task: &TaskId, now: Now) {
+    fn update_fitness(&mut self, task: &TaskId, now: Now) {
         let planned = self.places.planned.get(task);
         let spec = self.step_spec(task);
         let (Some(planned), Some(spec)) = (planned, spec) else { return };
         let fits = self.workers.get(&planned.to).is_some_and(|worker| {
-            self.suits(spec, task, RoomFrom::Soon, now)(worker)
+            self.suits(spec, task, RoomHorizon::AfterShortTasks, now)(worker)
         });
         let since_ms = planned.unfit_since_ms.unwrap_or(now.steady_ms);
         if let Some(planned) = self.places.planned.get_mut(task) {
@@ -437,26 +444,26 @@
         }
     }
 
-    fn outlook(&self, task: &TaskId, now: Now) -> Outlook {
+    fn reservation_state(&self, task: &TaskId, now: Now) -> ReservationState {
         let planned = self.places.planned.get(task);
         let job = self.jobs.get(&task.job);
         let spec = job.and_then(|job| job.step_spec(task));
         let (Some(planned), Some(job), Some(spec)) = (planned, job, spec)
         else {
-            return Outlook::Over;
+            return ReservationState::Unneeded;
         };
         let waits = job
             .step(task)
             .is_some_and(|step| step.waiting.contains(&task.index));
         let leaves = planned.from.as_ref().is_some_and(|from| {
-            self.workers.get(from).is_some_and(|w| is_to_leave(task, w))
+            self.workers.get(from).is_some_and(|w| must_leave(task, w))
         });
         if job.phase.is_final() || !(waits || leaves) {
-            return Outlook::Over;
+            return ReservationState::Unneeded;
         }
-        let unfit = planned
-            .unfit_since_ms
-            .is_some_and(|since_ms| now.steady_ms >= since_ms + UNFIT_MS);
+        let unfit = planned.unfit_since_ms.is_some_and(|since_ms| {
+            now.steady_ms >= since_ms + UNFIT_GRACE_MS
+        });
         let place = self.workers.get(&planned.to);
         let Some(place) = place.filter(|worker| {
             worker.is_usable()
@@ -464,18 +471,18 @@
                 && worker.free_soon_for(task).holds(&demand(spec))
                 && !unfit
         }) else {
-            return Outlook::PlaceLost;
+            return ReservationState::Lost;
         };
         if waits && !place.free_for(task).holds(&demand(spec)) {
-            Outlook::NotYetFree
+            ReservationState::Pending
         } else {
-            Outlook::Good
+            ReservationState::Valid
         }
     }
 }
 
 /// Returns whether a task still runs on a worker that it is to leave.
-fn is_to_leave(task: &TaskId, worker: &Worker) -> bool {
+fn must_leave(task: &TaskId, worker: &Worker) -> bool {
     let leaves = worker.emptying.is_some() || worker.is_about_to_end();
     worker.runs.get(task).is_some_and(|run| run.is_stopping() || leaves)
 }
--- a/crates/dewspar/src/schedule/reservations/gang.rs
+++ b/crates/dewspar/src/schedule/reservations/gang.rs
@@ -10,7 +10,7 @@
 
 Short runs have to end first, and how long they take isn't known. So one waiting
 gang of a pool has its *turn* at a time, and a turn ends after a while, for as
-long as which the pool then rests, but for gangs that had none yet. The next turn of the
+long as which the pool then paused, but for gangs that had none yet. The next turn of the
 gang is twice as long, so that short runs end within one however long they take,
 and gangs whose last turn was longest ago come first. Room thus stands idle for
 one gang a pool, and first turns aside, for half of the time at most.
@@ -21,12 +21,12 @@
 */
 
 use {
-    super::{Outlook, PlannedStart},
+    super::{Reservation, ReservationState},
     crate::{
         job::TaskId,
         schedule::{
             Now, Room, Scheduler, WorkerId, job_state::demand,
-            placement::RoomFrom, worker::Kept,
+            placement::RoomHorizon, worker::Kept,
         },
     },
     std::collections::BTreeMap,
@@ -46,14 +46,14 @@
     /// Since when places are kept for each, by its first task.
     since_ms: BTreeMap<TaskId, u64>,
     /// The turns of waiting gangs that came to nothing.
-    over: BTreeMap<TaskId, TurnsOver>,
+    over: BTreeMap<TaskId, FailedTurns>,
     /// Until when nothing that isn't free is kept for gangs, by pool.
-    rests_until_ms: BTreeMap<String, u64>,
+    paused_until_ms: BTreeMap<String, u64>,
 }
 
 /// The turns of a gang that came to nothing.
 #[derive(Clone, Copy, Debug, Default)]
-struct TurnsOver {
+struct FailedTurns {
     count: u32,
     last_ms: u64,
 }
@@ -66,9 +66,9 @@
         over.map_or(0, |over| over.last_ms)
     }
 
-    /// Returns whether a gang had a turn and its pool rests.
-    fn is_put_off(&self, first: &TaskId, pool: &str, now_ms: u64) -> bool {
-        let until_ms = self.rests_until_ms.get(pool);
+    /// Returns whether a gang had a turn and its pool paused.
+    fn is_paused(&self, first: &TaskId, pool: &str, now_ms: u64) -> bool {
+        let until_ms = self.paused_until_ms.get(pool);
         self.over.contains_key(first)
             && until_ms.is_some_and(|until_ms| now_ms < *until_ms)
     }
@@ -80,9 +80,9 @@
 }
 
 /// What becomes of the places of a gang.
-enum GangOutlook {
+enum GangReservationState {
     /// They go on as planned.
-    Good,
+    Valid,
     /// These members have no place, or one that doesn't suit any more.
     Lacking(Vec<TaskId>),
     /// They were kept for long enough.
@@ -90,19 +90,22 @@
     /// The same, and some members of the last run haven't ended yet.
     StillEnding,
     /// No places are needed any more.
-    Over,
+    Unneeded,
 }
 
 impl Scheduler {
     /// Returns whether a step's tasks are a gang that is to last.
-    pub(in crate::schedule) fn is_lasting_gang(&self, task: &TaskId) -> bool {
+    pub(in crate::schedule) fn is_long_running_gang(
+        &self,
+        task: &TaskId,
+    ) -> bool {
         let spec = self.step_spec(task);
         spec.is_some_and(|spec| spec.gang && spec.long_running)
     }
 
     /// Keeps places for all members of a waiting gang, if there are any for
     /// all; returns how many searches that took.
-    pub(super) fn keep_for_gang(
+    pub(super) fn reserve_for_gang(
         &mut self,
         members: &[TaskId],
         now: Now,
@@ -113,10 +116,14 @@
         if members.len() < spec.count as usize {
             return 0;
         }
-        let searches = 1 + self.own_searches(members);
-        if let Ok(places) = self.places_for(spec, members, RoomFrom::Soon, now)
-        {
-            self.keep_all(members, places, now);
+        let searches = 1 + self.individual_searches(members);
+        if let Ok(places) = self.place_members(
+            spec,
+            members,
+            RoomHorizon::AfterShortTasks,
+            now,
+        ) {
+            self.reserve_all(members, places, now);
         }
         searches
     }
@@ -126,12 +133,12 @@
         let first = TaskId { index: 0, ..*step };
         let Some(job) = self.jobs.get(&first.job) else { return false };
         let (turns, pool) = (&self.places.turns, &job.terms.pool);
-        !turns.is_put_off(&first, pool, now.steady_ms)
-            && !self.has_gang_with_places(pool)
+        !turns.is_paused(&first, pool, now.steady_ms)
+            && !self.has_gang_with_reservations(pool)
     }
 
     /// Returns whether places are kept for some gang of a pool.
-    fn has_gang_with_places(&self, pool: &str) -> bool {
+    fn has_gang_with_reservations(&self, pool: &str) -> bool {
         let mut gangs = self.places.turns.since_ms.keys();
         gangs.any(|first| {
             let job = self.jobs.get(&first.job);
@@ -140,34 +147,34 @@
     }
 
     /// Keeps a place for each of some members.
-    fn keep_all(
+    fn reserve_all(
         &mut self,
         members: &[TaskId],
         places: Vec<WorkerId>,
         now: Now,
     ) {
         for (member, to) in members.iter().zip(places) {
-            let from = self.leaves_from(member);
-            self.keep_place(member, from, &to);
-            self.note_turn(member, now);
+            let from = self.worker_to_leave(member);
+            self.reserve_room(member, from, &to);
+            self.begin_turn(member, now);
         }
     }
 
     /// Notes that places are kept for a task's gang, from now on if there were
     /// none before.
-    fn note_turn(&mut self, member: &TaskId, now: Now) {
+    fn begin_turn(&mut self, member: &TaskId, now: Now) {
         let first = TaskId { index: 0, ..*member };
         let turns = &mut self.places.turns.since_ms;
         turns.entry(first).or_insert(now.steady_ms);
     }
 
     /// Returns the worker that a task runs on and is to leave, if there is one.
-    fn leaves_from(&self, task: &TaskId) -> Option<WorkerId> {
+    fn worker_to_leave(&self, task: &TaskId) -> Option<WorkerId> {
         let state = self.jobs.get(&task.job)?.task(task)?;
         let mut on = state.on.iter();
         let from = on.find(|id| {
             let worker = self.workers.get(id);
-            worker.is_some_and(|worker| super::is_to_leave(task, worker))
+            worker.is_some_and(|worker| super::must_leave(task, worker))
         });
         from.cloned()
     }
@@ -182,44 +189,50 @@
         let leaving: Vec<TaskId> = self
             .members_of(task)
             .into_iter()
-            .filter(|member| self.leaves_from(member).is_some())
+            .filter(|member| self.worker_to_leave(member).is_some())
             .collect();
         let without_place =
-            |member: &&TaskId| self.places.place_of(member).is_none();
+            |member: &&TaskId| self.places.worker_for(member).is_none();
         let lacking: Vec<TaskId> =
             leaving.iter().filter(without_place).copied().collect();
-        if !lacking.is_empty() && !self.complete_move(&lacking, now) {
+        if !lacking.is_empty() && !self.reserve_for_gang_move(&lacking, now) {
             return None;
         }
-        self.take_all_kept(&leaving)
-            .then(|| self.places.place_of(task).cloned())
+        self.claim_all_reserved(&leaving)
+            .then(|| self.places.worker_for(task).cloned())
             .flatten()
     }
 
     /// Keeps places for members that have to leave and have none; returns
     /// whether there were any for all, else the gang has none any more.
-    fn complete_move(&mut self, lacking: &[TaskId], now: Now) -> bool {
+    fn reserve_for_gang_move(&mut self, lacking: &[TaskId], now: Now) -> bool {
         let Some(first) = lacking.first() else { return true };
         let Some(job) = self.jobs.get(&first.job) else { return false };
         let Some(spec) = job.step_spec(first) else { return false };
         let step = TaskId { index: 0, ..*first };
         let (turns, pool) = (&self.places.turns, &job.terms.pool);
-        let rests = turns.is_put_off(&step, pool, now.steady_ms);
-        let mut places = self.places_for(spec, lacking, RoomFrom::Now, now);
-        if places.is_err() && !rests {
-            places = self.places_for(spec, lacking, RoomFrom::Soon, now);
+        let paused = turns.is_paused(&step, pool, now.steady_ms);
+        let mut places =
+            self.place_members(spec, lacking, RoomHorizon::Now, now);
+        if places.is_err() && !paused {
+            places = self.place_members(
+                spec,
+                lacking,
+                RoomHorizon::AfterShortTasks,
+                now,
+            );
         }
-        let fits = self.fits_somewhere(spec) && spec.required_label.is_empty();
+        let fits = self.fits_any_vm(spec) && spec.required_label.is_empty();
         let demand = demand(spec);
         let pool = job.terms.pool.clone();
         match places {
             Ok(places) => {
-                self.keep_all(lacking, places, now);
+                self.reserve_all(lacking, places, now);
                 true
             }
             Err(count) => {
-                self.release_gang(first, now);
-                if fits && !rests {
+                self.release_gang_reservations(first, now);
+                if fits && !paused {
                     let unplaced = self.places.unplaced.entry(pool);
                     unplaced.or_default().add(&demand.times(count));
                 }
@@ -232,61 +245,65 @@
     /// has places kept, there or elsewhere, and keeps that.
     ///
     /// Not left to the next look: by then small tasks have taken what has come.
-    pub(in crate::schedule) fn take_free_places(
+    pub(in crate::schedule) fn claim_room_for_gang(
         &mut self,
         members: &[TaskId],
         now: Now,
     ) -> bool {
-        if self.take_all_kept(members) {
+        if self.claim_all_reserved(members) {
             return true;
         }
         let mut taken = Vec::new();
         for member in members {
-            taken.extend(self.take_back_place(member, now));
+            taken.extend(self.suspend_reservation(member, now));
         }
         let spec = members.first().and_then(|first| self.step_spec(first));
-        let places = spec
-            .map(|spec| self.places_for(spec, members, RoomFrom::Now, now));
+        let places = spec.map(|spec| {
+            self.place_members(spec, members, RoomHorizon::Now, now)
+        });
         if let Some(Ok(places)) = places {
-            self.keep_all(members, places, now);
+            self.reserve_all(members, places, now);
             return true;
         }
         for place in taken {
-            self.put_back_place(place);
+            self.restore_reservation(place);
         }
-        self.take_all_kept(members);
+        self.claim_all_reserved(members);
         false
     }
 
     /// Returns whether the room that is kept for each of some members is there
     /// now, and lets nobody else have what is.
-    fn take_all_kept(&mut self, members: &[TaskId]) -> bool {
+    fn claim_all_reserved(&mut self, members: &[TaskId]) -> bool {
         let mut all = true;
         for member in members {
-            let Some(to) = self.places.place_of(member).cloned() else {
+            let Some(to) = self.places.worker_for(member).cloned() else {
                 continue;
             };
-            all &= self.take_kept_room(member, &to);
+            all &= self.claim_reserved_room(member, &to);
         }
         all
     }
 
     /// Gives back the room that is kept for a task that gets its place now;
     /// returns what was kept.
-    pub(in crate::schedule) fn take_back_place(
+    pub(in crate::schedule) fn suspend_reservation(
         &mut self,
         task: &TaskId,
         now: Now,
-    ) -> Option<TakenBack> {
+    ) -> Option<SuspendedReservation> {
         let planned = self.places.planned.get(task)?.clone();
         let room = self.step_spec(task).map(demand)?;
-        self.release_place(task, now);
-        Some(TakenBack { task: *task, planned, room })
+        self.release_reservation(task, now);
+        Some(SuspendedReservation { task: *task, planned, room })
     }
 
     /// Keeps again what was given back, since the gang couldn't start.
-    pub(in crate::schedule) fn put_back_place(&mut self, taken: TakenBack) {
-        let TakenBack { task, planned, room } = taken;
+    pub(in crate::schedule) fn restore_reservation(
+        &mut self,
+        taken: SuspendedReservation,
+    ) {
+        let SuspendedReservation { task, planned, room } = taken;
         if let Some(worker) = self.workers.get_mut(&planned.to) {
             let was_free = worker.free().holds(&room);
             worker.keep_for(task, Kept { room, was_free });
@@ -296,14 +313,14 @@
 
     /// Keeps the room of a member of a gang whose run has ended, so that it is
     /// there once all members have.
-    pub(in crate::schedule) fn keep_room_of_member(
+    pub(in crate::schedule) fn reserve_room_of_member(
         &mut self,
         task: &TaskId,
         worker_id: &WorkerId,
         now: Now,
     ) {
-        if !self.is_lasting_gang(task)
-            || self.places.place_of(task).is_some()
+        if !self.is_long_running_gang(task)
+            || self.places.worker_for(task).is_some()
             || !self.is_member_waiting(task)
         {
             return;
@@ -322,8 +339,8 @@
                 && worker.free().holds(&demand(spec))
         });
         if suits && !has_failed {
-            self.keep_place(task, None, worker_id);
-            self.note_turn(task, now);
+            self.reserve_room(task, None, worker_id);
+            self.begin_turn(task, now);
         }
     }
 
@@ -347,40 +364,46 @@
     ///
     /// One waiting gang of a pool has places, so this goes through each worker
     /// twice at most, but for gangs that have just ended.
-    pub(super) fn review_gangs(&mut self, now: Now) {
+    pub(super) fn review_gang_reservations(&mut self, now: Now) {
         let gangs: Vec<TaskId> =
             self.places.turns.since_ms.keys().copied().collect();
         for first in gangs {
             for member in self.members_of(&first) {
-                self.note_fitness(&member, now);
+                self.update_fitness(&member, now);
             }
-            match self.gang_outlook(&first, now) {
-                GangOutlook::Good => {}
-                GangOutlook::Lacking(members) => {
-                    self.replace_places(&first, &members, now);
+            match self.gang_reservation_state(&first, now) {
+                GangReservationState::Valid => {}
+                GangReservationState::Lacking(members) => {
+                    self.replace_gang_reservations(&first, &members, now);
+                }
+                GangReservationState::TurnOver => self.end_turn(&first, now),
+                GangReservationState::StillEnding => {
+                    self.release_gang_reservations(&first, now)
                 }
-                GangOutlook::TurnOver => self.end_turn(&first, now),
-                GangOutlook::StillEnding => self.release_gang(&first, now),
-                GangOutlook::Over => {
-                    self.release_gang(&first, now);
+                GangReservationState::Unneeded => {
+                    self.release_gang_reservations(&first, now);
                     self.places.turns.over.remove(&first);
                 }
             }
         }
-        self.forget_turns(now);
+        self.drop_finished_turns(now);
     }
 
-    fn gang_outlook(&self, first: &TaskId, now: Now) -> GangOutlook {
+    fn gang_reservation_state(
+        &self,
+        first: &TaskId,
+        now: Now,
+    ) -> GangReservationState {
         let members = self.members_of(first);
         let job = self.jobs.get(&first.job);
         if members.is_empty() || job.is_none_or(|job| job.phase.is_final()) {
-            return GangOutlook::Over;
+            return GangReservationState::Unneeded;
         }
         let waiting = members.iter().filter(|m| self.is_member_waiting(m));
         let waiting = waiting.count();
-        let leaves = |m: &TaskId| self.leaves_from(m).is_some();
+        let leaves = |m: &TaskId| self.worker_to_leave(m).is_some();
         if waiting == 0 && !members.iter().any(leaves) {
-            return GangOutlook::Over;
+            return GangReservationState::Unneeded;
         }
         let all_wait = waiting == members.len();
         let turns = &self.places.turns;
@@ -388,103 +411,111 @@
         if now.steady_ms >= since_ms + turns.turn_ms(first) {
             let ends = waiting > 0 && !all_wait;
             return match ends {
-                true => GangOutlook::StillEnding,
-                false => GangOutlook::TurnOver,
+                true => GangReservationState::StillEnding,
+                false => GangReservationState::TurnOver,
             };
         }
         let mut lacking = Vec::new();
         for member in members {
-            if self.places.place_of(&member).is_none() {
+            if self.places.worker_for(&member).is_none() {
                 // One that runs on has its room.
                 if all_wait {
                     lacking.push(member);
                 }
                 continue;
             }
-            match self.outlook(&member, now) {
-                Outlook::PlaceLost | Outlook::Over => lacking.push(member),
-                Outlook::Good | Outlook::NotYetFree => {}
+            match self.reservation_state(&member, now) {
+                ReservationState::Lost | ReservationState::Unneeded => {
+                    lacking.push(member)
+                }
+                ReservationState::Valid | ReservationState::Pending => {}
             }
         }
         if lacking.is_empty() {
-            GangOutlook::Good
+            GangReservationState::Valid
         } else {
-            GangOutlook::Lacking(lacking)
+            GangReservationState::Lacking(lacking)
         }
     }
 
     /// Seeks other places for some members, beside those of the others; gives
     /// all up where there are none.
-    fn replace_places(
+    fn replace_gang_reservations(
         &mut self,
         first: &TaskId,
         members: &[TaskId],
         now: Now,
     ) {
         for member in members {
-            self.release_place(member, now);
+            self.release_reservation(member, now);
         }
         let needed = members.iter().filter(|member| {
             self.is_member_waiting(member)
-                || self.leaves_from(member).is_some()
+                || self.worker_to_leave(member).is_some()
         });
         let needed: Vec<TaskId> = needed.copied().collect();
         let Some(spec) = self.step_spec(first) else { return };
-        let mut places = self.places_for(spec, &needed, RoomFrom::Now, now);
+        let mut places =
+            self.place_members(spec, &needed, RoomHorizon::Now, now);
         if places.is_err() {
-            places = self.places_for(spec, &needed, RoomFrom::Soon, now);
+            places = self.place_members(
+                spec,
+                &needed,
+                RoomHorizon::AfterShortTasks,
+                now,
+            );
         }
         match places {
-            Ok(places) => self.keep_all(&needed, places, now),
-            Err(_) => self.release_gang(first, now),
+            Ok(places) => self.reserve_all(&needed, places, now),
+            Err(_) => self.release_gang_reservations(first, now),
         }
     }
 
     /// Gives the places of a gang up that were kept for long enough; its pool
-    /// rests for as long.
+    /// paused for as long.
     fn end_turn(&mut self, first: &TaskId, now: Now) {
         let turn_ms = self.places.turns.turn_ms(first);
-        self.release_gang(first, now);
+        self.release_gang_reservations(first, now);
         let Some(job) = self.jobs.get(&first.job) else { return };
         let turns = &mut self.places.turns;
         let until_ms = now.steady_ms + turn_ms;
-        turns.rests_until_ms.insert(job.terms.pool.clone(), until_ms);
+        turns.paused_until_ms.insert(job.terms.pool.clone(), until_ms);
         let over = turns.over.entry(*first).or_default();
         over.count += 1;
         over.last_ms = now.steady_ms;
     }
 
     /// Gives up all places that are kept for a gang.
-    fn release_gang(&mut self, first: &TaskId, now: Now) {
+    fn release_gang_reservations(&mut self, first: &TaskId, now: Now) {
         let last = TaskId { index: u32::MAX, ..*first };
         let first = TaskId { index: 0, ..*first };
         let kept = self.places.planned.range(first..=last);
         let kept: Vec<TaskId> = kept.map(|(task, _)| *task).collect();
         for member in kept {
-            self.release_place(&member, now);
+            self.release_reservation(&member, now);
         }
         self.places.turns.since_ms.remove(&first);
     }
 
-    /// Forgets rests that are over, and the turns of gangs that have started.
-    fn forget_turns(&mut self, now: Now) {
+    /// Forgets paused that are over, and the turns of gangs that have started.
+    fn drop_finished_turns(&mut self, now: Now) {
         let (jobs, turns) = (&self.jobs, &mut self.places.turns);
-        turns.rests_until_ms.retain(|_, until_ms| now.steady_ms < *until_ms);
-        let rests = &turns.rests_until_ms;
+        turns.paused_until_ms.retain(|_, until_ms| now.steady_ms < *until_ms);
+        let paused = &turns.paused_until_ms;
         turns.over.retain(|first, _| {
             let Some(job) = jobs.get(&first.job) else { return false };
             let step = job.step(first);
             let waits = step.is_some_and(|step| !step.waiting.is_empty());
             !job.phase.is_final()
-                && (waits || rests.contains_key(&job.terms.pool))
+                && (waits || paused.contains_key(&job.terms.pool))
         });
     }
 }
 
 /// What was kept for a task.
 #[derive(Debug)]
-pub(in crate::schedule) struct TakenBack {
+pub(in crate::schedule) struct SuspendedReservation {
     task: TaskId,
-    planned: PlannedStart,
+    planned: Reservation,
     room: Room,
 }
--- a/crates/dewspar/src/schedule/reservations/search.rs
+++ b/crates/dewspar/src/schedule/reservations/search.rs
@@ -8,23 +8,23 @@
 */
 
 use {
-    super::SOUGHT_A_LOOK,
+    super::MAX_SEARCHES_PER_REVIEW,
     crate::{
         job::{StepSpec, TaskId},
         schedule::{
             Now, Room, Scheduler, WorkerId, job_state::demand,
-            placement::RoomFrom, worker::Worker,
+            placement::RoomHorizon, worker::Worker,
         },
     },
     std::collections::{BTreeMap, BinaryHeap, HashMap},
 };
 
 /// A worker for each member of a gang, or for how many there is none.
-pub(super) type MembersPlaces = Result<Vec<WorkerId>, u64>;
+pub(super) type MemberWorkers = Result<Vec<WorkerId>, u64>;
 
 /// A worker that has room for some members.
 #[derive(Eq, Ord, PartialEq, PartialOrd)]
-struct Opening<'a> {
+struct WorkerOption<'a> {
     /// Whether its VM isn't to be maintained soon.
     stays: bool,
     /// The processor time that is free there now, less that of the members
@@ -35,39 +35,39 @@
     members_left: u64,
 }
 
-impl Opening<'_> {
+impl WorkerOption<'_> {
     /// Returns what is left once one more member was put there, if anything.
     fn after_one_more(self, demand: &Room) -> Option<Self> {
         // OK to convert: no VM has so many cores.
         let taken = demand.cpu_millis as i64;
         let free_cpu_millis = self.free_cpu_millis - taken;
         let members_left = self.members_left - 1;
-        let less = Opening { members_left, free_cpu_millis, ..self };
+        let less = WorkerOption { members_left, free_cpu_millis, ..self };
         (members_left > 0).then_some(less)
     }
 }
 
 /// The members of one gang that were put on workers in thought.
 #[derive(Default)]
-struct Put<'a> {
+struct Assignments<'a> {
     on: HashMap<&'a WorkerId, u64>,
 }
 
-impl<'a> Put<'a> {
+impl<'a> Assignments<'a> {
     /// Returns what a worker offers a member beside those that were put there.
-    fn opening(
+    fn option(
         &self,
         scheduler: &Scheduler,
         (spec, member): (&StepSpec, &TaskId),
         worker: &'a Worker,
-        room: RoomFrom,
-    ) -> Option<Opening<'a>> {
+        room: RoomHorizon,
+    ) -> Option<WorkerOption<'a>> {
         let demand = demand(spec);
         let free = match room {
-            RoomFrom::Now => worker.free_for(member),
-            RoomFrom::Soon => worker.free_soon_for(member),
+            RoomHorizon::Now => worker.free_for(member),
+            RoomHorizon::AfterShortTasks => worker.free_soon_for(member),
         };
-        let put = self.on.get(worker.id()).copied().unwrap_or(0);
+        let assigned = self.on.get(worker.id()).copied().unwrap_or(0);
         let most = u64::from(spec.max_per_worker);
         let siblings = worker.runs_of_step(member) as u64;
         let apart = match most {
@@ -75,46 +75,49 @@
             most => most.saturating_sub(siblings),
         };
         let members_left =
-            free.times_held(&demand).min(apart).saturating_sub(put);
-        let taken = demand.times(put).cpu_millis;
+            free.times_held(&demand).min(apart).saturating_sub(assigned);
+        let taken = demand.times(assigned).cpu_millis;
         // OK to convert: no VM has so many cores.
         let free_cpu_millis = worker.free().cpu_millis as i64 - taken as i64;
         let stays = !scheduler.awaits_maintenance(&worker.listing.vm);
         let id = worker.id();
-        let opening = Opening { stays, free_cpu_millis, id, members_left };
-        (members_left > 0).then_some(opening)
+        let option = WorkerOption { stays, free_cpu_millis, id, members_left };
+        (members_left > 0).then_some(option)
     }
 
-    fn put(&mut self, worker: &'a WorkerId) {
+    fn assign(&mut self, worker: &'a WorkerId) {
         *self.on.entry(worker).or_default() += 1;
     }
 }
 
 impl Scheduler {
     /// Returns how many members have to be looked for by themselves.
-    pub(super) fn own_searches(&self, members: &[TaskId]) -> usize {
-        let own = members.iter().filter(|member| self.has_own_place(member));
+    pub(super) fn individual_searches(&self, members: &[TaskId]) -> usize {
+        let own =
+            members.iter().filter(|member| self.needs_own_placement(member));
         own.count()
     }
 
     /// Returns a worker for each of some members of a gang that have no place.
     ///
     /// Goes through the workers once for all that are alike.
-    pub(super) fn places_for(
+    pub(super) fn place_members(
         &self,
         spec: &StepSpec,
         members: &[TaskId],
-        room: RoomFrom,
+        room: RoomHorizon,
         now: Now,
-    ) -> MembersPlaces {
-        let (own, alike): (Vec<&TaskId>, Vec<&TaskId>) =
-            members.iter().partition(|member| self.has_own_place(member));
-        if own.len() > SOUGHT_A_LOOK {
+    ) -> MemberWorkers {
+        let (own, alike): (Vec<&TaskId>, Vec<&TaskId>) = members
+            .iter()
+            .partition(|member| self.needs_own_placement(member));
+        if own.len() > MAX_SEARCHES_PER_REVIEW {
             return Err(members.len() as u64);
         }
-        let mut put = Put::default();
-        let mut places = self.put_one_by_one(spec, &own, &mut put, room, now);
-        places.extend(self.put_alike(spec, &alike, &put, room, now));
+        let mut assigned = Assignments::default();
+        let mut places =
+            self.place_individually(spec, &own, &mut assigned, room, now);
+        places.extend(self.place_uniform(spec, &alike, &assigned, room, now));
         let found = members.iter().filter_map(|m| places.get(m).copied());
         let found: Vec<WorkerId> = found.cloned().collect();
         let lacking = (members.len() - found.len()) as u64;
@@ -122,22 +125,22 @@
     }
 
     /// Puts members on workers, each looked for by itself.
-    fn put_one_by_one<'a, 'm>(
+    fn place_individually<'a, 'm>(
         &'a self,
         spec: &StepSpec,
         members: &[&'m TaskId],
-        put: &mut Put<'a>,
-        room: RoomFrom,
+        assigned: &mut Assignments<'a>,
+        room: RoomHorizon,
         now: Now,
     ) -> BTreeMap<&'m TaskId, &'a WorkerId> {
         let mut places = BTreeMap::new();
         for member in members {
-            let workers = self.suitable_numbers(spec, member, room, now);
-            let openings = workers.filter_map(|(_, worker)| {
-                put.opening(self, (spec, member), worker, room)
+            let workers = self.suitable_with_numbers(spec, member, room, now);
+            let options = workers.filter_map(|(_, worker)| {
+                assigned.option(self, (spec, member), worker, room)
             });
-            if let Some(best) = openings.max() {
-                put.put(best.id);
+            if let Some(best) = options.max() {
+                assigned.assign(best.id);
                 places.insert(*member, best.id);
             }
         }
@@ -145,25 +148,25 @@
     }
 
     /// Puts members on workers that suit the first of them.
-    fn put_alike<'a, 'm>(
+    fn place_uniform<'a, 'm>(
         &'a self,
         spec: &StepSpec,
         members: &[&'m TaskId],
-        put: &Put<'a>,
-        room: RoomFrom,
+        assigned: &Assignments<'a>,
+        room: RoomHorizon,
         now: Now,
     ) -> BTreeMap<&'m TaskId, &'a WorkerId> {
         let mut places = BTreeMap::new();
         let Some(any) = members.first() else { return places };
-        let workers = self.suitable_numbers(spec, any, room, now);
-        let openings = workers.filter_map(|(_, worker)| {
-            put.opening(self, (spec, any), worker, room)
+        let workers = self.suitable_with_numbers(spec, any, room, now);
+        let options = workers.filter_map(|(_, worker)| {
+            assigned.option(self, (spec, any), worker, room)
         });
-        let mut openings: BinaryHeap<Opening> = openings.collect();
+        let mut options: BinaryHeap<WorkerOption> = options.collect();
         for member in members {
-            let Some(best) = openings.pop() else { break };
+            let Some(best) = options.pop() else { break };
             places.insert(*member, best.id);
-            openings.extend(best.after_one_more(&demand(spec)));
+            options.extend(best.after_one_more(&demand(spec)));
         }
         places
     }
--- a/crates/dewspar/src/schedule/scheduler.rs
+++ b/crates/dewspar/src/schedule/scheduler.rs
@@ -14,12 +14,12 @@
             job_state::Job,
             jobs::Jobs,
             loading::Loading,
-            long_running::LastingNeed,
+            long_running::LongRunningNeed,
             long_waits::LongWaits,
             placement::Candidates,
             processes::FormerProcesses,
             questions::Questions,
-            reservations::KeptPlaces,
+            reservations::Reservations,
             set_aside::SetAside,
             sizing::{Moving, PoolLoad},
             start_log::StartLogs,
@@ -113,7 +113,7 @@
     pub(super) vms: BTreeMap<String, ManagedVm>,
     pub(super) moving: BTreeMap<String, Moving>,
     /// The places that are kept for tasks.
-    pub(super) places: KeptPlaces,
+    pub(super) places: Reservations,
     /// Moves that the VM service will never take.
     pub(super) refused_moves: BTreeSet<(String, String)>,
     pub(super) serving_pools: BTreeSet<String>,
@@ -140,7 +140,7 @@
     /// wanted soon.
     pub(super) lasting_steps: Vec<TaskId>,
     /// What each pool's tasks that are to last need of VMs.
-    pub(super) lasting_needs: BTreeMap<String, LastingNeed>,
+    pub(super) lasting_needs: BTreeMap<String, LongRunningNeed>,
     /// How many VMs pools got that lacked most, since the one that lacked
     /// fewest had its turn.
     pub(super) vms_to_most: u32,
@@ -218,7 +218,7 @@
             waves: BTreeMap::new(),
             vms: BTreeMap::new(),
             moving: BTreeMap::new(),
-            places: KeptPlaces::default(),
+            places: Reservations::default(),
             refused_moves: BTreeSet::new(),
             serving_pools: BTreeSet::new(),
             free_pools: BTreeSet::new(),
@@ -409,9 +409,9 @@
         // First of all orders: this holder may be gone any moment.
         self.order_stops(now, &mut actions);
         self.fence_workers(now, &mut actions);
-        self.keep_places(now);
+        self.update_reservations(now);
         self.start_waiting(now, &mut actions);
-        self.tell_long_waits(now);
+        self.report_long_waits(now);
         self.hold_workers(now, &mut actions);
         actions
     }
@@ -492,8 +492,8 @@
         }
         let begun = run.is_none_or(|run| run.has_begun());
         self.free_task(task, worker_id, begun, now);
-        if !begun || self.is_lasting_gang(task) {
-            self.keep_place_again(task, worker_id, now);
+        if !begun || self.is_long_running_gang(task) {
+            self.reserve_again(task, worker_id, now);
         }
     }
 
--- a/crates/dewspar/src/schedule/sizing.rs
+++ b/crates/dewspar/src/schedule/sizing.rs
@@ -176,7 +176,7 @@
             let load = loads.entry(&job.terms.pool).or_default();
             for round in 0..job.rounds.len() {
                 for (step, spec) in job.spec.steps.iter().enumerate() {
-                    if spec.long_running && self.fits_somewhere(spec) {
+                    if spec.long_running && self.fits_any_vm(spec) {
                         let count = u64::from(spec.count);
                         load.lasting.add(&demand(spec).times(count));
                         let soon =
@@ -191,7 +191,7 @@
                     let waiting = job.rounds[round][step].waiting.len() as u64;
                     if waiting == 0
                         || !job.is_ready(round, step, now.unix_ms)
-                        || !self.fits_somewhere(spec)
+                        || !self.fits_any_vm(spec)
                     {
                         continue;
                     }
@@ -238,7 +238,7 @@
         if now.steady_ms >= self.sized_ms + self.sizing().interval_ms {
             self.sized_ms = now.steady_ms;
             self.project_pools(now);
-            self.measure_lasting(now);
+            self.compute_long_running_needs(now);
             let targets = self.targets(now);
             self.note_targets(&targets);
             self.fill_pools(&targets, now, orders);
@@ -306,11 +306,11 @@
         let mut floors: BTreeMap<&String, u64> = BTreeMap::new();
         let mut needs: BTreeMap<&String, u64> = BTreeMap::new();
         for pool in &self.serving_pools {
-            floors.insert(pool, self.lasting_need(pool).floor_vms);
+            floors.insert(pool, self.long_running_need(pool).floor_vms);
             let need = self.need_for_room(pool, &typical);
             let need = need.max(self.least_vms(pool));
             let need = need.max(self.need_for_place(pool, now));
-            let need = need.max(self.need_for_unplaced(pool));
+            let need = need.max(self.vms_needed_for_unplaced(pool));
             needs.insert(pool, need);
         }
         let mut targets: BTreeMap<String, u64> = BTreeMap::new();
@@ -359,7 +359,7 @@
     /// many more as its tasks that are to last lack, or one more than it has
     /// if others lack something for long.
     fn need_for_place(&self, pool: &str, now: Now) -> u64 {
-        let lacking = self.lasting_need(pool).lacking_vms;
+        let lacking = self.long_running_need(pool).lacking_vms;
         if lacking > 0 {
             return self.pool_size(pool) + lacking;
         }
@@ -424,11 +424,11 @@
 
     /// Returns how many VMs a pool lacks for tasks that are to last.
     fn lack_for_lasting(&self, pool: &str) -> u64 {
-        self.lasting_need(pool).lacking_vms.max(self.lack_to_floor(pool))
+        self.long_running_need(pool).lacking_vms.max(self.lack_to_floor(pool))
     }
 
     fn lack_to_floor(&self, pool: &str) -> u64 {
-        let floor = self.lasting_need(pool).floor_vms;
+        let floor = self.long_running_need(pool).floor_vms;
         floor.saturating_sub(self.pool_size(pool))
     }
 
@@ -449,7 +449,7 @@
     /// that has more VMs than its tasks need that are to last.
     fn spare_of_short_tasks(&self, pool: &str, now: Now) -> Option<WorkerId> {
         let over = |from: &str| {
-            let floor = self.lasting_need(from).floor_vms;
+            let floor = self.long_running_need(from).floor_vms;
             let least = floor.max(self.sizing().least_vms);
             self.pool_load(from).workers > least
         };
@@ -599,7 +599,7 @@
 
     /// Returns the fewest VMs that a pool can do with.
     fn least_vms(&self, pool: &str) -> u64 {
-        self.lasting_need(pool).floor_vms.max(self.sizing().least_vms)
+        self.long_running_need(pool).floor_vms.max(self.sizing().least_vms)
     }
 
     fn may_leave(&self, worker: &Worker, now: Now) -> bool {
--- a/crates/dewspar/src/schedule/suspects.rs
+++ b/crates/dewspar/src/schedule/suspects.rs
@@ -119,7 +119,7 @@
 
 /// How much a suspected task prefers a worker near its data, counted in runs:
 /// more than all else, since elsewhere it takes twice as long.
-const NEAR_DATA_SCORE: i64 = 1_000;
+const DATA_LOCALITY_SCORE: i64 = 1_000;
 
 /// The crashes in a row under one task.
 #[derive(Clone, Copy, Debug, Default)]
@@ -844,7 +844,7 @@
         let near = !spec.data_rack.is_empty()
             && worker.listing.rack == spec.data_rack;
         if near {
-            score += NEAR_DATA_SCORE;
+            score += DATA_LOCALITY_SCORE;
         }
         score
     }
--- a/crates/dewspar/src/schedule/unseen_starts.rs
+++ b/crates/dewspar/src/schedule/unseen_starts.rs
@@ -164,7 +164,7 @@
         if Succession::of(known, start.process) == Succession::Newer {
             return Outcome::Crashed;
         }
-        if told.is_accounted_for() {
+        if told.runs_are_known() {
             return Outcome::Nothing;
         }
         let settled = self.taken_over_ms + self.copy_after_ms();
--- a/crates/dewspar/src/schedule/wave_choice.rs
+++ b/crates/dewspar/src/schedule/wave_choice.rs
@@ -259,7 +259,7 @@
             worker.runs.keys().filter(|task| self.is_to_last(task));
         lasting.all(|task| {
             !self.is_kept_by_step(task, worker.id())
-                && self.place_for(task, now).is_some_and(stays)
+                && self.best_worker_for(task, now).is_some_and(stays)
         })
     }
 }
--- a/crates/dewspar/src/schedule/worker.rs
+++ b/crates/dewspar/src/schedule/worker.rs
@@ -487,8 +487,12 @@
 
     /// Returns whether it is known for sure what it has room for: what it
     /// said of itself is no older than that, and so is all that runs there.
-    pub(crate) fn has_sure_room(&self, now_ms: u64, most_age_ms: u64) -> bool {
-        now_ms <= self.reported_at_ms + most_age_ms
+    pub(crate) fn has_current_room(
+        &self,
+        now_ms: u64,
+        max_age_ms: u64,
+    ) -> bool {
+        now_ms <= self.reported_at_ms + max_age_ms
             && self.unmeasured == 0
             && !self.unread_runs
     }
@@ -570,14 +574,14 @@
     }
 
     /// Returns whether it is known what a former holder started on it.
-    pub(crate) fn is_accounted_for(&self) -> bool {
+    pub(crate) fn runs_are_known(&self) -> bool {
         self.synced && !self.unknown_runs
     }
 
     /// Returns whether its newest answer under this lease named all that runs
     /// there, and all of it could be read.
     pub(crate) fn has_named_all_runs(&self) -> bool {
-        self.is_accounted_for() && !self.unread_runs
+        self.runs_are_known() && !self.unread_runs
     }
 
     pub(crate) fn has_unknown_runs(&self) -> bool {
@@ -603,7 +607,7 @@
 
     /// Returns whether it is there for new tasks, now or in a moment.
     pub(crate) fn is_usable(&self) -> bool {
-        self.is_accounted_for()
+        self.runs_are_known()
             && self.listed
             && !self.listing.draining
             && self.emptying.is_none()
--- a/crates/dewspar/src/schedule/write_ahead.rs
+++ b/crates/dewspar/src/schedule/write_ahead.rs
@@ -235,7 +235,7 @@
             return Next::Withdraw;
         };
         // Its room may have shrunk meanwhile.
-        let roomy = self.is_sure_of_room(worker, &job.terms.pool, now)
+        let roomy = self.has_reliable_room(worker, &job.terms.pool, now)
             && worker.listing.capacity.holds(worker.used());
         if !roomy || !may_be_ordered(worker, task, *run, now) {
             return Next::Withdraw;
