--- a/crates/dewspar/src/schedule/advice.rs
+++ b/crates/dewspar/src/schedule/advice.rs
@@ -22,7 +22,7 @@
 const MAX_QUESTIONS: usize = 4;
 
 /// The most workers that are named in one question.
-const MAX_NAMED: usize = 8;
+const MAX_WORKERS_PER_QUESTION: usize = 8;
 
 /// How long to wait after a question without an answer, in milliseconds.
 const RETRY_MS: u64 = 300;
@@ -77,7 +77,7 @@
     }
 
     /// Asks which of the workers that suit a task may run its step.
-    pub(super) fn ask_adviser(
+    pub(super) fn request_advice(
         &mut self,
         spec: &StepSpec,
         task: &TaskId,
@@ -100,7 +100,7 @@
         });
         let workers: Vec<WorkerId> = suitable
             .into_iter()
-            .take(MAX_NAMED)
+            .take(MAX_WORKERS_PER_QUESTION)
             .map(|worker| worker.id().clone())
             .collect();
         if workers.is_empty() {
--- a/crates/dewspar/src/schedule/answers.rs
+++ b/crates/dewspar/src/schedule/answers.rs
@@ -31,7 +31,7 @@
         let Some(worker) = self.workers.get_mut(worker_id) else { return };
         let known = worker.runs.get_mut(task).filter(|r| r.run == run);
         let Some(known) = known else { return };
-        if known.is_outlived {
+        if known.process_has_ended {
             self.outlived_start_answered(worker_id, task, run, result, now);
             return;
         }
@@ -44,7 +44,7 @@
                 }
                 known.confirm(clock_ms);
                 worker.read_clock(clock_ms, now.steady_ms);
-                worker.start_taken();
+                worker.start_accepted();
                 self.note_begun(task.job, now);
                 return;
             }
@@ -66,14 +66,14 @@
                 self.note_in_doubt(task, worker_id, run, sent_ms);
                 // OK because the worker was found above.
                 let worker = self.workers.get_mut(worker_id).expect("known");
-                worker.note_unanswered(now.steady_ms);
+                worker.record_unanswered(now.steady_ms);
                 if worker.fence() != fence {
                     return;
                 }
                 worker.raise_fence(now.steady_ms);
                 // Each costs a token: without pauses they lasted 52 to 231 s,
                 // and a tenth of such workers cost the lease each time.
-                if worker.leaves_unanswered_again() {
+                if worker.count_unanswered_start() {
                     self.suspend(worker_id, error.name(), now);
                 }
             }
@@ -159,7 +159,7 @@
                 };
                 worker.raise_fence(now.steady_ms);
                 // What it lists didn't explain the refusal before this one.
-                if worker.refuses_again() {
+                if worker.repeats_refusal() {
                     self.suspend(worker_id, refusal.name(), now);
                 }
             }
@@ -215,7 +215,7 @@
     fn is_stopped_there(&self, worker_id: &WorkerId, task: &TaskId) -> bool {
         let worker = self.workers.get(worker_id);
         let run = worker.and_then(|worker| worker.runs.get(task));
-        run.is_some_and(|run| run.is_stopping() && !run.is_outlived)
+        run.is_some_and(|run| run.is_stopping() && !run.process_has_ended)
     }
 
     /// Asks a worker under a new token, which shows who holds the lease.
--- a/crates/dewspar/src/schedule/cancelled.rs
+++ b/crates/dewspar/src/schedule/cancelled.rs
@@ -87,7 +87,7 @@
         let known = !self.is_loading() && self.lives_known;
         known
             && self.workers.values().all(|worker| {
-                worker.has_named_all_runs()
+                worker.has_listed_all_runs()
                     || now.steady_ms > worker.lease_over_ms
             })
     }
--- a/crates/dewspar/src/schedule/directory.rs
+++ b/crates/dewspar/src/schedule/directory.rs
@@ -104,7 +104,7 @@
         if worker.is_some_and(|worker| worker.is_reported_since(asked_ms)) {
             return;
         }
-        if let Some(worker) = self.workers.list(listing) {
+        if let Some(worker) = self.workers.update_listing(listing) {
             worker.listed = true;
             worker.reported_at_ms = asked_ms;
         }
--- a/crates/dewspar/src/schedule/in_doubt.rs
+++ b/crates/dewspar/src/schedule/in_doubt.rs
@@ -142,7 +142,7 @@
         ordered_ms: u64,
     ) {
         let Some(worker) = self.workers.get(worker_id) else { return };
-        if worker.tells_its_process() {
+        if worker.reports_incarnation() {
             let start = in_doubt(worker, run, ordered_ms);
             self.add_in_doubt(task, start);
         }
@@ -154,7 +154,7 @@
         worker: &Worker,
         runs: &BTreeMap<TaskId, Run>,
     ) {
-        if !worker.tells_its_process() {
+        if !worker.reports_incarnation() {
             return;
         }
         for (task, run) in runs.iter().filter(|(_, run)| !run.has_begun()) {
--- a/crates/dewspar/src/schedule/job_state.rs
+++ b/crates/dewspar/src/schedule/job_state.rs
@@ -51,9 +51,9 @@
     /// The highest number of a run that has ended.
     pub(crate) ended_run: u64,
     pub(crate) checkpoint: String,
-    pub(crate) on: Vec<WorkerId>,
+    pub(crate) workers: Vec<WorkerId>,
     /// The process that was last told to start it.
-    pub(crate) told_process: Incarnation,
+    pub(crate) ordered_process: Incarnation,
     /// The workers on which it failed.
     pub(crate) avoid: Vec<WorkerId>,
     /// The workers that were lost under it, in a row.
@@ -107,7 +107,7 @@
     }
 
     /// Notes that a former holder may have started what is ready by now.
-    pub(crate) fn note_may_have_begun(&mut self) {
+    pub(crate) fn mark_may_have_begun(&mut self) {
         for steps in &mut self.rounds {
             let done: Vec<bool> = steps.iter().map(Step::is_done).collect();
             for (step, spec) in steps.iter_mut().zip(&self.spec.steps) {
@@ -209,12 +209,12 @@
     }
 
     /// Returns every task that is on a worker, with where it is.
-    pub(crate) fn placed(
+    pub(crate) fn placements(
         &self,
         id: JobId,
     ) -> impl Iterator<Item = (TaskId, &WorkerId)> {
         self.tasks(id).flat_map(|(id, task)| {
-            task.on.iter().map(move |worker| (id, worker))
+            task.workers.iter().map(move |worker| (id, worker))
         })
     }
 }
@@ -274,8 +274,8 @@
                 } else {
                     task.crashes.unseen_on_record()
                 },
-                told: task.told_on_record(),
-                told_born_unix_ms: task.told_process_on_record(),
+                told: task.recorded_worker(),
+                told_born_unix_ms: task.recorded_process(),
                 checkpoint: if task.done {
                     String::new()
                 } else {
@@ -299,18 +299,18 @@
 impl Task {
     /// Returns the worker that was told to start a run of which a later holder
     /// must know, empty while none was told; `None` if there is no such run.
-    fn told_on_record(&self) -> Option<String> {
+    fn recorded_worker(&self) -> Option<String> {
         let wanted = !self.done && self.crashes.have_a_run_on_record();
-        let told = || self.on.last().map_or("", WorkerId::as_str);
+        let told = || self.workers.last().map_or("", WorkerId::as_str);
         wanted.then(|| told().to_owned())
     }
 
     /// Returns when the process of that worker was started, in milliseconds of
     /// the Unix epoch, if it says so.
-    fn told_process_on_record(&self) -> Option<u64> {
+    fn recorded_process(&self) -> Option<u64> {
         let told = !self.done && self.crashes.have_a_run_on_record();
-        let process = self.told_process.born_unix_ms();
-        process.filter(|_| told && !self.on.is_empty())
+        let process = self.ordered_process.born_unix_ms();
+        process.filter(|_| told && !self.workers.is_empty())
     }
 }
 
--- a/crates/dewspar/src/schedule/jobs.rs
+++ b/crates/dewspar/src/schedule/jobs.rs
@@ -50,13 +50,13 @@
     }
 
     pub(super) fn values_mut(&mut self) -> impl Iterator<Item = &mut Job> {
-        self.note_all_changed();
+        self.mark_all_changed();
         self.jobs.values_mut()
     }
 
     /// Notes that any job may be another, since what it depends on beside
     /// itself has changed.
-    pub(super) fn note_all_changed(&mut self) {
+    pub(super) fn mark_all_changed(&mut self) {
         self.changed.extend(self.jobs.keys());
     }
 
@@ -68,7 +68,7 @@
 
     /// Returns a job to note on it what was worked out from it, which is no
     /// change.
-    pub(super) fn get_to_annotate(&mut self, id: &JobId) -> Option<&mut Job> {
+    pub(super) fn get_mut_unmarked(&mut self, id: &JobId) -> Option<&mut Job> {
         self.jobs.get_mut(id)
     }
 }
--- a/crates/dewspar/src/schedule/loading.rs
+++ b/crates/dewspar/src/schedule/loading.rs
@@ -76,7 +76,7 @@
         self.loading = Loading::Done;
         for worker in self.workers.values_mut() {
             if worker.has_unknown_runs() {
-                worker.ask_from(now.steady_ms);
+                worker.set_next_hold_ms(now.steady_ms);
             }
         }
     }
@@ -138,10 +138,10 @@
         let unknown = active.chain(ended).any(|job| self.is_unknown(job));
         let Some(worker) = self.workers.get_mut(worker_id) else { return };
         if unknown {
-            worker.note_unknown_runs(true);
-            worker.ask_from(now.steady_ms + ASK_AGAIN_MS);
+            worker.set_unknown_runs(true);
+            worker.set_next_hold_ms(now.steady_ms + ASK_AGAIN_MS);
         } else if newest {
-            worker.note_unknown_runs(false);
+            worker.set_unknown_runs(false);
         }
     }
 }
--- a/crates/dewspar/src/schedule/long_running.rs
+++ b/crates/dewspar/src/schedule/long_running.rs
@@ -21,7 +21,7 @@
             Now, Room, Scheduler, WorkerId,
             job_state::{Job, demand},
             placement::has_label,
-            worker::{Purpose, Worker},
+            worker::{DrainReason, Worker},
         },
     },
     std::{
@@ -175,7 +175,7 @@
         let demand = demand(spec);
         let mut unplaced = 0;
         for task in step.tasks.iter().filter(|task| !task.done) {
-            let staying = task.on.iter().filter_map(|id| {
+            let staying = task.workers.iter().filter_map(|id| {
                 let worker = self.workers.get(id)?;
                 let stays = worker.is_usable()
                     && worker.listing.pool == job.terms.pool;
@@ -249,7 +249,7 @@
         let ordered =
             ordered.filter_map(|(vm, _)| Some(self.vms.get(vm)?.capacity));
         let leaving = self.workers.values().filter(move |worker| {
-            matches!(&worker.emptying, Some(Purpose::Move(to)) if to == pool)
+            matches!(&worker.drain_reason, Some(DrainReason::Move(to)) if to == pool)
                 && !self.moving.contains_key(&worker.listing.vm)
         });
         ordered.chain(leaving.map(|worker| worker.listing.capacity))
@@ -259,8 +259,8 @@
 /// Returns whether a worker takes orders, or will once it has answered.
 fn is_available_soon(worker: &Worker, now: Now) -> bool {
     let asked = !worker.runs_are_known() || worker.is_fencing();
-    let stays = worker.emptying.is_none()
+    let stays = worker.drain_reason.is_none()
         && !worker.listing.draining
         && worker.silent_since_ms.is_none();
-    stays && (asked || worker.takes_orders(now.steady_ms))
+    stays && (asked || worker.accepts_starts(now.steady_ms))
 }
--- a/crates/dewspar/src/schedule/long_waits.rs
+++ b/crates/dewspar/src/schedule/long_waits.rs
@@ -122,7 +122,7 @@
         for (_, worker) in self.workers.in_pool(&job.terms.pool) {
             let free = worker.free();
             lack.workers += 1;
-            let count = if !worker.takes_orders(now.steady_ms) {
+            let count = if !worker.accepts_starts(now.steady_ms) {
                 &mut lack.closed
             } else if free.cpu_millis < demand.cpu_millis {
                 &mut lack.cpu
--- a/crates/dewspar/src/schedule/maintenance.rs
+++ b/crates/dewspar/src/schedule/maintenance.rs
@@ -17,7 +17,7 @@
             VmOrderError, WaveRecord, WaveRequest, WorkerId,
             wave_account::WaveTold,
             wave_state::WaveState,
-            worker::{Purpose, RunState, Worker},
+            worker::{DrainReason, RunState, Worker},
         },
     },
     std::collections::{BTreeMap, BTreeSet, HashMap},
@@ -129,7 +129,8 @@
     /// Uses workers again whose VMs were maintained before their turn came.
     fn use_again(&mut self) {
         for worker in self.workers.values_mut() {
-            let Some(Purpose::Maintenance(wave)) = &worker.emptying else {
+            let Some(DrainReason::Maintenance(wave)) = &worker.drain_reason
+            else {
                 continue;
             };
             let state = self.waves.get(wave);
@@ -139,7 +140,7 @@
                 state.record.done.contains(vm) && !state.down.contains_key(vm)
             });
             if back {
-                worker.emptying = None;
+                worker.drain_reason = None;
             }
         }
     }
@@ -215,7 +216,7 @@
         }
         match worker {
             Some(worker) => {
-                worker.emptying == Some(Purpose::Maintenance(wave))
+                worker.drain_reason == Some(DrainReason::Maintenance(wave))
                     && worker.is_settled()
             }
             // A VM that is switched off has no worker.
@@ -244,14 +245,19 @@
     }
 
     /// Lets a worker run dry.
-    pub(super) fn empty(&mut self, id: &WorkerId, purpose: Purpose, now: Now) {
+    pub(super) fn empty(
+        &mut self,
+        id: &WorkerId,
+        purpose: DrainReason,
+        now: Now,
+    ) {
         let Some(worker) = self.workers.get_mut(id) else { return };
         let reason = match &purpose {
-            Purpose::Maintenance(_) => "maintenance",
-            Purpose::Move(_) => "move",
+            DrainReason::Maintenance(_) => "maintenance",
+            DrainReason::Move(_) => "move",
         };
-        worker.emptying = Some(purpose);
-        worker.emptying_since_ms = now.steady_ms;
+        worker.drain_reason = Some(purpose);
+        worker.drain_since_ms = now.steady_ms;
         let vm = worker.listing.vm.clone();
         self.note(Decision::Emptying { worker: id.clone(), vm, reason });
     }
@@ -263,7 +269,7 @@
             .workers
             .values()
             .filter(|worker| {
-                worker.emptying.is_some() || worker.is_about_to_end()
+                worker.drain_reason.is_some() || worker.is_terminating()
             })
             .map(|worker| worker.id().clone())
             .collect();
@@ -275,11 +281,11 @@
     /// Stops what has to leave one worker.
     pub(super) fn empty_worker(&mut self, id: &WorkerId, now: Now) {
         let Some(worker) = self.workers.get(id) else { return };
-        let emptied = worker.emptying.is_some();
+        let emptied = worker.drain_reason.is_some();
         // Short tasks end by themselves before a worker that drains does, or
         // go down with it.
         let waited_ms = match emptied {
-            true => now.steady_ms.saturating_sub(worker.emptying_since_ms),
+            true => now.steady_ms.saturating_sub(worker.drain_since_ms),
             false => 0,
         };
         let reason =
@@ -358,7 +364,7 @@
         let Some(step) = job.step(task) else { return 0 };
         let at_work = |index: u32| {
             let other = TaskId { index, ..*task };
-            step.tasks[index as usize].on.iter().any(|on| {
+            step.tasks[index as usize].workers.iter().any(|on| {
                 self.workers.get(on).is_some_and(|worker| {
                     worker.silent_since_ms.is_none()
                         && worker.runs.get(&other).is_some_and(|run| {
@@ -370,7 +376,7 @@
         };
         let others = (0..step.tasks.len() as u32).filter(|index| {
             *index != task.index
-                || !step.tasks[*index as usize].on.contains(id)
+                || !step.tasks[*index as usize].workers.contains(id)
         });
         others.filter(|index| !at_work(*index)).count()
     }
--- a/crates/dewspar/src/schedule/placement.rs
+++ b/crates/dewspar/src/schedule/placement.rs
@@ -218,7 +218,7 @@
                     actions.extend(self.start(spec, &task, run, worker, now));
                 }
                 Err(PlacementError::NoTicket) => {
-                    actions.extend(self.ask_adviser(spec, &task, now));
+                    actions.extend(self.request_advice(spec, &task, now));
                     break;
                 }
                 Err(PlacementError::NoRoom) if self.is_in_doubt(&task) => {}
@@ -387,7 +387,7 @@
                 RoomHorizon::AfterShortTasks => worker.free_soon_for(task),
             };
             free.holds(&demand)
-                && worker.takes_orders(now.steady_ms)
+                && worker.accepts_starts(now.steady_ms)
                 && (guarded
                     || worker
                         .has_current_room(now.steady_ms, MAX_REPORT_AGE_MS))
@@ -592,16 +592,16 @@
         let fence = worker.fence();
         let process = worker.listing.incarnation;
         let ordered = Run::ordered(run, fence, demand(spec), now.steady_ms)
-            .lasting(spec.long_running);
+            .with_long_running(spec.long_running);
         let suspicion = self.note_suspect_started(task, now);
         let worker = self.workers.get_mut(&worker_id)?;
-        worker.insert(*task, ordered.suspected(suspicion));
+        worker.insert(*task, ordered.with_suspicion(suspicion));
         let step = self.jobs.get_mut(&task.job)?.step_mut(task)?;
         step.waiting.remove(&task.index);
         let state = step.tasks.get_mut(task.index as usize)?;
         state.run = run;
-        state.on.push(worker_id.clone());
-        state.told_process = process;
+        state.workers.push(worker_id.clone());
+        state.ordered_process = process;
         let recorded_first = state.crashes.is_start_recorded_first();
         let start = PlacedStart { worker: worker_id, run, ticket };
         if recorded_first {
--- a/crates/dewspar/src/schedule/placement/candidates.rs
+++ b/crates/dewspar/src/schedule/placement/candidates.rs
@@ -94,7 +94,7 @@
     ) {
         // A clock that was set back undoes what time had changed.
         if now.unix_ms < self.unix_ms {
-            jobs.note_all_changed();
+            jobs.mark_all_changed();
         }
         self.unix_ms = now.unix_ms;
         let mut stale = jobs.take_changed();
@@ -107,7 +107,7 @@
         }
         for id in stale {
             self.remove_job(&id);
-            if let Some(job) = jobs.get_to_annotate(&id) {
+            if let Some(job) = jobs.get_mut_unmarked(&id) {
                 self.add_job(id, job, late_last, now);
             }
         }
@@ -124,7 +124,7 @@
         let ids: Vec<JobId> = jobs.keys().copied().collect();
         let mut rebuilt = BTreeMap::new();
         for id in ids {
-            let Some(job) = jobs.get_to_annotate(&id) else { continue };
+            let Some(job) = jobs.get_mut_unmarked(&id) else { continue };
             let pool = self.pools.get(&job.terms.pool).copied();
             let pool = pool.unwrap_or(PoolNumber::MAX);
             rebuilt.extend(
--- a/crates/dewspar/src/schedule/placement/gang.rs
+++ b/crates/dewspar/src/schedule/placement/gang.rs
@@ -71,7 +71,7 @@
                     places.push(worker);
                 }
                 Err(PlacementError::NoTicket) => {
-                    actions.extend(self.ask_adviser(spec, task, now));
+                    actions.extend(self.request_advice(spec, task, now));
                     break;
                 }
                 Err(PlacementError::NoRoom) => break,
@@ -107,7 +107,7 @@
         let Some(worker) = self.workers.get_mut(worker_id) else { return };
         let fence = worker.fence();
         let reserved = Run::ordered(run, fence, demand(spec), now.steady_ms);
-        worker.insert(*task, reserved.suspected(suspicion));
+        worker.insert(*task, reserved.with_suspicion(suspicion));
     }
 
     /// Gives every member the same checkpoint, since any one's serves for
--- a/crates/dewspar/src/schedule/processes.rs
+++ b/crates/dewspar/src/schedule/processes.rs
@@ -207,7 +207,7 @@
         let process = worker.listing.incarnation;
         let job = self.jobs.get_mut(&task.job);
         if let Some(state) = job.and_then(|job| job.task_mut(task)) {
-            state.told_process = process;
+            state.ordered_process = process;
         }
     }
 }
--- a/crates/dewspar/src/schedule/questions.rs
+++ b/crates/dewspar/src/schedule/questions.rs
@@ -104,7 +104,7 @@
         let workers = &self.workers;
         let is_open = |question: &Question| {
             let worker = workers.at(question.worker);
-            worker.is_some_and(|w| w.is_asked_since(question.sent_ms))
+            worker.is_some_and(|w| w.awaits_answer_since(question.sent_ms))
         };
         while let Some(question) = sent.front() {
             let open = is_open(question);
--- a/crates/dewspar/src/schedule/records.rs
+++ b/crates/dewspar/src/schedule/records.rs
@@ -110,7 +110,8 @@
         return Vec::new();
     }
     task.done = true;
-    let useless = task.on.iter().map(|on| (task_id, on.clone())).collect();
+    let useless =
+        task.workers.iter().map(|on| (task_id, on.clone())).collect();
     step.done += 1;
     step.waiting.remove(&record.index);
     useless
--- a/crates/dewspar/src/schedule/report.rs
+++ b/crates/dewspar/src/schedule/report.rs
@@ -12,7 +12,7 @@
             answers::call_end,
             job_state::{Job, demand},
             processes::Succession,
-            worker::{OwedHold, Run, RunState},
+            worker::{DueHold, Run, RunState},
         },
     },
     std::collections::BTreeMap,
@@ -40,7 +40,7 @@
     ordered_ms: u64,
     begun: bool,
     /// Whether the process that was to start it has ended.
-    is_outlived: bool,
+    process_has_ended: bool,
 }
 
 impl Scheduler {
@@ -75,10 +75,10 @@
         worker.back_off(now.steady_ms + pause_ms);
         let first = !worker.synced;
         let latest_ms = worker.latest_report_ms();
-        let owed = OwedHold { order: held.order, fencing: held.fencing };
+        let owed = DueHold { order: held.order, fencing: held.fencing };
         let newest =
             worker.hold_answered(&owed, report, now.steady_ms, &self.options);
-        let passed_over = worker.passes_lists_over(newest);
+        let passed_over = worker.record_lists_passed_over(newest);
         if passed_over {
             self.note(Decision::ListsPassedOver {
                 worker: worker_id.clone(),
@@ -146,7 +146,7 @@
         let Some(worker) = self.workers.get_mut(worker_id) else { return };
         // Asked of the known one, it is as good as none.
         if held.session == worker.session {
-            let owed = OwedHold { order: held.order, fencing: held.fencing };
+            let owed = DueHold { order: held.order, fencing: held.fencing };
             worker.hold_failed(&owed, now.steady_ms, &self.options);
         }
     }
@@ -164,7 +164,7 @@
         if held.session != worker.session {
             return;
         }
-        let owed = OwedHold { order: held.order, fencing: held.fencing };
+        let owed = DueHold { order: held.order, fencing: held.fencing };
         let was_silent = worker.silent_since_ms.is_some();
         worker.hold_failed(&owed, now.steady_ms, &self.options);
         let current = held.order.fence == worker.fence();
@@ -261,8 +261,8 @@
     ) {
         let (jobs, set_aside) = (&self.jobs, &self.set_aside);
         if let Some(worker) = self.workers.get_mut(worker_id) {
-            worker.end_changes(end.number, end.task.job, sequence);
-            worker.store_ends(now.steady_ms, |job, sequence| {
+            worker.end_pending_store(end.number, end.task.job, sequence);
+            worker.advance_stored_ends(now.steady_ms, |job, sequence| {
                 set_aside.is_stored(jobs, job, sequence)
             });
         }
@@ -296,7 +296,7 @@
                 step.waiting.remove(&index);
             }
             let id = TaskId { index, ..*task };
-            others.extend(member.on.iter().map(|on| (id, on.clone())));
+            others.extend(member.workers.iter().map(|on| (id, on.clone())));
         }
         // Copies of a task that is done are of no use.
         if !gang {
@@ -329,7 +329,7 @@
         if failed_on.len() > 1 {
             for id in failed_on {
                 if let Some(worker) = self.workers.get_mut(&id) {
-                    worker.forgive(task.job);
+                    worker.clear_failure(task.job);
                 }
             }
             return;
@@ -375,7 +375,7 @@
         // A former holder may have slowed it down: it is let go step by step.
         let spec = self.step_spec(&active.task);
         let best_effort = spec.is_some_and(|spec| spec.best_effort);
-        let lasts = spec.is_some_and(|spec| spec.long_running);
+        let long_running = spec.is_some_and(|spec| spec.long_running);
         let pace = if best_effort { ADOPTED_PACE } else { 100 };
         let job = self.jobs.get(&active.task.job);
         let state = job.and_then(|job| job.task(&active.task));
@@ -396,9 +396,9 @@
             pace,
             suspicion,
             measured: true,
-            lasts,
+            long_running,
             is_listed: true,
-            is_outlived: false,
+            process_has_ended: false,
         };
         match found {
             Found::Expected => {
@@ -408,7 +408,7 @@
                 run.update(active, now.steady_ms);
                 run.confirm(reported_ms);
                 if was_starting {
-                    worker.start_shown();
+                    worker.start_confirmed();
                 }
                 self.settle_in_doubt(&active.task, worker_id, active.run);
                 self.clear_if_sound(worker_id, &active.task);
@@ -469,7 +469,7 @@
         let needed = job.task(&active.task).is_some_and(|task| {
             !job.phase.is_final()
                 && !task.done
-                && task.on.is_empty()
+                && task.workers.is_empty()
                 && active.run > task.ended_run
         });
         match demand {
@@ -484,7 +484,7 @@
         if let Some(step) = job.step_mut(&id) {
             step.waiting.remove(&id.index);
             if let Some(task) = step.tasks.get_mut(id.index as usize) {
-                task.on.push(worker_id.clone());
+                task.workers.push(worker_id.clone());
             }
         }
         self.note(Decision::Adopted {
@@ -528,14 +528,15 @@
                 age_ms: run.confirmed_ms(answered_ms),
                 ordered_ms: run.since_ms,
                 begun: run.has_begun(),
-                is_outlived: run.is_outlived,
+                process_has_ended: run.process_has_ended,
             })
             .collect();
         for missing in missing {
-            let MissingRun { task, run, age_ms, begun, is_outlived, .. } =
-                missing;
+            let MissingRun {
+                task, run, age_ms, begun, process_has_ended, ..
+            } = missing;
             // It may have ended the process that it was ordered of.
-            if !begun && !is_outlived {
+            if !begun && !process_has_ended {
                 self.note_suspect_over(&task);
             }
             if !begun {
@@ -557,7 +558,7 @@
 impl Run {
     fn update(&mut self, active: &ActiveRun, now_ms: u64) {
         self.is_listed = true;
-        self.is_outlived = false;
+        self.process_has_ended = false;
         match &mut self.state {
             RunState::Starting => {
                 self.state = RunState::Running;
--- a/crates/dewspar/src/schedule/reservations.rs
+++ b/crates/dewspar/src/schedule/reservations.rs
@@ -25,7 +25,7 @@
             Decision, Now, Room, Scheduler, WorkerId,
             job_state::demand,
             placement::{Candidate, RoomHorizon},
-            worker::{Kept, Worker},
+            worker::{ReservedRoom, Worker},
         },
     },
     std::collections::BTreeMap,
@@ -151,7 +151,7 @@
         let Some(worker) = self.workers.get_mut(to) else { return false };
         let is_free = worker.free_for(task).holds(&room);
         if is_free {
-            worker.keep_for(*task, Kept { room, was_free: true });
+            worker.reserve_for(*task, ReservedRoom { room, was_free: true });
         }
         is_free
     }
@@ -165,7 +165,7 @@
         let Some(room) = self.step_spec(task).map(demand) else { return };
         let Some(worker) = self.workers.get_mut(to) else { return };
         let was_free = worker.free().holds(&room);
-        worker.keep_for(*task, Kept { room, was_free });
+        worker.reserve_for(*task, ReservedRoom { room, was_free });
         let planned =
             Reservation { from, to: to.clone(), unfit_since_ms: None };
         self.places.planned.insert(*task, planned);
@@ -483,6 +483,6 @@
 
 /// Returns whether a task still runs on a worker that it is to leave.
 fn must_leave(task: &TaskId, worker: &Worker) -> bool {
-    let leaves = worker.emptying.is_some() || worker.is_about_to_end();
+    let leaves = worker.drain_reason.is_some() || worker.is_terminating();
     worker.runs.get(task).is_some_and(|run| run.is_stopping() || leaves)
 }
--- a/crates/dewspar/src/schedule/reservations/gang.rs
+++ b/crates/dewspar/src/schedule/reservations/gang.rs
@@ -26,7 +26,7 @@
         job::TaskId,
         schedule::{
             Now, Room, Scheduler, WorkerId, job_state::demand,
-            placement::RoomHorizon, worker::Kept,
+            placement::RoomHorizon, worker::ReservedRoom,
         },
     },
     std::collections::BTreeMap,
@@ -171,7 +171,7 @@
     /// Returns the worker that a task runs on and is to leave, if there is one.
     fn worker_to_leave(&self, task: &TaskId) -> Option<WorkerId> {
         let state = self.jobs.get(&task.job)?.task(task)?;
-        let mut on = state.on.iter();
+        let mut on = state.workers.iter();
         let from = on.find(|id| {
             let worker = self.workers.get(id);
             worker.is_some_and(|worker| super::must_leave(task, worker))
@@ -306,7 +306,7 @@
         let SuspendedReservation { task, planned, room } = taken;
         if let Some(worker) = self.workers.get_mut(&planned.to) {
             let was_free = worker.free().holds(&room);
-            worker.keep_for(task, Kept { room, was_free });
+            worker.reserve_for(task, ReservedRoom { room, was_free });
         }
         self.places.planned.insert(task, planned);
     }
--- a/crates/dewspar/src/schedule/scheduler.rs
+++ b/crates/dewspar/src/schedule/scheduler.rs
@@ -24,10 +24,10 @@
             sizing::{Moving, PoolLoad},
             start_log::StartLogs,
             steadiness::VmCrashes,
-            token_claims::Claims,
+            token_claims::TokenClaims,
             unseen_starts::ToldStart,
             wave_state::WaveState,
-            worker::{OwedHold, Worker},
+            worker::{DueHold, Worker},
             workers::{WorkerNumber, Workers},
             write_ahead::WriteAhead,
         },
@@ -69,7 +69,7 @@
     pub(super) finished: BTreeMap<JobId, u64>,
     pub(super) decisions: Vec<Decision>,
     /// What workers have said of later tokens.
-    pub(super) claims: Claims,
+    pub(super) claims: TokenClaims,
     /// The workers that aren't used any more.
     pub(super) former: FormerProcesses,
     /// Whether any task was suspected so far: looking for them costs time.
@@ -195,7 +195,7 @@
             sequence: 0,
             finished: BTreeMap::new(),
             decisions: Vec::new(),
-            claims: Claims::default(),
+            claims: TokenClaims::default(),
             former: FormerProcesses::default(),
             knows_suspects: false,
             unheard_losses: BTreeMap::new(),
@@ -292,7 +292,7 @@
         if revision > self.lease_revision {
             self.new_jobs.push(id);
         } else {
-            job.note_may_have_begun();
+            job.mark_may_have_begun();
         }
         self.jobs.insert(id, job);
         if let Some(progress) = progress {
@@ -333,7 +333,7 @@
     pub fn unconfirmed(&self) -> BTreeMap<String, u64> {
         let mut unconfirmed = BTreeMap::new();
         for (id, job) in self.jobs.iter() {
-            let ordered = job.placed(*id).next().is_some();
+            let ordered = job.placements(*id).next().is_some();
             if job.phase == Phase::Queued && ordered {
                 *unconfirmed.entry(job.spec.queue.clone()).or_insert(0) += 1;
             }
@@ -445,7 +445,7 @@
         }
         let after_ms = now.unix_ms.saturating_sub(job.accepted_at_ms);
         let placed: Vec<(TaskId, WorkerId)> = job
-            .placed(id)
+            .placements(id)
             .map(|(task, worker)| (task, worker.clone()))
             .collect();
         for (task, worker) in placed {
@@ -512,8 +512,8 @@
         let Some(state) = step.tasks.get_mut(task.index as usize) else {
             return;
         };
-        state.on.retain(|on| on != worker_id);
-        if state.on.is_empty() && !state.done && !over {
+        state.workers.retain(|on| on != worker_id);
+        if state.workers.is_empty() && !state.done && !over {
             step.waiting.insert(task.index);
             // Else it has waited all the while.
             if begun {
@@ -656,7 +656,7 @@
     pub(super) fn due_workers(&mut self, now: Now) -> Vec<WorkerNumber> {
         let due = self.workers.due(now.steady_ms, &self.options);
         debug_assert!(
-            self.workers.are_due(&due, now.steady_ms, &self.options),
+            self.workers.match_full_scan(&due, now.steady_ms, &self.options),
             "other workers want something than are due"
         );
         due
@@ -688,8 +688,8 @@
     now: Now,
     options: &Options,
 ) -> Option<Action> {
-    let OwedHold { order, fencing } =
-        worker.owed_hold(now.steady_ms, options)?;
+    let DueHold { order, fencing } =
+        worker.take_due_hold(now.steady_ms, options)?;
     let sent_ms = now.steady_ms;
     let silent = worker.silent_since_ms.is_some();
     let session = worker.session;
--- a/crates/dewspar/src/schedule/set_aside.rs
+++ b/crates/dewspar/src/schedule/set_aside.rs
@@ -101,7 +101,7 @@
         self.set_aside.jobs.insert(id);
         let Some(job) = self.jobs.get(&id) else { return };
         let placed: Vec<(TaskId, WorkerId)> = job
-            .placed(id)
+            .placements(id)
             .map(|(task, worker)| (task, worker.clone()))
             .collect();
         for (task, worker) in placed {
--- a/crates/dewspar/src/schedule/sizing.rs
+++ b/crates/dewspar/src/schedule/sizing.rs
@@ -18,7 +18,7 @@
             Decision, Forecast, Now, Room, Scheduler, Sizing, VmLife, VmOrder,
             VmOrderError, WorkerId,
             job_state::demand,
-            worker::{Purpose, Worker},
+            worker::{DrainReason, Worker},
         },
     },
     std::collections::{BTreeMap, BTreeSet, HashMap},
@@ -158,7 +158,7 @@
         for worker in self.workers.values() {
             let load = loads.entry(&worker.listing.pool).or_default();
             load.used.add(worker.used());
-            if worker.emptying.is_none()
+            if worker.drain_reason.is_none()
                 && !worker.listing.draining
                 && worker.silent_since_ms.is_none()
             {
@@ -381,7 +381,7 @@
         let load = self.pool_load(pool);
         let coming = self.moving.values().filter(|m| m.to == pool).count();
         let leaving = self.workers.values().filter(|worker| {
-            worker.emptying == Some(Purpose::Move(pool.to_owned()))
+            worker.drain_reason == Some(DrainReason::Move(pool.to_owned()))
                 && !self.moving.contains_key(&worker.listing.vm)
         });
         load.workers + (coming + leaving.count()) as u64
@@ -510,7 +510,7 @@
 
     /// Lets a worker run dry whose VM is to move.
     fn empty_to_move(&mut self, id: &WorkerId, to: &str, now: Now) {
-        self.empty(id, Purpose::Move(to.to_owned()), now);
+        self.empty(id, DrainReason::Move(to.to_owned()), now);
         let Some(worker) = self.workers.get(id) else { return };
         let load = self.pool_loads.get_mut(&worker.listing.pool);
         if let Some(load) = load {
@@ -580,7 +580,7 @@
         self.workers
             .values()
             .filter(|worker| giving.contains(worker.listing.pool.as_str()))
-            .filter(|worker| worker.is_usable() && !worker.keeps_room())
+            .filter(|worker| worker.is_usable() && !worker.has_reservations())
             .filter(|worker| self.may_order(&worker.listing.vm, now))
             .filter(|worker| !self.is_refused(&worker.listing.vm, pool))
             .filter(|worker| !self.serves_for_long(worker))
@@ -648,8 +648,8 @@
             .workers
             .values()
             .filter(|worker| worker.is_settled())
-            .filter_map(|worker| match &worker.emptying {
-                Some(Purpose::Move(pool)) => {
+            .filter_map(|worker| match &worker.drain_reason {
+                Some(DrainReason::Move(pool)) => {
                     Some((worker.listing.vm.clone(), pool.clone()))
                 }
                 _ => None,
@@ -714,7 +714,7 @@
     fn keep(&mut self, life: Option<WorkerId>) {
         let worker = life.and_then(|life| self.workers.get_mut(&life));
         if let Some(worker) = worker {
-            worker.emptying = None;
+            worker.drain_reason = None;
         }
     }
 }
--- a/crates/dewspar/src/schedule/start_log.rs
+++ b/crates/dewspar/src/schedule/start_log.rs
@@ -178,14 +178,14 @@
 
     fn logged_start(&self, task: &TaskId) -> Option<LoggedStart> {
         let state = self.jobs.get(&task.job)?.task(task)?;
-        let worker = state.on.last()?;
+        let worker = state.workers.last()?;
         let vm = self.workers.get(worker).map(|w| w.listing.vm.clone());
         Some(LoggedStart {
             task: *task,
             run: state.run,
             worker: worker.to_string(),
             vm: vm.unwrap_or_default(),
-            born_unix_ms: state.told_process.born_unix_ms(),
+            born_unix_ms: state.ordered_process.born_unix_ms(),
             crashes: state.crashes.count,
             unseen: state.crashes.unseen_on_record(),
         })
--- a/crates/dewspar/src/schedule/stopping.rs
+++ b/crates/dewspar/src/schedule/stopping.rs
@@ -85,7 +85,7 @@
         let mut overdue = Vec::new();
         for number in self.due_workers(now) {
             let stops = self.workers.at(number).is_some_and(|worker| {
-                worker.wants_stops(now_ms, &self.options)
+                worker.has_stops_due(now_ms, &self.options)
             });
             if !stops {
                 continue;
--- a/crates/dewspar/src/schedule/storing.rs
+++ b/crates/dewspar/src/schedule/storing.rs
@@ -82,7 +82,7 @@
             self.changed.remove(&id);
             self.storing.insert(id, since);
             progress.push((id, job.progress()));
-            if job.phase.is_final() && job.placed(id).next().is_some() {
+            if job.phase.is_final() && job.placements(id).next().is_some() {
                 unstopped.insert(id);
             }
         }
@@ -133,7 +133,7 @@
         let (jobs, set_aside) = (&self.jobs, &self.set_aside);
         for number in self.workers.with_unstored_ends(&self.options) {
             let Some(worker) = self.workers.at_mut(number) else { continue };
-            worker.store_ends(now.steady_ms, |job, sequence| {
+            worker.advance_stored_ends(now.steady_ms, |job, sequence| {
                 set_aside.is_stored(jobs, job, sequence)
             });
         }
--- a/crates/dewspar/src/schedule/suspects.rs
+++ b/crates/dewspar/src/schedule/suspects.rs
@@ -391,8 +391,8 @@
     /// before it is empty: whatever it still had was lost in a crash.
     pub(super) fn of(worker: &Worker, now: Now) -> LostRuns {
         let draining = worker.listing.draining;
-        let planned =
-            draining || (worker.emptying.is_some() && worker.runs.is_empty());
+        let planned = draining
+            || (worker.drain_reason.is_some() && worker.runs.is_empty());
         let answered_ms = worker.answered_worker_ms();
         let over_ms = worker.unanswered_since_ms().unwrap_or(now.steady_ms);
         let lost = |(task, run): (&TaskId, &Run)| LostRun {
@@ -402,7 +402,7 @@
             suspicion: run.suspicion,
         };
         // The others went down with the process before.
-        let counts = |(_, run): &(&TaskId, &Run)| !run.is_outlived;
+        let counts = |(_, run): &(&TaskId, &Run)| !run.process_has_ended;
         let vm = &worker.listing.vm;
         let unheard = !worker.synced && !draining;
         LostRuns {
@@ -759,7 +759,7 @@
         // One with a kept place would be closed to the task that was stopped for
         // it: that was without work for 1.65 s in a random run.
         worker.is_usable()
-            && !worker.keeps_room()
+            && !worker.has_reservations()
             && worker.listing.capacity.holds(&demand(spec))
             && !worker.has_suspects()
             && self.is_as_steady(worker, wanted, now)
--- a/crates/dewspar/src/schedule/token_claims.rs
+++ b/crates/dewspar/src/schedule/token_claims.rs
@@ -35,20 +35,20 @@
 /// Of how many workers one may have no token left before the holder gives the
 /// lease up: at a tenth the others are in want of it, and loading all jobs
 /// anew costs about a second.
-const WORKERS_A_TOKENLESS: usize = 10;
+const WORKERS_PER_EXHAUSTED: usize = 10;
 
 /// What workers have said of later tokens.
 #[derive(Debug, Default)]
-pub(super) struct Claims {
+pub(super) struct TokenClaims {
     /// When one last did, unless the lease was renewed since.
-    heard_ms: Option<u64>,
+    claimed_ms: Option<u64>,
     /// Those that did since the lease was renewed.
     open: BTreeSet<WorkerId>,
     /// Those that did before it was.
     disproved: BTreeSet<WorkerId>,
 }
 
-impl Claims {
+impl TokenClaims {
     /// Notes that a worker has answered under this holder's token.
     pub(super) fn answered(&mut self, worker: &WorkerId) {
         if !self.disproved.is_empty() {
@@ -67,17 +67,17 @@
     /// Returns whether a worker has shown that another node holds the lease,
     /// and the store hasn't said since that it doesn't.
     pub fn may_be_superseded(&self) -> bool {
-        self.claims.heard_ms.is_some()
+        self.claims.claimed_ms.is_some()
     }
 
     /// Notes that the store has renewed the lease in answer to a call that was
     /// sent at this time of the steady clock, in milliseconds.
     pub fn lease_renewed(&mut self, sent_ms: u64) {
-        let heard_ms = self.claims.heard_ms;
-        if heard_ms.is_none_or(|heard_ms| sent_ms <= heard_ms) {
+        let claimed_ms = self.claims.claimed_ms;
+        if claimed_ms.is_none_or(|claimed_ms| sent_ms <= claimed_ms) {
             return;
         }
-        self.claims.heard_ms = None;
+        self.claims.claimed_ms = None;
         for worker in std::mem::take(&mut self.claims.open) {
             self.claims.disproved.insert(worker.clone());
             self.note(Decision::ClaimDisproved { worker });
@@ -89,7 +89,7 @@
         if self.claims.disproved.contains(worker_id) {
             return;
         }
-        self.claims.heard_ms = Some(now.steady_ms);
+        self.claims.claimed_ms = Some(now.steady_ms);
         if self.claims.open.insert(worker_id.clone()) {
             let worker = worker_id.clone();
             self.note(Decision::Superseded { worker });
@@ -102,6 +102,6 @@
     pub fn is_out_of_tokens(&self) -> bool {
         let out = self.workers.values().filter(|w| w.is_out_of_tokens());
         let out = out.count();
-        out > 0 && out * WORKERS_A_TOKENLESS >= self.workers.len()
+        out > 0 && out * WORKERS_PER_EXHAUSTED >= self.workers.len()
     }
 }
--- a/crates/dewspar/src/schedule/wave_account.rs
+++ b/crates/dewspar/src/schedule/wave_account.rs
@@ -13,7 +13,7 @@
         Decision, ManagedVm, Now, Scheduler, VmLife,
         wave_choice::{CALM_PERCENT, WavePace},
         wave_state::WaveState,
-        worker::{Purpose, RunState, Worker},
+        worker::{DrainReason, RunState, Worker},
     },
 };
 
@@ -271,9 +271,9 @@
         if worker.silent_since_ms.is_some() || !worker.synced {
             return &mut left.silent;
         }
-        match &worker.emptying {
+        match &worker.drain_reason {
             None => self.count_of_unchosen(look, worker, left),
-            Some(Purpose::Maintenance(wave)) if *wave == look.wave => {
+            Some(DrainReason::Maintenance(wave)) if *wave == look.wave => {
                 self.count_of_emptied(look, worker, left)
             }
             Some(_) => &mut left.moving,
--- a/crates/dewspar/src/schedule/wave_choice.rs
+++ b/crates/dewspar/src/schedule/wave_choice.rs
@@ -23,7 +23,7 @@
         schedule::{
             Now, Scheduler, WorkerId,
             wave_state::WaveState,
-            worker::{Purpose, Worker},
+            worker::{DrainReason, Worker},
         },
     },
     std::collections::BTreeMap,
@@ -89,7 +89,7 @@
         let Some(state) = self.waves.get(&wave) else { return };
         let chosen = self.chosen_for(wave, state, now);
         for id in &chosen {
-            self.empty(id, Purpose::Maintenance(wave), now);
+            self.empty(id, DrainReason::Maintenance(wave), now);
         }
         // Once all are chosen, so that no place is kept on one of them, and before
         // the pools are sized: the place for which a VM was chosen went to another
@@ -132,9 +132,9 @@
 
     /// Counts the workers that are being emptied and aren't down yet.
     fn emptying_for(&self, wave: u64, state: &WaveState) -> usize {
-        let purpose = Some(Purpose::Maintenance(wave));
+        let purpose = Some(DrainReason::Maintenance(wave));
         let emptying = self.workers.values().filter(|worker| {
-            worker.emptying == purpose
+            worker.drain_reason == purpose
                 && !state.down.contains_key(&worker.listing.vm)
         });
         emptying.count()
@@ -152,13 +152,13 @@
         let mut pools: BTreeMap<&str, PoolChoice> = BTreeMap::new();
         for worker in self.workers.values() {
             let vm = &worker.listing.vm;
-            if worker.emptying == Some(Purpose::Maintenance(wave)) {
+            if worker.drain_reason == Some(DrainReason::Maintenance(wave)) {
                 let pool = pools.entry(&worker.listing.pool).or_default();
                 pool.lasting_under_way +=
                     u64::from(self.holds_lasting(worker));
             }
-            let eligible = worker.emptying.is_none()
-                && !worker.keeps_room()
+            let eligible = worker.drain_reason.is_none()
+                && !worker.has_reservations()
                 && worker.synced
                 && worker.silent_since_ms.is_none()
                 && state.awaits(vm);
--- a/crates/dewspar/src/schedule/worker.rs
+++ b/crates/dewspar/src/schedule/worker.rs
@@ -1,7 +1,7 @@
-pub(crate) use self::hold::OwedHold;
+pub(crate) use self::hold::DueHold;
 
 use {
-    self::clock::{ClockReading, slow},
+    self::clock::{ClockReading, max_elapsed_ms},
     crate::{
         job::{JobId, TaskId},
         link::Class,
@@ -22,7 +22,7 @@
 ///
 /// Tokens travel as JSON numbers, so the lease's revision times this stays
 /// below 2^53 for the first 2^43 revisions.
-const FENCES_A_LEASE: u64 = 1 << 10;
+const TOKENS_PER_LEASE: u64 = 1 << 10;
 
 /// How many jobs must fail on a worker in a row, with no task done between,
 /// before it is held to be at fault itself.
@@ -44,7 +44,7 @@
 /// Which part of its lease a worker may use up before a question that renews
 /// it goes before all else, in percent: 3 of 8 s, so that several tries are
 /// left.
-const RENEWED_PERCENT: u64 = 38;
+const RENEWAL_DUE_PERCENT: u64 = 38;
 
 /// How many tokens of a lease were used up on a worker.
 #[derive(Clone, Copy, Debug)]
@@ -52,7 +52,7 @@
 
 /// Why a worker is being emptied.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub(crate) enum Purpose {
+pub(crate) enum DrainReason {
     /// Its VM is to be maintained for this wave.
     Maintenance(u64),
     /// Its VM is to move to this pool.
@@ -61,7 +61,7 @@
 
 /// Room that is kept on a worker for one task.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Kept {
+pub(crate) struct ReservedRoom {
     /// What the task takes.
     pub(crate) room: Room,
     /// Whether that was free when it was kept; else short tasks have to end
@@ -69,9 +69,9 @@
     pub(crate) was_free: bool,
 }
 
-impl Kept {
+impl ReservedRoom {
     /// Returns what nobody else can have taken.
-    fn backed(&self) -> Room {
+    fn secured(&self) -> Room {
         if self.was_free { self.room } else { Room::default() }
     }
 }
@@ -99,12 +99,12 @@
     /// Whether it is known what it takes.
     pub(crate) measured: bool,
     /// Whether its task is to last.
-    pub(crate) lasts: bool,
+    pub(crate) long_running: bool,
     /// Whether its worker's process has listed it.
     pub(crate) is_listed: bool,
     /// Whether the process that it was ordered of has ended, while it isn't
     /// known whether the next one has it.
-    pub(crate) is_outlived: bool,
+    pub(crate) process_has_ended: bool,
 }
 
 /// Whether a run's task may crash workers; see `suspects`.
@@ -147,20 +147,20 @@
             pace: 100,
             suspicion: Suspicion::default(),
             measured: true,
-            lasts: false,
+            long_running: false,
             is_listed: false,
-            is_outlived: false,
+            process_has_ended: false,
         }
     }
 
     /// Sets whether its task is to last.
-    pub(crate) fn lasting(mut self, lasts: bool) -> Run {
-        self.lasts = lasts;
+    pub(crate) fn with_long_running(mut self, long_running: bool) -> Run {
+        self.long_running = long_running;
         self
     }
 
     /// Sets whether its task may crash workers.
-    pub(crate) fn suspected(mut self, suspicion: Suspicion) -> Run {
+    pub(crate) fn with_suspicion(mut self, suspicion: Suspicion) -> Run {
         self.suspicion = suspicion;
         self
     }
@@ -228,13 +228,13 @@
     pub(crate) runs: BTreeMap<TaskId, Run>,
     used: Room,
     /// What the runs of that take whose tasks are to last.
-    used_for_long: Room,
+    used_by_long_running: Room,
     /// What is kept free for tasks that are to start here.
-    kept: BTreeMap<TaskId, Kept>,
+    reserved: BTreeMap<TaskId, ReservedRoom>,
     /// The sum of that.
-    kept_room: Room,
+    reserved_room: Room,
     /// The sum of what of that is there already.
-    backed_room: Room,
+    secured_room: Room,
     /// How many of the runs are suspected.
     suspects: usize,
     /// How many of the runs want nothing started beside them.
@@ -278,7 +278,7 @@
     unanswered_since_ms: Option<u64>,
     failed_jobs: BTreeSet<JobId>,
     /// Whether the last start was refused though there seemed to be room.
-    refused: bool,
+    last_start_refused: bool,
     /// How many starts in a row got no answer, each under another token.
     unanswered_starts: u32,
     suspended_until_ms: u64,
@@ -288,8 +288,8 @@
     /// The runs whose last order to pace them has no result.
     pub(crate) unset_paces: BTreeSet<TaskId>,
     /// Why it is being emptied, if it is.
-    pub(crate) emptying: Option<Purpose>,
-    pub(crate) emptying_since_ms: u64,
+    pub(crate) drain_reason: Option<DrainReason>,
+    pub(crate) drain_since_ms: u64,
     /// Since when nothing has run on it.
     pub(crate) idle_since_ms: u64,
     /// When it was first seen.
@@ -315,16 +315,16 @@
         now_ms: u64,
         options: &Options,
     ) -> Worker {
-        let listed_nowhere = listing.address.is_empty();
+        let has_no_address = listing.address.is_empty();
         Worker {
             session: 0,
             listing,
             runs: BTreeMap::new(),
             used: Room::default(),
-            used_for_long: Room::default(),
-            kept: BTreeMap::new(),
-            kept_room: Room::default(),
-            backed_room: Room::default(),
+            used_by_long_running: Room::default(),
+            reserved: BTreeMap::new(),
+            reserved_room: Room::default(),
+            secured_room: Room::default(),
             suspects: 0,
             tested: 0,
             lease_revision,
@@ -350,17 +350,17 @@
             silent_since_ms: None,
             unanswered_since_ms: None,
             failed_jobs: BTreeSet::new(),
-            refused: false,
+            last_start_refused: false,
             unanswered_starts: 0,
             suspended_until_ms: 0,
             suspensions: 0,
             paced_ms: 0,
             unset_paces: BTreeSet::new(),
-            emptying: None,
-            emptying_since_ms: 0,
+            drain_reason: None,
+            drain_since_ms: 0,
             idle_since_ms: now_ms,
             first_listed_ms: now_ms,
-            listed: !listed_nowhere,
+            listed: !has_no_address,
             reported_at_ms: now_ms,
             unmeasured: 0,
             unread_runs: false,
@@ -370,7 +370,7 @@
     }
 
     /// Returns whether it tells which of its processes it is.
-    pub(crate) fn tells_its_process(&self) -> bool {
+    pub(crate) fn reports_incarnation(&self) -> bool {
         self.listing.incarnation != Incarnation::UNKNOWN
     }
 
@@ -389,7 +389,7 @@
     }
 
     pub(crate) fn fence(&self) -> u64 {
-        self.lease_revision * FENCES_A_LEASE + self.fences
+        self.lease_revision * TOKENS_PER_LEASE + self.fences
     }
 
     /// Returns what is free for tasks that take their share of processor and
@@ -397,58 +397,62 @@
     pub(crate) fn free(&self) -> Room {
         let unused = self.listing.capacity.less(&self.used);
         // Nearly all keep nothing, and this is asked of each worker of a pool.
-        if self.kept.is_empty() {
+        if self.reserved.is_empty() {
             unused
         } else {
-            unused.less(&self.kept_room)
+            unused.less(&self.reserved_room)
         }
     }
 
     /// Returns what is free for a task, with what is kept for it.
     pub(crate) fn free_for(&self, task: &TaskId) -> Room {
-        let Some(own) = self.kept.get(task) else { return self.free() };
+        let Some(own) = self.reserved.get(task) else { return self.free() };
         let unused = self.listing.capacity.less(&self.used);
         // What others wait for isn't there yet, and must not stand in the way
         // of what is: two that wait would keep each other out.
-        unused.less(&self.backed_room.less(&own.backed()))
+        unused.less(&self.secured_room.less(&own.secured()))
     }
 
     /// Returns what is free for a task once all is over that isn't to last.
     pub(crate) fn free_soon_for(&self, task: &TaskId) -> Room {
-        let own = self.kept.get(task).map(|kept| kept.room);
-        let others = self.kept_room.less(&own.unwrap_or_default());
-        self.listing.capacity.less(&self.used_for_long).less(&others)
+        let own = self.reserved.get(task).map(|reserved| reserved.room);
+        let others = self.reserved_room.less(&own.unwrap_or_default());
+        self.listing.capacity.less(&self.used_by_long_running).less(&others)
     }
 
     /// Keeps room for a task that is to start here.
-    pub(crate) fn keep_for(&mut self, task: TaskId, kept: Kept) {
-        self.kept.insert(task, kept);
-        self.sum_kept();
+    pub(crate) fn reserve_for(
+        &mut self,
+        task: TaskId,
+        reserved: ReservedRoom,
+    ) {
+        self.reserved.insert(task, reserved);
+        self.sum_reserved();
     }
 
     /// Gives the room back that was kept for a task.
     pub(crate) fn release(&mut self, task: &TaskId, now_ms: u64) {
-        if self.kept.remove(task).is_none() {
+        if self.reserved.remove(task).is_none() {
             return;
         }
-        self.sum_kept();
+        self.sum_reserved();
         if self.runs.is_empty() {
             self.idle_since_ms = now_ms;
         }
     }
 
-    fn sum_kept(&mut self) {
-        self.kept_room = Room::default();
-        self.backed_room = Room::default();
-        for kept in self.kept.values() {
-            self.kept_room.add(&kept.room);
-            self.backed_room.add(&kept.backed());
+    fn sum_reserved(&mut self) {
+        self.reserved_room = Room::default();
+        self.secured_room = Room::default();
+        for reserved in self.reserved.values() {
+            self.reserved_room.add(&reserved.room);
+            self.secured_room.add(&reserved.secured());
         }
     }
 
     /// Returns whether room is kept here for some task.
-    pub(crate) fn keeps_room(&self) -> bool {
-        !self.kept.is_empty()
+    pub(crate) fn has_reservations(&self) -> bool {
+        !self.reserved.is_empty()
     }
 
     pub(crate) fn used(&self) -> &Room {
@@ -457,22 +461,22 @@
 
     pub(crate) fn insert(&mut self, task: TaskId, run: Run) {
         self.used.add(&run.demand);
-        if run.lasts {
-            self.used_for_long.add(&run.demand);
+        if run.long_running {
+            self.used_by_long_running.add(&run.demand);
         }
         self.suspects += usize::from(run.suspicion.crashes > 0);
         self.tested += usize::from(run.suspicion.tested);
         self.unmeasured += usize::from(!run.measured);
         if let Some(old) = self.runs.insert(task, run) {
-            self.no_longer_has(&old);
+            self.subtract_run(&old);
         }
     }
 
     /// Takes a run that is no longer there off all that is counted.
-    fn no_longer_has(&mut self, run: &Run) {
+    fn subtract_run(&mut self, run: &Run) {
         self.used.subtract(&run.demand);
-        if run.lasts {
-            self.used_for_long.subtract(&run.demand);
+        if run.long_running {
+            self.used_by_long_running.subtract(&run.demand);
         }
         self.suspects -= usize::from(run.suspicion.crashes > 0);
         self.tested -= usize::from(run.suspicion.tested);
@@ -521,7 +525,7 @@
         now_ms: u64,
     ) -> Option<Run> {
         let run = self.runs.remove(task)?;
-        self.no_longer_has(&run);
+        self.subtract_run(&run);
         self.unset_paces.remove(task);
         if self.runs.is_empty() {
             self.idle_since_ms = now_ms;
@@ -534,9 +538,9 @@
     pub(crate) fn runs_of_step(&self, task: &TaskId) -> usize {
         let first = TaskId { index: 0, ..*task };
         let last = TaskId { index: u32::MAX, ..*task };
-        let kept = self.kept.range(first..=last);
-        let kept = kept.filter(|(other, _)| *other != task).count();
-        self.runs.range(first..=last).count() + kept
+        let reserved = self.reserved.range(first..=last);
+        let reserved = reserved.filter(|(other, _)| *other != task).count();
+        self.runs.range(first..=last).count() + reserved
     }
 
     /// Returns when its newest answer came.
@@ -560,7 +564,7 @@
     }
 
     /// Notes that a call got no answer.
-    pub(crate) fn note_unanswered(&mut self, now_ms: u64) {
+    pub(crate) fn record_unanswered(&mut self, now_ms: u64) {
         self.unanswered_since_ms.get_or_insert(now_ms);
     }
 
@@ -580,7 +584,7 @@
 
     /// Returns whether its newest answer under this lease named all that runs
     /// there, and all of it could be read.
-    pub(crate) fn has_named_all_runs(&self) -> bool {
+    pub(crate) fn has_listed_all_runs(&self) -> bool {
         self.runs_are_known() && !self.unread_runs
     }
 
@@ -588,7 +592,7 @@
         self.unknown_runs
     }
 
-    pub(crate) fn note_unknown_runs(&mut self, unknown: bool) {
+    pub(crate) fn set_unknown_runs(&mut self, unknown: bool) {
         self.unknown_runs = unknown;
     }
 
@@ -598,7 +602,7 @@
     }
 
     /// Returns whether anything runs on it, or may do so, that isn't to stop.
-    fn is_wanted(&self) -> bool {
+    fn has_wanted_runs(&self) -> bool {
         // What couldn't be read may be wanted.
         let unread = self.unread_runs && !self.runs.is_empty();
         let mut runs = self.runs.values();
@@ -610,7 +614,7 @@
         self.runs_are_known()
             && self.listed
             && !self.listing.draining
-            && self.emptying.is_none()
+            && self.drain_reason.is_none()
             && self.silent_since_ms.is_none()
             // A start without an answer couldn't be made void any more.
             && !self.is_out_of_tokens()
@@ -618,7 +622,7 @@
 
     /// Returns whether it has said that it will end, with all that runs there,
     /// and takes orders to stop until then.
-    pub(crate) fn is_about_to_end(&self) -> bool {
+    pub(crate) fn is_terminating(&self) -> bool {
         self.listing.draining
             && self.listed
             && self.synced
@@ -626,21 +630,21 @@
     }
 
     /// Returns whether orders to start may be sent.
-    pub(crate) fn takes_orders(&self, now_ms: u64) -> bool {
-        self.takes_placed_runs(now_ms)
+    pub(crate) fn accepts_starts(&self, now_ms: u64) -> bool {
+        self.accepts_placed_runs(now_ms)
             && (self.failed_jobs.len() < FAILED_JOBS_TO_SUSPEND
                 || self.runs.is_empty())
     }
 
     /// Returns whether runs may be ordered that have their place here already.
-    pub(crate) fn takes_placed_runs(&self, now_ms: u64) -> bool {
+    pub(crate) fn accepts_placed_runs(&self, now_ms: u64) -> bool {
         !self.fencing && self.is_usable() && now_ms >= self.suspended_until_ms
     }
 
     /// Returns whether no later token is left under this lease: an order
     /// without an answer can't be made void any more.
     pub(crate) fn is_out_of_tokens(&self) -> bool {
-        self.fences >= FENCES_A_LEASE - 1
+        self.fences >= TOKENS_PER_LEASE - 1
     }
 
     /// Returns whether an answer under the current token is still owed.
@@ -650,7 +654,7 @@
 
     /// Makes orders sent so far void: the next answer is under a new token.
     pub(crate) fn raise_fence(&mut self, now_ms: u64) {
-        self.fences = (self.fences + 1).min(FENCES_A_LEASE - 1);
+        self.fences = (self.fences + 1).min(TOKENS_PER_LEASE - 1);
         self.fencing = true;
         self.next_hold_ms = now_ms;
     }
@@ -674,10 +678,11 @@
     ) -> Class {
         let silent = self.silent_since_ms.is_some();
         let renewed = self.lease_until_ms(now_ms, options).is_some_and(|u| {
-            self.confirmed_until_ms + options.lease_ms * RENEWED_PERCENT / 100
+            self.confirmed_until_ms
+                + options.lease_ms * RENEWAL_DUE_PERCENT / 100
                 >= u
         });
-        if renewed || silent || !self.is_wanted() {
+        if renewed || silent || !self.has_wanted_runs() {
             Class::Question
         } else {
             Class::Renewal
@@ -694,7 +699,7 @@
     pub(crate) fn lease_sent(&mut self, until_worker_ms: u64) {
         let Some(clock) = self.clock else { return };
         let left = until_worker_ms.saturating_sub(clock.worker_ms);
-        let over_ms = clock.at_ms + slow(left);
+        let over_ms = clock.at_ms + max_elapsed_ms(left);
         self.lease_over_ms = self.lease_over_ms.max(over_ms);
     }
 
@@ -709,7 +714,7 @@
     /// it was told that its ends are stored.
     pub(crate) fn is_settled(&self) -> bool {
         !self.is_occupied()
-            && !self.keeps_room()
+            && !self.has_reservations()
             && !self.fencing
             && self.acknowledged >= self.seen_end
     }
@@ -727,7 +732,7 @@
     }
 
     /// Notes that an end is part of a change that isn't stored yet.
-    pub(crate) fn end_changes(
+    pub(crate) fn end_pending_store(
         &mut self,
         number: u64,
         job: JobId,
@@ -749,7 +754,7 @@
 
     /// Moves on what may be acknowledged: the ends, in their order, whose
     /// change is stored.
-    pub(crate) fn store_ends(
+    pub(crate) fn advance_stored_ends(
         &mut self,
         now_ms: u64,
         is_stored: impl Fn(JobId, u64) -> bool,
@@ -789,27 +794,27 @@
     }
 
     /// Notes that it has taken a start.
-    pub(crate) fn start_taken(&mut self) {
-        self.refused = false;
+    pub(crate) fn start_accepted(&mut self) {
+        self.last_start_refused = false;
         self.unanswered_starts = 0;
     }
 
     /// Notes that a start had no answer and yet was carried out.
-    pub(crate) fn start_shown(&mut self) {
+    pub(crate) fn start_confirmed(&mut self) {
         self.unanswered_starts = 0;
     }
 
     /// Notes that a start under the newest token got no answer; returns whether
     /// too many in a row did.
-    pub(crate) fn leaves_unanswered_again(&mut self) -> bool {
+    pub(crate) fn count_unanswered_start(&mut self) -> bool {
         self.unanswered_starts = self.unanswered_starts.saturating_add(1);
         self.unanswered_starts >= UNANSWERED_TO_SUSPEND
     }
 
     /// Notes that it has refused a start without being at fault itself;
     /// returns whether it did so before, with none taken between.
-    pub(crate) fn refuses_again(&mut self) -> bool {
-        std::mem::replace(&mut self.refused, true)
+    pub(crate) fn repeats_refusal(&mut self) -> bool {
+        std::mem::replace(&mut self.last_start_refused, true)
     }
 
     /// Sends nothing for a while, twice as long each time in a row.
@@ -826,7 +831,7 @@
     }
 
     /// Forgives a failure that turned out to be the job's own.
-    pub(crate) fn forgive(&mut self, job: JobId) {
+    pub(crate) fn clear_failure(&mut self, job: JobId) {
         self.failed_jobs.remove(&job);
     }
 }
--- a/crates/dewspar/src/schedule/worker/clock.rs
+++ b/crates/dewspar/src/schedule/worker/clock.rs
@@ -16,6 +16,6 @@
 }
 
 /// Returns how long a worker's time may take on our clock.
-pub(super) fn slow(worker_ms: u64) -> u64 {
+pub(super) fn max_elapsed_ms(worker_ms: u64) -> u64 {
     worker_ms * SLOW_CLOCK_PER_MILLE / 1_000
 }
--- a/crates/dewspar/src/schedule/worker/hold.rs
+++ b/crates/dewspar/src/schedule/worker/hold.rs
@@ -7,18 +7,18 @@
 */
 
 use {
-    super::{Worker, clock::slow},
+    super::{Worker, clock::max_elapsed_ms},
     crate::schedule::{HoldOrder, HoldReport, Options},
 };
 
 /// How long a worker may wait for an end while this node's link or processor is
 /// short, in milliseconds. Workers with lasting runs only answer when their time
 /// is up, and longer polls take less of both.
-const LONG_POLL_MS: u64 = 1_000;
+const BUSY_WAIT_MS: u64 = 1_000;
 
 /// A hold that is owed to a worker.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct OwedHold {
+pub(crate) struct DueHold {
     pub(crate) order: HoldOrder,
     pub(crate) fencing: bool,
 }
@@ -54,7 +54,11 @@
     }
 
     /// Returns whether some run is to be ordered to stop now.
-    pub(crate) fn wants_stops(&self, now_ms: u64, options: &Options) -> bool {
+    pub(crate) fn has_stops_due(
+        &self,
+        now_ms: u64,
+        options: &Options,
+    ) -> bool {
         let mut stops =
             self.runs.values().filter_map(|run| run.stop_due_ms(options));
         stops.any(|due_ms| now_ms >= due_ms)
@@ -62,7 +66,7 @@
 
     /// Returns from when it may want something, unless nothing is to be done
     /// about it before it changes.
-    pub(crate) fn wants_from_ms(&self, options: &Options) -> Option<u64> {
+    pub(crate) fn due_from_ms(&self, options: &Options) -> Option<u64> {
         let stops =
             self.runs.values().filter_map(|run| run.stop_due_ms(options));
         let others = [self.next_hold_due_ms(), self.lapses_from_ms()];
@@ -70,14 +74,10 @@
     }
 
     /// Returns whether it wants something now.
-    pub(crate) fn wants_something(
-        &self,
-        now_ms: u64,
-        options: &Options,
-    ) -> bool {
+    pub(crate) fn is_due(&self, now_ms: u64, options: &Options) -> bool {
         let silent = self.silent_since_ms.is_some();
         self.hold_due_ms(now_ms).is_some()
-            || self.wants_stops(now_ms, options)
+            || self.has_stops_due(now_ms, options)
             || (silent && now_ms > self.lease_over_ms)
     }
 
@@ -86,11 +86,11 @@
     }
 
     /// Returns the hold that is owed now, if any, and marks it as sent.
-    pub(crate) fn owed_hold(
+    pub(crate) fn take_due_hold(
         &mut self,
         now_ms: u64,
         options: &Options,
-    ) -> Option<OwedHold> {
+    ) -> Option<DueHold> {
         self.hold_due_ms(now_ms)?;
         let fencing = self.fencing;
         // While ends wait to be stored, the worker would answer at once; what
@@ -103,12 +103,12 @@
         let wait_ms = match (at_once, self.long_poll) {
             (true, _) => 0,
             (false, false) => watching.hold_wait_ms,
-            (false, true) => watching.hold_wait_ms.max(LONG_POLL_MS),
+            (false, true) => watching.hold_wait_ms.max(BUSY_WAIT_MS),
         };
         // A worker that is silent gets no longer lease, nor does one on which
         // all is to stop: its runs must be over for certain some day.
         let silent = self.silent_since_ms.is_some();
-        let lease_until_ms = if !self.is_wanted() || silent {
+        let lease_until_ms = if !self.has_wanted_runs() || silent {
             None
         } else {
             self.lease_until_ms(now_ms, options)
@@ -131,12 +131,12 @@
             lease_until_ms,
             wait_ms,
         };
-        Some(OwedHold { order, fencing })
+        Some(DueHold { order, fencing })
     }
 
     /// Returns whether the question that was sent to it at this time has no
     /// answer yet.
-    pub(crate) fn is_asked_since(&self, sent_ms: u64) -> bool {
+    pub(crate) fn awaits_answer_since(&self, sent_ms: u64) -> bool {
         self.hold_in_flight && self.asked_ms == sent_ms
     }
 
@@ -153,14 +153,14 @@
     }
 
     /// Sets from when it is asked again.
-    pub(crate) fn ask_from(&mut self, from_ms: u64) {
+    pub(crate) fn set_next_hold_ms(&mut self, from_ms: u64) {
         self.next_hold_ms = from_ms;
     }
 
     /// Notes the answer to a hold; returns whether it is the newest so far.
     pub(crate) fn hold_answered(
         &mut self,
-        held: &OwedHold,
+        held: &DueHold,
         report: &HoldReport,
         now_ms: u64,
         options: &Options,
@@ -179,7 +179,7 @@
             if !self.synced {
                 // From here on only this holder's orders count, and what a
                 // former one was granted is bounded.
-                let longest = slow(options.max_lease_ms);
+                let longest = max_elapsed_ms(options.max_lease_ms);
                 let inherited = now_ms + longest;
                 self.lease_over_ms = self.lease_over_ms.min(inherited);
             }
@@ -205,19 +205,19 @@
 
     /// Notes whether what its answer lists was taken in; returns whether this is
     /// the first of a row that wasn't.
-    pub(crate) fn passes_lists_over(&mut self, newest: bool) -> bool {
+    pub(crate) fn record_lists_passed_over(&mut self, newest: bool) -> bool {
         let before = std::mem::replace(&mut self.lists_passed_over, !newest);
         !newest && !before
     }
 
     pub(crate) fn hold_failed(
         &mut self,
-        held: &OwedHold,
+        held: &DueHold,
         now_ms: u64,
         options: &Options,
     ) {
         self.hold_ended(held);
-        self.note_unanswered(now_ms);
+        self.record_unanswered(now_ms);
         if !self.missed_hold {
             self.missed_hold = true;
             self.next_hold_ms = now_ms;
@@ -227,7 +227,7 @@
         self.next_hold_ms = now_ms + options.hold_retry_ms;
     }
 
-    fn hold_ended(&mut self, held: &OwedHold) {
+    fn hold_ended(&mut self, held: &DueHold) {
         if held.fencing {
             self.fence_hold_in_flight = false;
         } else {
--- a/crates/dewspar/src/schedule/worker/succession.rs
+++ b/crates/dewspar/src/schedule/worker/succession.rs
@@ -5,7 +5,7 @@
 */
 
 use {
-    super::{FENCES_A_LEASE, Run, RunState, TokensUsed, Worker},
+    super::{Run, RunState, TOKENS_PER_LEASE, TokensUsed, Worker},
     crate::{
         job::TaskId,
         schedule::{Now, Options, WorkerListing},
@@ -29,7 +29,7 @@
     ) -> Worker {
         let TokensUsed(fences) = tokens_used;
         Worker {
-            fences: (fences + 1).min(FENCES_A_LEASE - 1),
+            fences: (fences + 1).min(TOKENS_PER_LEASE - 1),
             synced: true,
             lease_over_ms: now_ms,
             silent_since_ms: Some(now_ms),
@@ -56,13 +56,13 @@
     ) -> Worker {
         let now_ms = now.steady_ms;
         let mut next = Worker {
-            fences: (self.fences + 1).min(FENCES_A_LEASE - 1),
+            fences: (self.fences + 1).min(TOKENS_PER_LEASE - 1),
             synced: self.synced,
-            kept: self.kept,
+            reserved: self.reserved,
             listed: self.listed,
             ..Worker::new(listing, self.lease_revision, now_ms, options)
         };
-        next.sum_kept();
+        next.sum_reserved();
         for (task, run) in self.runs {
             next.insert(task, run.outliving_its_process());
         }
@@ -81,6 +81,6 @@
                 RunState::Stopping(stop)
             }
         };
-        Run { state, confirmed_from_ms: None, is_outlived: true, ..self }
+        Run { state, confirmed_from_ms: None, process_has_ended: true, ..self }
     }
 }
--- a/crates/dewspar/src/schedule/workers.rs
+++ b/crates/dewspar/src/schedule/workers.rs
@@ -35,33 +35,33 @@
     /// By number; `None` for a number that isn't in use.
     workers: Vec<Option<Worker>>,
     /// What was worked out of each, by number.
-    agenda: Vec<Entry>,
+    due_entries: Vec<DueEntry>,
     numbers: HashMap<WorkerId, WorkerNumber>,
     /// All that are in use, in the order of the identifiers.
     ordered: Vec<WorkerNumber>,
     /// The same of each pool.
     pools: BTreeMap<String, Vec<WorkerNumber>>,
-    /// Those that may have changed since the agenda was worked out.
+    /// Those that may have changed since the due_entries was worked out.
     changed: Vec<WorkerNumber>,
-    unused: Vec<WorkerNumber>,
+    free_numbers: Vec<WorkerNumber>,
     /// How many workers were added so far.
     sessions: u64,
 }
 
 /// What was worked out of a worker.
 #[derive(Clone, Copy, Debug)]
-struct Entry {
+struct DueEntry {
     /// From when it may want something; `u64::MAX` for never.
-    wants_from_ms: u64,
+    due_from_ms: u64,
     /// Whether some end that it listed isn't stored yet.
     has_unstored_ends: bool,
     /// Whether it may have changed since.
     changed: bool,
 }
 
-impl Entry {
-    const NONE: Entry = Entry {
-        wants_from_ms: u64::MAX,
+impl DueEntry {
+    const NONE: DueEntry = DueEntry {
+        due_from_ms: u64::MAX,
         has_unstored_ends: false,
         changed: false,
     };
@@ -99,7 +99,7 @@
         number: WorkerNumber,
     ) -> Option<&mut Worker> {
         let worker = self.workers.get_mut(number.0)?.as_mut()?;
-        let entry = &mut self.agenda[number.0];
+        let entry = &mut self.due_entries[number.0];
         if !entry.changed {
             entry.changed = true;
             self.changed.push(number);
@@ -129,7 +129,7 @@
 
     pub(super) fn values_mut(&mut self) -> impl Iterator<Item = &mut Worker> {
         for number in &self.ordered {
-            let entry = &mut self.agenda[number.0];
+            let entry = &mut self.due_entries[number.0];
             if !entry.changed {
                 entry.changed = true;
                 self.changed.push(*number);
@@ -143,33 +143,34 @@
         debug_assert!(!self.contains_key(&id), "{id} is known");
         self.sessions += 1;
         worker.session = self.sessions;
-        let number = self.unused.pop().unwrap_or_else(|| {
+        let number = self.free_numbers.pop().unwrap_or_else(|| {
             self.workers.push(None);
-            self.agenda.push(Entry::NONE);
+            self.due_entries.push(DueEntry::NONE);
             WorkerNumber(self.workers.len() - 1)
         });
         let pool = worker.listing.pool.clone();
         self.workers[number.0] = Some(worker);
-        self.agenda[number.0] = Entry { changed: true, ..Entry::NONE };
+        self.due_entries[number.0] =
+            DueEntry { changed: true, ..DueEntry::NONE };
         self.changed.push(number);
         self.numbers.insert(id, number);
-        self.list_in_pool(pool, number);
-        add_in_order(&mut self.ordered, number, &self.workers);
+        self.add_to_pool(pool, number);
+        insert_sorted(&mut self.ordered, number, &self.workers);
     }
 
     pub(super) fn remove(&mut self, id: &WorkerId) -> Option<Worker> {
         let number = self.numbers.remove(id)?;
         let worker = self.workers[number.0].take()?;
-        self.agenda[number.0] = Entry::NONE;
+        self.due_entries[number.0] = DueEntry::NONE;
         self.changed.retain(|other| *other != number);
         self.ordered.retain(|other| *other != number);
-        self.unlist_in_pool(&worker.listing.pool, number);
-        self.unused.push(number);
+        self.remove_from_pool(&worker.listing.pool, number);
+        self.free_numbers.push(number);
         Some(worker)
     }
 
     /// Notes what a worker says of itself; returns it, if it is known.
-    pub(super) fn list(
+    pub(super) fn update_listing(
         &mut self,
         listing: WorkerListing,
     ) -> Option<&mut Worker> {
@@ -178,18 +179,18 @@
         let before = std::mem::replace(&mut worker.listing, listing);
         if before.pool != worker.listing.pool {
             let pool = worker.listing.pool.clone();
-            self.unlist_in_pool(&before.pool, number);
-            self.list_in_pool(pool, number);
+            self.remove_from_pool(&before.pool, number);
+            self.add_to_pool(pool, number);
         }
         self.at_mut(number)
     }
 
-    fn list_in_pool(&mut self, pool: String, number: WorkerNumber) {
+    fn add_to_pool(&mut self, pool: String, number: WorkerNumber) {
         let members = self.pools.entry(pool).or_default();
-        add_in_order(members, number, &self.workers);
+        insert_sorted(members, number, &self.workers);
     }
 
-    fn unlist_in_pool(&mut self, pool: &str, number: WorkerNumber) {
+    fn remove_from_pool(&mut self, pool: &str, number: WorkerNumber) {
         let Some(members) = self.pools.get_mut(pool) else { return };
         members.retain(|other| *other != number);
         if members.is_empty() {
@@ -205,7 +206,7 @@
         options: &Options,
     ) -> Vec<WorkerNumber> {
         self.update(options);
-        self.choose(|entry| entry.wants_from_ms <= now_ms)
+        self.select(|entry| entry.due_from_ms <= now_ms)
     }
 
     /// Returns the workers with ends that aren't stored yet, in the order of
@@ -215,22 +216,20 @@
         options: &Options,
     ) -> Vec<WorkerNumber> {
         self.update(options);
-        self.choose(|entry| entry.has_unstored_ends)
+        self.select(|entry| entry.has_unstored_ends)
     }
 
-    fn choose(&self, wanted: impl Fn(&Entry) -> bool) -> Vec<WorkerNumber> {
+    fn select(&self, wanted: impl Fn(&DueEntry) -> bool) -> Vec<WorkerNumber> {
         let chosen = self.ordered.iter().copied();
-        chosen.filter(|number| wanted(&self.agenda[number.0])).collect()
+        chosen.filter(|number| wanted(&self.due_entries[number.0])).collect()
     }
 
     /// Works out again what may have changed.
     fn update(&mut self, options: &Options) {
         while let Some(number) = self.changed.pop() {
             let Some(worker) = self.at(number) else { continue };
-            self.agenda[number.0] = Entry {
-                wants_from_ms: worker
-                    .wants_from_ms(options)
-                    .unwrap_or(u64::MAX),
+            self.due_entries[number.0] = DueEntry {
+                due_from_ms: worker.due_from_ms(options).unwrap_or(u64::MAX),
                 has_unstored_ends: worker.has_ends_to_store(),
                 changed: false,
             };
@@ -238,8 +237,8 @@
     }
 
     /// Returns whether exactly those workers want something now; for builds
-    /// with assertions, since it takes as long as the agenda saves.
-    pub(super) fn are_due(
+    /// with assertions, since it takes as long as the due_entries saves.
+    pub(super) fn match_full_scan(
         &self,
         due: &[WorkerNumber],
         now_ms: u64,
@@ -247,13 +246,13 @@
     ) -> bool {
         let wanting = self
             .all_at(&self.ordered)
-            .filter(|(_, worker)| worker.wants_something(now_ms, options));
+            .filter(|(_, worker)| worker.is_due(now_ms, options));
         wanting.map(|(number, _)| number).eq(due.iter().copied())
     }
 }
 
 /// Puts a number where it belongs by its worker's identifier.
-fn add_in_order(
+fn insert_sorted(
     numbers: &mut Vec<WorkerNumber>,
     number: WorkerNumber,
     workers: &[Option<Worker>],
--- a/crates/dewspar/src/schedule/write_ahead.rs
+++ b/crates/dewspar/src/schedule/write_ahead.rs
@@ -264,5 +264,5 @@
     let here = worker.runs.get(task).filter(|here| here.run == run);
     here.is_some_and(|here| {
         here.state == RunState::Starting && here.fence == worker.fence()
-    }) && worker.takes_placed_runs(now.steady_ms)
+    }) && worker.accepts_placed_runs(now.steady_ms)
 }
