--- a/crates/dewspar-standin/src/peak.rs
+++ b/crates/dewspar-standin/src/peak.rs
@@ -37,9 +37,9 @@
     dewspar::{
         job::{JobId, JobSpec, StepSpec, TaskId},
         schedule::{
-            AcceptedJob, Action, Changes, EndCause, Held, HoldReport,
-            Incarnation, ManagedVm, Now, Options, Orderer, Policy, QueueTerms,
-            Room, Scheduler, VmLife, WorkerId, WorkerListing,
+            AcceptedJob, Action, Changes, EndCause, HoldReport, Incarnation,
+            ManagedVm, Now, Options, OrderIssuer, Policy, QueueTerms,
+            Resources, Scheduler, SentHold, VmStatus, WorkerId, WorkerListing,
         },
     },
     rand::{Rng, SeedableRng, rngs::StdRng},
@@ -229,7 +229,7 @@
 enum Event {
     JobCame(JobId, AcceptedJob),
     StartAnswered { worker: WorkerId, task: TaskId, run: u64, at_ms: u64 },
-    HoldAnswered { worker: WorkerId, held: Held, report: HoldReport },
+    HoldAnswered { worker: WorkerId, held: SentHold, report: HoldReport },
     Stored(Changes),
     Directory,
 }
@@ -438,7 +438,7 @@
     fn answer(
         &mut self,
         worker: WorkerId,
-        answer: Option<(Held, HoldReport)>,
+        answer: Option<(SentHold, HoldReport)>,
     ) {
         let Some((held, report)) = answer else { return };
         let event = Event::HoldAnswered { worker, held, report };
@@ -582,7 +582,7 @@
             Event::Directory => {
                 // The fleet stays as it is: no VM goes to another pool.
                 let holder =
-                    Orderer { node: "node-1".to_owned(), incarnation: 1 };
+                    OrderIssuer { node: "node-1".to_owned(), incarnation: 1 };
                 scheduler.leave_vms_alone(now, &holder, None);
                 let listings = self.listings.clone();
                 let vms = &self.vms;
@@ -647,7 +647,7 @@
         pool: pool_name(number % pools),
         rack: format!("rack-{}", number / 40),
         labels: Vec::new(),
-        capacity: Room {
+        capacity: Resources {
             cpu_millis: SLOTS * 1_000,
             memory_mb: 8_000,
             gpus: 0,
@@ -662,7 +662,7 @@
     ManagedVm {
         vm: listing.vm.clone(),
         pool: listing.pool.clone(),
-        life: VmLife::Up,
+        status: VmStatus::Up,
         hall: "hall-1".to_owned(),
         capacity: listing.capacity,
         worker: Some(listing.id.clone()),
--- a/crates/dewspar-standin/src/peak/worker.rs
+++ b/crates/dewspar-standin/src/peak/worker.rs
@@ -5,7 +5,7 @@
     dewspar::{
         job::TaskId,
         schedule::{
-            ActiveRun, EndCause, EndedRun, Held, HoldReport, Incarnation,
+            ActiveRun, EndCause, EndedRun, HoldReport, Incarnation, SentHold,
             StartOrder,
         },
     },
@@ -22,7 +22,7 @@
 
 /// A question that waits for an end.
 struct Waiting {
-    held: Held,
+    held: SentHold,
     serial: u64,
 }
 
@@ -48,7 +48,7 @@
         run: u64,
         cause: EndCause,
         now_us: u64,
-    ) -> Option<(Held, HoldReport)> {
+    ) -> Option<(SentHold, HoldReport)> {
         if self.runs.get(task) != Some(&run) {
             return None;
         }
@@ -68,7 +68,7 @@
     }
 
     /// Takes in a question.
-    pub(super) fn ask(&mut self, held: Held, now_us: u64) -> Asked {
+    pub(super) fn ask(&mut self, held: SentHold, now_us: u64) -> Asked {
         let order = held.order();
         self.ended.retain(|end| end.number > order.acknowledged);
         if !self.ended.is_empty() || order.wait_ms == 0 {
@@ -85,7 +85,7 @@
         &mut self,
         serial: u64,
         now_us: u64,
-    ) -> Option<(Held, HoldReport)> {
+    ) -> Option<(SentHold, HoldReport)> {
         let current = self.waiting.as_ref()?.serial == serial;
         let Waiting { held, .. } = self.waiting.take_if(|_| current)?;
         Some((held, self.report(now_us)))
--- a/crates/dewspar-standin/src/task_fleet.rs
+++ b/crates/dewspar-standin/src/task_fleet.rs
@@ -39,8 +39,8 @@
         job::{QueueSet, TaskId},
         schedule::{
             EndCause, HoldOrder, HoldReport, Incarnation, ManagedVm,
-            OrderError, PaceOrder, Refusal, Room, StartOrder, StopOrder,
-            VmLife, VmOrderError, WaveRequest, WorkerId, WorkerListing,
+            OrderError, PaceOrder, Refusal, Resources, StartOrder, StopOrder,
+            VmOrderError, VmStatus, WaveRequest, WorkerId, WorkerListing,
         },
     },
     dewspar_platform::{Error, Fleet, Intent, JobWorkers, VmChange},
@@ -53,10 +53,12 @@
 };
 
 /// What each worker has room for: four tasks of [`TASK`].
-const ROOM: Room = Room { cpu_millis: 4_000, memory_mb: 4_000, gpus: 0 };
+const ROOM: Resources =
+    Resources { cpu_millis: 4_000, memory_mb: 4_000, gpus: 0 };
 
 /// What each task takes, whatever its job says.
-const TASK: Room = Room { cpu_millis: 1_000, memory_mb: 1_000, gpus: 0 };
+const TASK: Resources =
+    Resources { cpu_millis: 1_000, memory_mb: 1_000, gpus: 0 };
 
 /// How often a hold that waits looks for an end.
 const LOOK: Duration = Duration::from_millis(10);
@@ -409,7 +411,7 @@
             .map(|entry| ManagedVm {
                 vm: entry.listing.vm.clone(),
                 pool: entry.listing.pool.clone(),
-                life: VmLife::Up,
+                status: VmStatus::Up,
                 hall: "hall-1".to_owned(),
                 capacity: ROOM,
                 worker: Some(entry.listing.id.clone()),
--- a/crates/dewspar-standin/src/task_worker.rs
+++ b/crates/dewspar-standin/src/task_worker.rs
@@ -11,11 +11,11 @@
 
 ```
 use {
-    dewspar::schedule::{HoldOrder, Room, StartOrder},
+    dewspar::schedule::{HoldOrder, Resources, StartOrder},
     dewspar_standin::task_worker::{Fate, TaskWorker},
 };
 
-let room = Room { cpu_millis: 1_000, memory_mb: 100, gpus: 0 };
+let room = Resources { cpu_millis: 1_000, memory_mb: 100, gpus: 0 };
 let mut worker = TaskWorker::new(room);
 let task = "5c0e7a21d94b36f8.0.0.0".parse()?;
 let order = StartOrder {
@@ -27,7 +27,7 @@
     checkpoint: String::new(),
     ticket: String::new(),
 };
-worker.start(0, &order, Room::default(), Fate::done(800)).unwrap();
+worker.start(0, &order, Resources::default(), Fate::done(800)).unwrap();
 let hold = HoldOrder {
     fence: 1,
     acknowledged: 0,
@@ -47,7 +47,7 @@
         job::TaskId,
         schedule::{
             ActiveRun, EndCause, EndedRun, HoldOrder, HoldReport, Incarnation,
-            OrderError, Refusal, Room, StartOrder, StopOrder,
+            OrderError, Refusal, Resources, StartOrder, StopOrder,
         },
     },
     std::collections::BTreeMap,
@@ -90,7 +90,7 @@
 struct Running {
     run: u64,
     started_ms: u64,
-    demand: Room,
+    demand: Resources,
     fate: Fate,
 }
 
@@ -112,7 +112,7 @@
 #[derive(Clone, Debug)]
 pub struct TaskWorker {
     incarnation: Incarnation,
-    capacity: Room,
+    capacity: Resources,
     fence: u64,
     lease_until_ms: u64,
     running: BTreeMap<TaskId, Running>,
@@ -126,7 +126,7 @@
 
 impl TaskWorker {
     /// Makes a worker that runs nothing and has seen no token.
-    pub fn new(capacity: Room) -> TaskWorker {
+    pub fn new(capacity: Resources) -> TaskWorker {
         TaskWorker {
             incarnation: Incarnation::UNKNOWN,
             capacity,
@@ -154,8 +154,8 @@
     }
 
     /// Returns what its runs take.
-    pub fn used(&self) -> Room {
-        let mut used = Room::default();
+    pub fn used(&self) -> Resources {
+        let mut used = Resources::default();
         for run in self.running.values() {
             used.add(&run.demand);
         }
@@ -187,7 +187,7 @@
         &mut self,
         now_ms: u64,
         order: &StartOrder,
-        demand: Room,
+        demand: Resources,
         fate: Fate,
     ) -> Result<u64, OrderError> {
         self.advance(now_ms);
@@ -204,7 +204,7 @@
         if order.run <= highest || self.running.contains_key(&order.task) {
             return Err(OrderError::Refused(Refusal::StaleRun));
         }
-        if self.guards && !self.free().holds(&demand) {
+        if self.guards && !self.free().contains(&demand) {
             self.rejected_for_room += 1;
             return Err(OrderError::Refused(Refusal::NoRoom));
         }
@@ -279,9 +279,9 @@
         self.lease_until_ms = self.lease_until_ms.max(until_ms);
     }
 
-    fn free(&self) -> Room {
+    fn free(&self) -> Resources {
         let used = self.running.values();
-        used.fold(self.capacity, |free, run| free.less(&run.demand))
+        used.fold(self.capacity, |free, run| free.minus(&run.demand))
     }
 
     fn advance(&mut self, now_ms: u64) {
--- a/crates/dewspar/src/schedule/answers.rs
+++ b/crates/dewspar/src/schedule/answers.rs
@@ -123,13 +123,13 @@
         worker: &WorkerId,
     ) {
         self.note_suspect_over(task);
-        self.note(Decision::Lost {
+        self.note(Decision::RunLost {
             task: *task,
             run,
             worker: worker.clone(),
             reason: "the order had no effect",
             age_ms: 0,
-            beside: 0,
+            other_runs: 0,
         });
     }
 
--- a/crates/dewspar/src/schedule/board.rs
+++ b/crates/dewspar/src/schedule/board.rs
@@ -3,8 +3,8 @@
         fields::OtherFields,
         job::{JobId, JobSpec, Phase, Progress, StepSpec, TaskId, TaskRecord},
         schedule::{
-            Incarnation, QueueTerms, Room, WorkerId, in_doubt::StartsInDoubt,
-            suspects::Crashes,
+            Incarnation, QueueTerms, Resources, WorkerId,
+            in_doubt::StartsInDoubt, suspects::Crashes,
         },
     },
     std::{collections::BTreeSet, sync::Arc},
@@ -315,8 +315,8 @@
 }
 
 /// Returns what a task of the step takes of a worker.
-pub(crate) fn demand(spec: &StepSpec) -> Room {
+pub(crate) fn demand(spec: &StepSpec) -> Resources {
     // Best-effort tasks only use what others leave of the processor.
     let cpu_millis = if spec.best_effort { 0 } else { spec.cpu_millis };
-    Room { cpu_millis, memory_mb: spec.memory_mb, gpus: spec.gpus }
+    Resources { cpu_millis, memory_mb: spec.memory_mb, gpus: spec.gpus }
 }
--- a/crates/dewspar/src/schedule/directory.rs
+++ b/crates/dewspar/src/schedule/directory.rs
@@ -10,7 +10,7 @@
     crate::{
         job::TaskId,
         schedule::{
-            Decision, Now, Room, Scheduler, WorkerId, WorkerListing,
+            Decision, Now, Resources, Scheduler, WorkerId, WorkerListing,
             processes::Succession,
             suspects::LostRuns,
             worker::{Run, Worker},
@@ -214,7 +214,7 @@
     pub(super) fn note_capacities(&mut self) {
         let workers = self.workers.values().map(|w| w.listing.capacity);
         let vms = self.vms.values().map(|vm| vm.capacity);
-        let mut capacities: Vec<Room> = Vec::new();
+        let mut capacities: Vec<Resources> = Vec::new();
         for room in workers.chain(vms) {
             if !capacities.contains(&room) {
                 capacities.push(room);
@@ -286,13 +286,13 @@
     ) {
         let beside = runs.len().saturating_sub(1);
         for (task, run) in runs {
-            self.note(Decision::Lost {
+            self.note(Decision::RunLost {
                 task,
                 run: run.run,
                 worker: id.clone(),
                 reason,
                 age_ms: run.confirmed_ms(answered_ms),
-                beside,
+                other_runs: beside,
             });
             self.note_stopped(&task, id, &run, reason, now);
             self.free_task(&task, id, run.has_begun(), now);
--- a/crates/dewspar/src/schedule/duty.rs
+++ b/crates/dewspar/src/schedule/duty.rs
@@ -23,25 +23,25 @@
 
 /// A process of a node.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Orderer {
+pub struct OrderIssuer {
     /// The node's name.
     pub node: String,
     /// The process; a restarted one has another number.
     pub incarnation: u64,
 }
 
-impl Orderer {
+impl OrderIssuer {
     /// Returns whether this is an earlier process of the same node.
-    fn is_former_process_of(&self, other: &Orderer) -> bool {
+    fn is_former_process_of(&self, other: &OrderIssuer) -> bool {
         self.node == other.node && self.incarnation != other.incarnation
     }
 }
 
 /// A change of a VM that was ordered of late.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct PastOrder {
+pub struct RecentVmOrder {
     /// Who ordered it, and what else a newer version has said of that process.
-    pub by: WithOthers<Orderer>,
+    pub by: WithOthers<OrderIssuer>,
     /// How long before this was written, in milliseconds.
     pub age_ms: u64,
     /// What else a newer version has said of it.
@@ -51,7 +51,7 @@
 /// A change that a former holder ordered of late.
 #[derive(Clone, Debug)]
 pub(super) struct InheritedOrder {
-    by: WithOthers<Orderer>,
+    by: WithOthers<OrderIssuer>,
     /// Until when the VM is left alone.
     until_ms: u64,
     other: OtherFields,
@@ -64,38 +64,38 @@
 /// which takes some 20 bytes a VM instead of 85: at 20 writes a second of 500
 /// VMs the record took 1.2 MB/s of the holder's link.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
-#[serde(from = "Vec<OrdersOf>", into = "Vec<OrdersOf>")]
-pub struct OrderedVms(BTreeMap<String, PastOrder>);
+#[serde(from = "Vec<OrdersByIssuer>", into = "Vec<OrdersByIssuer>")]
+pub struct OrderedVms(BTreeMap<String, RecentVmOrder>);
 
 /// The written form of what one process ordered.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-struct OrdersOf {
-    by: WithOthers<Orderer>,
+struct OrdersByIssuer {
+    by: WithOthers<OrderIssuer>,
     /// How long ago each VM was ordered, in milliseconds.
     ages_ms: BTreeMap<String, u64>,
     #[serde(flatten)]
     other: OtherFields,
 }
 
-impl OrdersOf {
+impl OrdersByIssuer {
     /// Returns whether an order is of these.
-    fn take(&self, order: &PastOrder) -> bool {
+    fn take(&self, order: &RecentVmOrder) -> bool {
         self.by == order.by && self.other == order.other
     }
 }
 
-impl From<OrderedVms> for Vec<OrdersOf> {
-    fn from(vms: OrderedVms) -> Vec<OrdersOf> {
-        let mut orders: Vec<OrdersOf> = Vec::new();
+impl From<OrderedVms> for Vec<OrdersByIssuer> {
+    fn from(vms: OrderedVms) -> Vec<OrdersByIssuer> {
+        let mut orders: Vec<OrdersByIssuer> = Vec::new();
         for (vm, order) in vms.0 {
             match orders.iter_mut().find(|orders| orders.take(&order)) {
                 Some(orders) => {
                     orders.ages_ms.insert(vm, order.age_ms);
                 }
                 None => {
-                    let PastOrder { by, age_ms, other } = order;
+                    let RecentVmOrder { by, age_ms, other } = order;
                     let ages_ms = BTreeMap::from([(vm, age_ms)]);
-                    orders.push(OrdersOf { by, ages_ms, other });
+                    orders.push(OrdersByIssuer { by, ages_ms, other });
                 }
             }
         }
@@ -103,13 +103,13 @@
     }
 }
 
-impl From<Vec<OrdersOf>> for OrderedVms {
-    fn from(orders: Vec<OrdersOf>) -> OrderedVms {
+impl From<Vec<OrdersByIssuer>> for OrderedVms {
+    fn from(orders: Vec<OrdersByIssuer>) -> OrderedVms {
         let mut vms = BTreeMap::new();
-        for OrdersOf { by, ages_ms, other } in orders {
+        for OrdersByIssuer { by, ages_ms, other } in orders {
             for (vm, age_ms) in ages_ms {
                 let (by, other) = (by.clone(), other.clone());
-                vms.insert(vm, PastOrder { by, age_ms, other });
+                vms.insert(vm, RecentVmOrder { by, age_ms, other });
             }
         }
         OrderedVms(vms)
@@ -177,7 +177,11 @@
 
     /// Returns the VMs of which changes were ordered a short while ago, by
     /// `holder` or before it; the next holder must leave them alone at first.
-    pub fn ordered_vms(&mut self, now: Now, holder: &Orderer) -> OrderedVms {
+    pub fn ordered_vms(
+        &mut self,
+        now: Now,
+        holder: &OrderIssuer,
+    ) -> OrderedVms {
         let gap_ms = self.options.duty_gap_ms;
         self.ordered_vms.retain(|_, at| now.steady_ms <= *at + gap_ms);
         self.inherited_vms.retain(|_, order| now.steady_ms < order.until_ms);
@@ -185,13 +189,13 @@
             let InheritedOrder { by, until_ms, other } = order.clone();
             let left_ms = until_ms.saturating_sub(now.steady_ms);
             let age_ms = gap_ms.saturating_sub(left_ms);
-            (vm.clone(), PastOrder { by, age_ms, other })
+            (vm.clone(), RecentVmOrder { by, age_ms, other })
         });
         let own = self.ordered_vms.iter().map(|(vm, ordered_ms)| {
             let age_ms = now.steady_ms.saturating_sub(*ordered_ms);
             let (record, other) = (holder.clone(), OtherFields::default());
             let by = WithOthers { record, other: other.clone() };
-            (vm.clone(), PastOrder { by, age_ms, other })
+            (vm.clone(), RecentVmOrder { by, age_ms, other })
         });
         OrderedVms(inherited.chain(own).collect())
     }
@@ -203,7 +207,7 @@
     pub fn leave_vms_alone(
         &mut self,
         now: Now,
-        holder: &Orderer,
+        holder: &OrderIssuer,
         vms: Option<OrderedVms>,
     ) {
         let gap_ms = self.options.duty_gap_ms;
@@ -211,7 +215,7 @@
             self.all_vms_from_ms = now.steady_ms + gap_ms;
             return;
         };
-        for (vm, PastOrder { by, age_ms, other }) in vms.0 {
+        for (vm, RecentVmOrder { by, age_ms, other }) in vms.0 {
             if by.record.is_former_process_of(holder) || age_ms >= gap_ms {
                 continue;
             }
--- a/crates/dewspar/src/schedule/forecast.rs
+++ b/crates/dewspar/src/schedule/forecast.rs
@@ -12,7 +12,7 @@
 use {
     crate::{
         job::JobSpec,
-        schedule::{Forecast, Now, Room, Scheduler},
+        schedule::{Forecast, Now, Resources, Scheduler},
     },
     std::collections::VecDeque,
 };
@@ -22,20 +22,20 @@
 struct Arrival {
     at_ms: u64,
     /// What it takes, times milliseconds.
-    work: Room,
+    work: Resources,
 }
 
 /// The jobs that came to a pool of late.
 #[derive(Debug, Default)]
 pub(super) struct Arrivals {
     recent: VecDeque<Arrival>,
-    work: Room,
+    work: Resources,
     /// Since when jobs come without a longer gap.
     since_ms: u64,
 }
 
 impl Arrivals {
-    fn note(&mut self, at_ms: u64, work: Room, policy: &Forecast) {
+    fn note(&mut self, at_ms: u64, work: Resources, policy: &Forecast) {
         self.drop_old(at_ms, policy);
         if self.recent.is_empty() {
             self.since_ms = at_ms;
@@ -55,12 +55,12 @@
     }
 
     /// Returns what jobs that keep coming like this will use.
-    fn room(&mut self, now_ms: u64, policy: &Forecast) -> Room {
+    fn room(&mut self, now_ms: u64, policy: &Forecast) -> Resources {
         self.drop_old(now_ms, policy);
         let window_ms = now_ms
             .saturating_sub(self.since_ms)
             .clamp(policy.least_window_ms, policy.window_ms);
-        self.work.part(window_ms)
+        self.work.divided_by(window_ms)
     }
 }
 
@@ -81,14 +81,14 @@
     /// it shows what will be asked of the pools.
     pub(super) fn has_short_jobs(&self) -> bool {
         let whole = |spec: &JobSpec| self.first_work(spec, u64::MAX);
-        self.jobs.values().any(|job| whole(&job.spec) != Room::default())
+        self.jobs.values().any(|job| whole(&job.spec) != Resources::default())
     }
 
     /// Returns what each pool's arriving jobs will use.
     pub(super) fn forecasts(
         &mut self,
         now: Now,
-    ) -> impl Iterator<Item = (&String, Room)> {
+    ) -> impl Iterator<Item = (&String, Resources)> {
         let policy = &self.options.policy.forecast;
         let pools = self.arrivals.iter_mut().filter(|_| policy.enabled);
         pools.map(move |(pool, arrivals)| {
--- a/crates/dewspar/src/schedule/full_pools.rs
+++ b/crates/dewspar/src/schedule/full_pools.rs
@@ -1,5 +1,5 @@
 use {
-    crate::schedule::{Room, place::PoolNumber},
+    crate::schedule::{Resources, place::PoolNumber},
     std::collections::BTreeMap,
 };
 
@@ -12,26 +12,26 @@
 /// fall ever further behind.
 #[derive(Debug, Default)]
 pub(super) struct FullPools {
-    refused: Vec<Vec<Room>>,
+    refused: Vec<Vec<Resources>>,
 }
 
 impl FullPools {
-    pub(super) fn note(&mut self, pool: PoolNumber, demand: Room) {
+    pub(super) fn note(&mut self, pool: PoolNumber, demand: Resources) {
         if self.refused.len() <= pool {
             self.refused.resize_with(pool + 1, Vec::new);
         }
         let refused = &mut self.refused[pool];
-        refused.retain(|larger| !larger.holds(&demand));
+        refused.retain(|larger| !larger.contains(&demand));
         refused.push(demand);
     }
 
     pub(super) fn has_none_for(
         &self,
         pool: PoolNumber,
-        demand: &Room,
+        demand: &Resources,
     ) -> bool {
         let refused = self.refused.get(pool);
-        refused.is_some_and(|r| r.iter().any(|least| demand.holds(least)))
+        refused.is_some_and(|r| r.iter().any(|least| demand.contains(least)))
     }
 }
 
--- a/crates/dewspar/src/schedule/in_doubt.rs
+++ b/crates/dewspar/src/schedule/in_doubt.rs
@@ -173,7 +173,7 @@
         self.tasks_in_doubt.insert(*task);
         self.mark_changed(task.job);
         let for_ms = MAY_ARRIVE_MS;
-        self.note(Decision::InDoubt { task: *task, worker, for_ms });
+        self.note(Decision::StartInDoubt { task: *task, worker, for_ms });
     }
 
     /// Notes that a former holder has a start on record as ordered.
--- a/crates/dewspar/src/schedule/lasting.rs
+++ b/crates/dewspar/src/schedule/lasting.rs
@@ -18,7 +18,7 @@
     crate::{
         job::{StepSpec, TaskId},
         schedule::{
-            Now, Room, Scheduler, WorkerId,
+            Now, Resources, Scheduler, WorkerId,
             board::{Job, demand},
             place::has_label,
             worker::{Purpose, Worker},
@@ -43,7 +43,7 @@
 struct Part<'a> {
     first: TaskId,
     spec: &'a StepSpec,
-    demand: Room,
+    demand: Resources,
     /// How many run on no worker that stays.
     unplaced: u64,
     /// How many of these could start now.
@@ -55,12 +55,12 @@
 struct PoolParts<'a> {
     parts: Vec<Part<'a>>,
     /// The workers that stay, each with what is to last there.
-    on: HashMap<&'a WorkerId, Room>,
+    on: HashMap<&'a WorkerId, Resources>,
 }
 
 /// A VM that tasks are put on in thought.
 struct Bin<'a> {
-    free: Room,
+    free: Resources,
     /// Its worker; `None` for one that is to come.
     worker: Option<&'a Worker>,
 }
@@ -72,7 +72,7 @@
         if self.worker.is_some_and(|worker| !has_label(worker, label)) {
             return 0;
         }
-        let fitting = self.free.times_held(&part.demand);
+        let fitting = self.free.count_fitting(&part.demand);
         let taken = count.min(fitting).min(self.siblings_left(part));
         self.free.subtract(&part.demand.times(taken));
         taken
@@ -94,7 +94,7 @@
 fn added_vms<'a>(
     mut bins: Vec<Bin<'a>>,
     parts: &[(&Part, u64)],
-    vms: &[Room],
+    vms: &[Resources],
 ) -> u64 {
     let Some(smallest) = smallest(parts) else { return 0 };
     let mut added = 0;
@@ -104,9 +104,9 @@
         // that the steps before it have filled.
         bins.retain_mut(|bin| {
             left -= bin.take(part, left);
-            bin.free.holds(&smallest)
+            bin.free.contains(&smallest)
         });
-        let fitting = vms.iter().filter(|vm| vm.holds(&part.demand));
+        let fitting = vms.iter().filter(|vm| vm.contains(&part.demand));
         let Some(vm) = fitting.max_by_key(|vm| vm.cpu_millis) else {
             continue;
         };
@@ -121,9 +121,9 @@
 }
 
 /// Returns the least of each kind of room that some task asks for.
-fn smallest(parts: &[(&Part, u64)]) -> Option<Room> {
+fn smallest(parts: &[(&Part, u64)]) -> Option<Resources> {
     let demands = parts.iter().map(|(part, _)| part.demand);
-    demands.reduce(|least, demand| least.smaller(&demand))
+    demands.reduce(|least, demand| least.component_min(&demand))
 }
 
 impl Scheduler {
@@ -165,7 +165,7 @@
         &'a self,
         job: &'a Job,
         first: TaskId,
-        on: &mut HashMap<&'a WorkerId, Room>,
+        on: &mut HashMap<&'a WorkerId, Resources>,
         now: Now,
     ) -> Option<Part<'a>> {
         let spec = job.step_spec(&first)?;
@@ -200,16 +200,17 @@
 
     /// Returns which part of the largest VM a task takes, in thousandths of
     /// the kind of room that it takes most of.
-    fn share(&self, demand: &Room) -> u64 {
+    fn share(&self, demand: &Resources) -> u64 {
         let largest = self.capacities.iter();
-        let largest = largest.fold(Room::default(), |a, b| a.larger(b));
-        demand.per_thousand_of(&largest)
+        let largest =
+            largest.fold(Resources::default(), |a, b| a.component_max(b));
+        demand.permille_of(&largest)
     }
 
     fn floor_vms(&self, pool: &PoolParts) -> u64 {
         let bins = pool.on.iter().filter_map(|(id, used)| {
             let worker = self.workers.get(id)?;
-            let free = worker.listing.capacity.less(used);
+            let free = worker.listing.capacity.minus(used);
             Some(Bin { free, worker: Some(worker) })
         });
         let mut bins: Vec<Bin> = bins.collect();
@@ -240,7 +241,7 @@
     }
 
     /// Returns the room of each VM that is on its way to a pool.
-    fn coming_rooms(&self, pool: &str) -> impl Iterator<Item = Room> {
+    fn coming_rooms(&self, pool: &str) -> impl Iterator<Item = Resources> {
         let ordered = self.moving.iter().filter(move |(_, m)| m.to == pool);
         let ordered =
             ordered.filter_map(|(vm, _)| Some(self.vms.get(vm)?.capacity));
--- a/crates/dewspar/src/schedule/maintenance.rs
+++ b/crates/dewspar/src/schedule/maintenance.rs
@@ -13,9 +13,9 @@
     crate::{
         job::TaskId,
         schedule::{
-            Decision, ManagedVm, Now, Scheduler, VmLife, VmOrder,
-            VmOrderError, WaveRecord, WaveRequest, WorkerId,
-            wave_account::WaveTold,
+            Decision, ManagedVm, Now, Scheduler, VmOrder, VmOrderError,
+            VmStatus, WaveRecord, WaveRequest, WorkerId,
+            wave_account::WaveReports,
             wave_state::WaveState,
             worker::{Purpose, RunState, Worker},
         },
@@ -79,7 +79,7 @@
                 ordered: BTreeMap::new(),
                 missing: BTreeMap::new(),
                 reported: false,
-                told: WaveTold::default(),
+                told: WaveReports::default(),
                 completed: completed.contains(&request.wave),
             };
             self.waves.insert(request.wave, state);
@@ -95,7 +95,7 @@
     /// Takes over the list of VMs, as it was asked for at `asked_ms`.
     pub fn list_vms(&mut self, now: Now, asked_ms: u64, vms: &[ManagedVm]) {
         self.vms = vms.iter().map(|vm| (vm.vm.clone(), vm.clone())).collect();
-        let lives = vms.iter().filter(|vm| vm.life == VmLife::Up);
+        let lives = vms.iter().filter(|vm| vm.status == VmStatus::Up);
         let lives: Vec<(WorkerId, String)> = lives
             .filter_map(|vm| {
                 vm.worker.clone().map(|worker| (worker, vm.pool.clone()))
@@ -198,7 +198,7 @@
     /// is, or it was ordered of late and the order may yet be carried out.
     pub(super) fn may_be_down(&self, vm: &str, now: Now) -> bool {
         let known = self.vms.get(vm);
-        known.is_some_and(|vm| vm.life == VmLife::Maintenance)
+        known.is_some_and(|vm| vm.status == VmStatus::Maintenance)
             || self.was_ordered_before(vm, now)
     }
 
@@ -210,7 +210,7 @@
         wave: u64,
     ) -> bool {
         let Some(known) = self.vms.get(vm) else { return false };
-        if known.life != VmLife::Up {
+        if known.status != VmStatus::Up {
             return false;
         }
         match worker {
@@ -253,7 +253,7 @@
         worker.emptying = Some(purpose);
         worker.emptying_since_ms = now.steady_ms;
         let vm = worker.listing.vm.clone();
-        self.note(Decision::Emptying { worker: id.clone(), vm, reason });
+        self.note(Decision::DrainStarted { worker: id.clone(), vm, reason });
     }
 
     /// Stops what has to leave workers that are being emptied or end soon.
--- a/crates/dewspar/src/schedule/mod.rs
+++ b/crates/dewspar/src/schedule/mod.rs
@@ -52,7 +52,7 @@
     job::{JobSpec, StepSpec},
     schedule::{
         AcceptedJob, Action, HoldReport, Incarnation, Now, Options,
-        QueueTerms, Room, Scheduler, WorkerId, WorkerListing,
+        QueueTerms, Resources, Scheduler, WorkerId, WorkerListing,
     },
 };
 
@@ -68,7 +68,7 @@
     pool: "registry".to_owned(),
     rack: String::new(),
     labels: Vec::new(),
-    capacity: Room { cpu_millis: 1_000, memory_mb: 100, gpus: 0 },
+    capacity: Resources { cpu_millis: 1_000, memory_mb: 100, gpus: 0 },
     draining: false,
     remaining_ms: None,
 }]);
@@ -96,12 +96,12 @@
 */
 
 pub use self::{
-    duty::{OrderedVms, Orderer, PastOrder},
+    duty::{OrderIssuer, OrderedVms, RecentVmOrder},
     options::Options,
     order::{
         ActiveRun, EndCause, EndedRun, HoldOrder, HoldReport, Incarnation,
-        OrderError, PaceOrder, Refusal, Room, StartOrder, StopOrder, WorkerId,
-        WorkerListing,
+        OrderError, PaceOrder, Refusal, Resources, StartOrder, StopOrder,
+        WorkerId, WorkerListing,
     },
     policy::{
         Forecast, InvalidPolicy, Orders, Placing, Policy, Sizing, Watching,
@@ -110,8 +110,10 @@
     set_aside::{EndSetAside, EndsSetAside},
     start_log::{LoggedStart, StartLog},
     storing::Changes,
-    vm::{ManagedVm, VmLife, VmOrder, VmOrderError, WaveRecord, WaveRequest},
-    wave_account::{LeftVms, WaveAccount, WaveTime},
+    vm::{
+        ManagedVm, VmOrder, VmOrderError, VmStatus, WaveRecord, WaveRequest,
+    },
+    wave_account::{RemainingVms, WaveDeadline, WaveProgress},
     wave_choice::WavePace,
 };
 
@@ -255,7 +257,7 @@
         /// Where it takes orders.
         address: String,
         /// The order, to be given back with its answer.
-        held: Held,
+        held: SentHold,
     },
     /// Ask the adviser which workers may run a step.
     Advise {
@@ -279,7 +281,7 @@
 
 /// A hold that was sent.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Held {
+pub struct SentHold {
     /// Since when the worker's process was known that was to answer; see
     /// [`workers`].
     session: u64,
@@ -292,7 +294,7 @@
     silent: bool,
 }
 
-impl Held {
+impl SentHold {
     /// Returns the order to send.
     pub fn order(&self) -> &HoldOrder {
         &self.order
@@ -317,7 +319,7 @@
         cpu_millis: u64,
     },
     /// A worker has said that a run of a job began, the first that is known.
-    Begun {
+    JobBegan {
         /// The job.
         job: JobId,
         /// How long after it was accepted, in milliseconds.
@@ -367,7 +369,7 @@
         place: Option<WorkerId>,
     },
     /// A task that is to last has waited for a while.
-    Waits {
+    LongWait {
         /// The first such task of its step.
         task: TaskId,
         /// How many of the step wait.
@@ -377,10 +379,10 @@
         /// Why.
         reason: &'static str,
         /// What the workers of its pool lack for it.
-        lack: Lack,
+        unfit: UnfitWorkers,
     },
     /// A run that was to be stopped is over.
-    StopOver {
+    StopFinished {
         /// The task.
         task: TaskId,
         /// The run's number.
@@ -390,7 +392,7 @@
         /// How it ended, or how that is known.
         cause: &'static str,
         /// How it was stopped.
-        stop: StopAccount,
+        stop: StopAttempts,
     },
     /// A run goes on for longer than a stop may take.
     StopOverdue {
@@ -401,10 +403,10 @@
         /// The worker.
         worker: WorkerId,
         /// How it was to be stopped so far.
-        stop: StopAccount,
+        stop: StopAttempts,
     },
     /// A run is over without a listed end.
-    Lost {
+    RunLost {
         /// The task.
         task: TaskId,
         /// The run's number.
@@ -417,11 +419,11 @@
         /// it isn't known to have begun.
         age_ms: u64,
         /// How many other runs its worker had, of all jobs.
-        beside: usize,
+        other_runs: usize,
     },
     /// An order to start a task got no answer and may still be carried out: the
     /// task starts on that worker only for a while.
-    InDoubt {
+    StartInDoubt {
         /// The task.
         task: TaskId,
         /// The worker.
@@ -487,7 +489,7 @@
     },
     /// What a worker's answer lists isn't believed, since its clock is behind
     /// that of an answer before: the first of a row of such answers.
-    ListsPassedOver {
+    StaleReportIgnored {
         /// The worker.
         worker: WorkerId,
         /// The worker's clock in the answer, in milliseconds.
@@ -496,7 +498,7 @@
         latest_ms: u64,
     },
     /// A worker gets nothing more, so that its VM can be used otherwise.
-    Emptying {
+    DrainStarted {
         /// The worker.
         worker: WorkerId,
         /// Its VM.
@@ -520,11 +522,11 @@
         waiting_cpu: u64,
     },
     /// A wave goes on, or its time is over.
-    WaveGoesOn {
+    WaveProgress {
         /// The wave's number.
         wave: u64,
         /// How far it has come, and what keeps its VMs.
-        account: WaveAccount,
+        progress: WaveProgress,
     },
     /// A worker's life is over.
     WorkerGone {
@@ -534,7 +536,7 @@
         reason: &'static str,
     },
     /// A job came to another phase.
-    Job {
+    JobFinished {
         /// The job.
         job: JobId,
         /// The phase.
@@ -557,7 +559,7 @@
 /// How many workers of a pool can't take a task, each counted once, by the
 /// first that holds of it in this order.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct Lack {
+pub struct UnfitWorkers {
     /// All workers of the pool.
     pub workers: usize,
     /// Those that take nothing now: emptied, draining, silent, not asked yet.
@@ -575,7 +577,7 @@
 
 /// What was done to stop a run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct StopAccount {
+pub struct StopAttempts {
     /// Why it was to stop.
     pub reason: &'static str,
     /// How long ago the first order to stop it was sent, in milliseconds; 0
--- a/crates/dewspar/src/schedule/order.rs
+++ b/crates/dewspar/src/schedule/order.rs
@@ -87,7 +87,7 @@
 
 /// What a task takes of a worker, or what a worker has.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct Room {
+pub struct Resources {
     /// Processor time, in thousandths of a core.
     pub cpu_millis: u64,
     /// Memory, in megabytes.
@@ -96,37 +96,37 @@
     pub gpus: u64,
 }
 
-impl Room {
+impl Resources {
     /// Returns whether `other` fits into this room.
-    pub fn holds(&self, other: &Room) -> bool {
+    pub fn contains(&self, other: &Resources) -> bool {
         self.cpu_millis >= other.cpu_millis
             && self.memory_mb >= other.memory_mb
             && self.gpus >= other.gpus
     }
 
     /// Adds another room.
-    pub fn add(&mut self, other: &Room) {
+    pub fn add(&mut self, other: &Resources) {
         self.cpu_millis += other.cpu_millis;
         self.memory_mb += other.memory_mb;
         self.gpus += other.gpus;
     }
 
     /// Takes another room away; what isn't there counts as 0.
-    pub fn subtract(&mut self, other: &Room) {
+    pub fn subtract(&mut self, other: &Resources) {
         self.cpu_millis = self.cpu_millis.saturating_sub(other.cpu_millis);
         self.memory_mb = self.memory_mb.saturating_sub(other.memory_mb);
         self.gpus = self.gpus.saturating_sub(other.gpus);
     }
 
     /// Returns this room and another.
-    pub fn plus(mut self, other: &Room) -> Room {
+    pub fn plus(mut self, other: &Resources) -> Resources {
         self.add(other);
         self
     }
 
     /// Returns so many times this room.
-    pub fn times(&self, count: u64) -> Room {
-        Room {
+    pub fn times(&self, count: u64) -> Resources {
+        Resources {
             cpu_millis: self.cpu_millis.saturating_mul(count),
             memory_mb: self.memory_mb.saturating_mul(count),
             gpus: self.gpus.saturating_mul(count),
@@ -134,9 +134,9 @@
     }
 
     /// Returns so manieth a part of this room.
-    pub fn part(&self, count: u64) -> Room {
+    pub fn divided_by(&self, count: u64) -> Resources {
         let count = count.max(1);
-        Room {
+        Resources {
             cpu_millis: self.cpu_millis / count,
             memory_mb: self.memory_mb / count,
             gpus: self.gpus / count,
@@ -145,24 +145,24 @@
 
     /// Returns how many times `other` fits into this room; `u64::MAX` if it
     /// takes nothing.
-    pub fn times_held(&self, other: &Room) -> u64 {
-        let kinds = self.kinds().into_iter().zip(other.kinds());
+    pub fn count_fitting(&self, other: &Resources) -> u64 {
+        let kinds = self.components().into_iter().zip(other.components());
         let times = kinds.filter_map(|(has, takes)| has.checked_div(takes));
         times.min().unwrap_or(u64::MAX)
     }
 
     /// Returns how many rooms like `other` this takes, by the kind that takes
     /// most; kinds that `other` has none of don't count.
-    pub fn rooms_of(&self, other: &Room) -> u64 {
-        let kinds = self.kinds().into_iter().zip(other.kinds());
+    pub fn units_of(&self, other: &Resources) -> u64 {
+        let kinds = self.components().into_iter().zip(other.components());
         let counted = kinds.filter(|(_, of)| *of > 0);
         let rooms = counted.map(|(is, of)| is.div_ceil(of));
         rooms.max().unwrap_or(0)
     }
 
     /// Returns the larger of each kind of room.
-    pub fn larger(&self, other: &Room) -> Room {
-        Room {
+    pub fn component_max(&self, other: &Resources) -> Resources {
+        Resources {
             cpu_millis: self.cpu_millis.max(other.cpu_millis),
             memory_mb: self.memory_mb.max(other.memory_mb),
             gpus: self.gpus.max(other.gpus),
@@ -170,8 +170,8 @@
     }
 
     /// Returns the smaller of each kind of room.
-    pub fn smaller(&self, other: &Room) -> Room {
-        Room {
+    pub fn component_min(&self, other: &Resources) -> Resources {
+        Resources {
             cpu_millis: self.cpu_millis.min(other.cpu_millis),
             memory_mb: self.memory_mb.min(other.memory_mb),
             gpus: self.gpus.min(other.gpus),
@@ -180,19 +180,19 @@
 
     /// Returns how many rooms like `other` this is, in thousandths, by the
     /// kind of which it is most; kinds that `other` has none of don't count.
-    pub fn per_thousand_of(&self, other: &Room) -> u64 {
-        let kinds = self.kinds().into_iter().zip(other.kinds());
+    pub fn permille_of(&self, other: &Resources) -> u64 {
+        let kinds = self.components().into_iter().zip(other.components());
         let shares = kinds
             .filter_map(|(is, of)| is.saturating_mul(1_000).checked_div(of));
         shares.max().unwrap_or(0)
     }
 
-    fn kinds(&self) -> [u64; 3] {
+    fn components(&self) -> [u64; 3] {
         [self.cpu_millis, self.memory_mb, self.gpus]
     }
 
     /// Returns this room less another.
-    pub fn less(mut self, other: &Room) -> Room {
+    pub fn minus(mut self, other: &Resources) -> Resources {
         self.subtract(other);
         self
     }
@@ -216,7 +216,7 @@
     /// Its labels.
     pub labels: Vec<String>,
     /// What it has room for.
-    pub capacity: Room,
+    pub capacity: Resources,
     /// Whether it will end soon and takes nothing new.
     pub draining: bool,
     /// How long it lasts at least while it drains, in milliseconds.
@@ -234,7 +234,7 @@
             pool,
             rack: String::new(),
             labels: Vec::new(),
-            capacity: Room::default(),
+            capacity: Resources::default(),
             draining: true,
             remaining_ms: None,
         }
--- a/crates/dewspar/src/schedule/place.rs
+++ b/crates/dewspar/src/schedule/place.rs
@@ -254,7 +254,7 @@
     pub(super) fn fits_somewhere(&self, spec: &StepSpec) -> bool {
         let demand = demand(spec);
         let label = &spec.required_label;
-        let fits = self.capacities.iter().any(|room| room.holds(&demand));
+        let fits = self.capacities.iter().any(|room| room.contains(&demand));
         let labelled = label.is_empty()
             || self.workers.values().any(|w| has_label(w, label));
         fits && labelled
@@ -373,7 +373,7 @@
                 RoomFrom::Now => worker.free_for(task),
                 RoomFrom::Soon => worker.free_soon_for(task),
             };
-            free.holds(&demand)
+            free.contains(&demand)
                 && worker.takes_orders(now.steady_ms)
                 && (guarded || worker.has_sure_room(now.steady_ms, TOLD_MS))
                 && !worker.runs.contains_key(task)
@@ -416,7 +416,7 @@
         let demand = demand(spec);
         !self.workers.in_pool(&job.terms.pool).any(|(_, worker)| {
             worker.is_usable()
-                && worker.listing.capacity.holds(&demand)
+                && worker.listing.capacity.contains(&demand)
                 && has_label(worker, &spec.required_label)
                 && !state.avoid.contains(worker.id())
         })
@@ -514,7 +514,7 @@
         let demand = &demand(spec);
         // The fullest that still has room: the others fall idle, and their
         // VMs can be used elsewhere.
-        let left = worker.free().less(demand).cpu_millis as i64;
+        let left = worker.free().minus(demand).cpu_millis as i64;
         let policy = self.placing();
         let mut score = if policy.fullest_first { -left } else { left };
         let near = !spec.data_rack.is_empty()
--- a/crates/dewspar/src/schedule/place/alike.rs
+++ b/crates/dewspar/src/schedule/place/alike.rs
@@ -13,8 +13,8 @@
     crate::{
         job::{StepSpec, TaskId},
         schedule::{
-            Now, Room, Scheduler, WorkerId, board::demand, worker::Worker,
-            workers::WorkerNumber,
+            Now, Resources, Scheduler, WorkerId, board::demand,
+            worker::Worker, workers::WorkerNumber,
         },
     },
     std::cmp::Reverse,
@@ -25,7 +25,7 @@
     workers: Vec<WorkerNumber>,
     /// The first that may still have room.
     next: usize,
-    demand: Room,
+    demand: Resources,
 }
 
 impl PlacesForAlike {
@@ -46,7 +46,7 @@
     }
 
     fn fits(&self, worker: &Worker, task: &TaskId) -> bool {
-        worker.free().holds(&self.demand)
+        worker.free().contains(&self.demand)
             && !worker.runs.contains_key(task)
             && !worker.tests_a_run()
     }
--- a/crates/dewspar/src/schedule/place/candidates.rs
+++ b/crates/dewspar/src/schedule/place/candidates.rs
@@ -12,7 +12,7 @@
     crate::{
         job::{JobId, TaskId},
         schedule::{
-            Now, Room,
+            Now, Resources,
             board::{Job, demand},
             jobs::Jobs,
         },
@@ -50,7 +50,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) struct Wanted {
     pub(super) pool: PoolNumber,
-    pub(super) demand: Room,
+    pub(super) demand: Resources,
     /// Whether some task that waits may crash its worker.
     pub(super) suspects: bool,
     /// Whether its tasks are to last.
--- a/crates/dewspar/src/schedule/places.rs
+++ b/crates/dewspar/src/schedule/places.rs
@@ -22,7 +22,7 @@
     crate::{
         job::TaskId,
         schedule::{
-            Decision, Now, Room, Scheduler, WorkerId,
+            Decision, Now, Resources, Scheduler, WorkerId,
             board::demand,
             place::{Candidate, RoomFrom},
             worker::{Kept, Worker},
@@ -78,7 +78,7 @@
 }
 
 /// What tasks take together, by pool.
-type Unplaced = BTreeMap<String, Room>;
+type Unplaced = BTreeMap<String, Resources>;
 
 /// The places that are kept.
 #[derive(Debug, Default)]
@@ -149,7 +149,7 @@
             return false;
         };
         let Some(worker) = self.workers.get_mut(to) else { return false };
-        let is_free = worker.free_for(task).holds(&room);
+        let is_free = worker.free_for(task).contains(&room);
         if is_free {
             worker.keep_for(*task, Kept { room, was_free: true });
         }
@@ -164,7 +164,7 @@
     ) {
         let Some(room) = self.step_spec(task).map(demand) else { return };
         let Some(worker) = self.workers.get_mut(to) else { return };
-        let was_free = worker.free().holds(&room);
+        let was_free = worker.free().contains(&room);
         worker.keep_for(*task, Kept { room, was_free });
         let planned =
             PlannedStart { from, to: to.clone(), unfit_since_ms: None };
@@ -217,7 +217,7 @@
         let most = spec.max_per_worker as usize;
         let has_room = |worker: &Worker| {
             worker.is_usable()
-                && worker.free_soon_for(task).holds(&room)
+                && worker.free_soon_for(task).contains(&room)
                 && (most == 0 || worker.runs_of_step(task) < most)
         };
         let pool = job.terms.pool.as_str();
@@ -387,20 +387,20 @@
     pub(super) fn waits_for_kept_room(
         &self,
         task: &TaskId,
-        demand: &Room,
+        demand: &Resources,
     ) -> bool {
         let Some(planned) = self.places.planned.get(task) else {
             return false;
         };
         let place = self.workers.get(&planned.to);
-        place.is_some_and(|p| !p.free_for(task).holds(demand))
+        place.is_some_and(|p| !p.free_for(task).contains(demand))
     }
 
     /// Returns how many VMs a pool needs so that its tasks that should move and
     /// have no place get one; 0 if each has one.
     pub(super) fn need_for_unplaced(&self, pool: &str) -> u64 {
         let Some(unplaced) = self.places.unplaced.get(pool) else { return 0 };
-        let mut vm = Room::default();
+        let mut vm = Resources::default();
         for room in &self.capacities {
             vm.cpu_millis = vm.cpu_millis.max(room.cpu_millis);
             vm.memory_mb = vm.memory_mb.max(room.memory_mb);
@@ -461,12 +461,12 @@
         let Some(place) = place.filter(|worker| {
             worker.is_usable()
                 && worker.listing.pool == job.terms.pool
-                && worker.free_soon_for(task).holds(&demand(spec))
+                && worker.free_soon_for(task).contains(&demand(spec))
                 && !unfit
         }) else {
             return Outlook::PlaceLost;
         };
-        if waits && !place.free_for(task).holds(&demand(spec)) {
+        if waits && !place.free_for(task).contains(&demand(spec)) {
             Outlook::NotYetFree
         } else {
             Outlook::Good
--- a/crates/dewspar/src/schedule/places/gang.rs
+++ b/crates/dewspar/src/schedule/places/gang.rs
@@ -25,8 +25,8 @@
     crate::{
         job::TaskId,
         schedule::{
-            Now, Room, Scheduler, WorkerId, board::demand, place::RoomFrom,
-            worker::Kept,
+            Now, Resources, Scheduler, WorkerId, board::demand,
+            place::RoomFrom, worker::Kept,
         },
     },
     std::collections::BTreeMap,
@@ -288,7 +288,7 @@
     pub(in crate::schedule) fn put_back_place(&mut self, taken: TakenBack) {
         let TakenBack { task, planned, room } = taken;
         if let Some(worker) = self.workers.get_mut(&planned.to) {
-            let was_free = worker.free().holds(&room);
+            let was_free = worker.free().contains(&room);
             worker.keep_for(task, Kept { room, was_free });
         }
         self.places.planned.insert(task, planned);
@@ -319,7 +319,7 @@
         let suits = self.workers.get(worker_id).is_some_and(|worker| {
             worker.is_usable()
                 && worker.listing.pool == job.terms.pool
-                && worker.free().holds(&demand(spec))
+                && worker.free().contains(&demand(spec))
         });
         if suits && !has_failed {
             self.keep_place(task, None, worker_id);
@@ -486,5 +486,5 @@
 pub(in crate::schedule) struct TakenBack {
     task: TaskId,
     planned: PlannedStart,
-    room: Room,
+    room: Resources,
 }
--- a/crates/dewspar/src/schedule/places/search.rs
+++ b/crates/dewspar/src/schedule/places/search.rs
@@ -12,8 +12,8 @@
     crate::{
         job::{StepSpec, TaskId},
         schedule::{
-            Now, Room, Scheduler, WorkerId, board::demand, place::RoomFrom,
-            worker::Worker,
+            Now, Resources, Scheduler, WorkerId, board::demand,
+            place::RoomFrom, worker::Worker,
         },
     },
     std::collections::{BTreeMap, BinaryHeap, HashMap},
@@ -37,7 +37,7 @@
 
 impl Opening<'_> {
     /// Returns what is left once one more member was put there, if anything.
-    fn after_one_more(self, demand: &Room) -> Option<Self> {
+    fn after_one_more(self, demand: &Resources) -> Option<Self> {
         // OK to convert: no VM has so many cores.
         let taken = demand.cpu_millis as i64;
         let free_cpu_millis = self.free_cpu_millis - taken;
@@ -75,7 +75,7 @@
             most => most.saturating_sub(siblings),
         };
         let members_left =
-            free.times_held(&demand).min(apart).saturating_sub(put);
+            free.count_fitting(&demand).min(apart).saturating_sub(put);
         let taken = demand.times(put).cpu_millis;
         // OK to convert: no VM has so many cores.
         let free_cpu_millis = worker.free().cpu_millis as i64 - taken as i64;
--- a/crates/dewspar/src/schedule/projection.rs
+++ b/crates/dewspar/src/schedule/projection.rs
@@ -13,7 +13,7 @@
 use {
     crate::{
         job::{JobId, JobSpec},
-        schedule::{Now, Room, Scheduler, board::Job, board::demand},
+        schedule::{Now, Resources, Scheduler, board::Job, board::demand},
     },
     std::collections::{BTreeMap, HashMap},
 };
@@ -24,7 +24,7 @@
     /// Until when the longest of them goes on, in milliseconds from now.
     left_ms: u64,
     /// What those use that still go on at the time looked at.
-    room: Room,
+    room: Resources,
 }
 
 /// One step of one round of a job.
@@ -37,9 +37,9 @@
         &self,
         now: Now,
         ahead_ms: u64,
-    ) -> BTreeMap<String, Room> {
+    ) -> BTreeMap<String, Resources> {
         let runs = self.runs_left(now, ahead_ms);
-        let mut pools: HashMap<&str, Room> = HashMap::new();
+        let mut pools: HashMap<&str, Resources> = HashMap::new();
         // One for all jobs: a list each was two fifths of the allocations of a
         // look at the VMs.
         let mut ends = Vec::new();
@@ -49,7 +49,7 @@
             }
             let used =
                 self.project_job(*id, job, &runs, &mut ends, now, ahead_ms);
-            if used != Room::default() {
+            if used != Resources::default() {
                 pools.entry(&job.terms.pool).or_default().add(&used);
             }
         }
@@ -92,8 +92,8 @@
         ends: &mut Vec<u64>,
         now: Now,
         ahead_ms: u64,
-    ) -> Room {
-        let mut used = Room::default();
+    ) -> Resources {
+        let mut used = Resources::default();
         for (round, steps) in (0..).zip(&job.rounds) {
             let due_in_ms = job.spec.due_ms(round).saturating_sub(now.unix_ms);
             if due_in_ms > ahead_ms {
@@ -134,12 +134,16 @@
     /// Returns what a job will use within `ahead_ms` of its coming, times
     /// milliseconds; what runs for long, falls due later or fits nowhere isn't
     /// counted.
-    pub(super) fn first_work(&self, spec: &JobSpec, ahead_ms: u64) -> Room {
+    pub(super) fn first_work(
+        &self,
+        spec: &JobSpec,
+        ahead_ms: u64,
+    ) -> Resources {
         if spec.repeat.is_some() {
-            return Room::default();
+            return Resources::default();
         }
         let mut ends: Vec<u64> = Vec::with_capacity(spec.steps.len());
-        let mut work = Room::default();
+        let mut work = Resources::default();
         for (step, step_spec) in spec.steps.iter().enumerate() {
             let begins_ms = begins_ms(spec, step, &ends);
             let lasts_ms = step_spec.estimate_ms;
--- a/crates/dewspar/src/schedule/questions.rs
+++ b/crates/dewspar/src/schedule/questions.rs
@@ -15,7 +15,7 @@
 */
 
 use {
-    crate::schedule::{Held, Now, Scheduler, workers::WorkerNumber},
+    crate::schedule::{Now, Scheduler, SentHold, workers::WorkerNumber},
     std::collections::VecDeque,
 };
 
@@ -80,7 +80,7 @@
     }
 
     /// Notes a question that is sent now.
-    pub(super) fn sent(&mut self, worker: WorkerNumber, held: &Held) {
+    pub(super) fn sent(&mut self, worker: WorkerNumber, held: &SentHold) {
         // That a silent worker doesn't answer says nothing of this node.
         if held.silent {
             return;
--- a/crates/dewspar/src/schedule/report.rs
+++ b/crates/dewspar/src/schedule/report.rs
@@ -6,9 +6,9 @@
     crate::{
         job::{Phase, TaskId},
         schedule::{
-            ActiveRun, Decision, EndCause, EndedRun, Held, HoldReport,
-            Incarnation, Now, OrderError, Refusal, Room, Scheduler, WorkerId,
-            WorkerListing,
+            ActiveRun, Decision, EndCause, EndedRun, HoldReport, Incarnation,
+            Now, OrderError, Refusal, Resources, Scheduler, SentHold,
+            WorkerId, WorkerListing,
             answers::call_end,
             board::{Job, demand},
             processes::Succession,
@@ -27,9 +27,9 @@
     /// It is the one that was ordered.
     Expected,
     /// It belongs to a task that needs it.
-    Adopt(Room),
+    Adopt(Resources),
     /// Nobody needs it; what it takes is only known if its job is.
-    Unwanted(Option<Room>),
+    Unwanted(Option<Resources>),
 }
 
 /// A run that a worker doesn't list though it would have to.
@@ -48,7 +48,7 @@
     pub fn hold_answered(
         &mut self,
         worker_id: &WorkerId,
-        held: &Held,
+        held: &SentHold,
         report: &HoldReport,
         now: Now,
     ) {
@@ -80,7 +80,7 @@
             worker.hold_answered(&owed, report, now.steady_ms, &self.options);
         let passed_over = worker.passes_lists_over(newest);
         if passed_over {
-            self.note(Decision::ListsPassedOver {
+            self.note(Decision::StaleReportIgnored {
                 worker: worker_id.clone(),
                 clock_ms: report.clock_ms,
                 latest_ms,
@@ -140,7 +140,7 @@
     fn former_process_answered(
         &mut self,
         worker_id: &WorkerId,
-        held: &Held,
+        held: &SentHold,
         now: Now,
     ) {
         let Some(worker) = self.workers.get_mut(worker_id) else { return };
@@ -155,7 +155,7 @@
     pub fn hold_failed(
         &mut self,
         worker_id: &WorkerId,
-        held: &Held,
+        held: &SentHold,
         error: OrderError,
         now: Now,
     ) {
@@ -186,7 +186,7 @@
 
     fn hold_ended(
         &mut self,
-        held: &Held,
+        held: &SentHold,
         error: Option<OrderError>,
         now: Now,
     ) {
@@ -386,7 +386,7 @@
         let mut run = Run {
             run: active.run,
             fence: 0,
-            demand: Room::default(),
+            demand: Resources::default(),
             state: RunState::Running,
             since_ms: now.steady_ms,
             confirmed_from_ms: Some(reported_ms),
@@ -498,7 +498,7 @@
     fn drop_missing(
         &mut self,
         worker_id: &WorkerId,
-        held: &Held,
+        held: &SentHold,
         report: &HoldReport,
         now: Now,
     ) {
@@ -541,13 +541,13 @@
             if !begun {
                 self.note_in_doubt(&task, worker_id, run, missing.ordered_ms);
             }
-            self.note(Decision::Lost {
+            self.note(Decision::RunLost {
                 task,
                 run,
                 worker: worker_id.clone(),
                 reason: "the worker doesn't list it",
                 age_ms,
-                beside,
+                other_runs: beside,
             });
             self.free_run(&task, worker_id, now);
         }
--- a/crates/dewspar/src/schedule/scheduler.rs
+++ b/crates/dewspar/src/schedule/scheduler.rs
@@ -4,8 +4,8 @@
         job::{JobId, Phase, Progress, TaskId},
         link::{Class, LinkBudget},
         schedule::{
-            AcceptedJob, Action, Decision, Held, ManagedVm, Now, Options,
-            PaceOrder, QueueTerms, Room, WorkerId,
+            AcceptedJob, Action, Decision, ManagedVm, Now, Options, PaceOrder,
+            QueueTerms, Resources, SentHold, WorkerId,
             advice::StepAdvice,
             board::Job,
             cancelled::Cancelled,
@@ -125,7 +125,7 @@
     /// hold, and since when.
     pub(super) without_place: BTreeMap<String, u64>,
     /// What workers and VMs have room for, each kind once.
-    pub(super) capacities: Vec<Room>,
+    pub(super) capacities: Vec<Resources>,
     /// What the adviser has said, by the first task of each step.
     pub(super) advice: BTreeMap<TaskId, StepAdvice>,
     /// When the list of VMs was last asked for.
@@ -147,7 +147,7 @@
     /// How many VMs each pool should have, when that was last looked at.
     pub(super) targets: BTreeMap<String, u64>,
     /// What each pool's known jobs will use a while ahead.
-    pub(super) projected: BTreeMap<String, Room>,
+    pub(super) projected: BTreeMap<String, Resources>,
     /// When the first job was known that isn't there for long; 0 for not yet.
     pub(super) first_job_ms: u64,
     /// The orders that are under way.
@@ -429,7 +429,7 @@
         job.phase = Phase::Running;
         let after_ms = now.unix_ms.saturating_sub(job.accepted_at_ms);
         self.mark_changed(id);
-        self.note(Decision::Begun { job: id, after_ms });
+        self.note(Decision::JobBegan { job: id, after_ms });
     }
 
     /// Ends a job, and stops what still runs of it.
@@ -452,7 +452,7 @@
             self.stop_run(&task, &worker, phase.name());
         }
         self.mark_changed(id);
-        self.note(Decision::Job { job: id, phase, after_ms });
+        self.note(Decision::JobFinished { job: id, phase, after_ms });
     }
 
     /// Marks a run to be stopped; the order follows with the next plan.
@@ -696,6 +696,6 @@
     Some(Action::Hold {
         worker: worker.id().clone(),
         address: worker.listing.address.clone(),
-        held: Held { session, order, fencing, sent_ms, in_window, silent },
+        held: SentHold { session, order, fencing, sent_ms, in_window, silent },
     })
 }
--- a/crates/dewspar/src/schedule/sizing.rs
+++ b/crates/dewspar/src/schedule/sizing.rs
@@ -15,8 +15,8 @@
     crate::{
         job::TaskId,
         schedule::{
-            Decision, Forecast, Now, Room, Scheduler, Sizing, VmLife, VmOrder,
-            VmOrderError, WorkerId,
+            Decision, Forecast, Now, Resources, Scheduler, Sizing, VmOrder,
+            VmOrderError, VmStatus, WorkerId,
             board::demand,
             worker::{Purpose, Worker},
         },
@@ -43,30 +43,30 @@
 /// What a pool has and what is asked of it.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct PoolLoad {
-    capacity: Room,
-    used: Room,
-    waiting: Room,
+    capacity: Resources,
+    used: Resources,
+    waiting: Resources,
     /// What will be used soon, by the jobs that came of late and by all tasks
     /// that are to last.
-    forecast: Room,
+    forecast: Resources,
     /// What all tasks take that are to last.
-    lasting: Room,
+    lasting: Resources,
     /// What those of them take that wait.
-    missing: Room,
+    missing: Resources,
     workers: u64,
 }
 
 impl PoolLoad {
     /// Returns what is asked of the pool, now or soon.
-    fn asked(&self) -> Room {
+    fn asked(&self) -> Resources {
         let now = self.used.plus(&self.missing);
-        now.larger(&self.forecast).plus(&self.waiting)
+        now.component_max(&self.forecast).plus(&self.waiting)
     }
 
     /// Returns the same without what is to last, which neither grows in a
     /// peak nor shrinks after it.
-    fn asked_by_short(&self) -> Room {
-        self.asked().less(&self.lasting)
+    fn asked_by_short(&self) -> Resources {
+        self.asked().minus(&self.lasting)
     }
 
     /// Returns how many workers the pool has that aren't about to leave.
@@ -75,8 +75,8 @@
     }
 
     /// Returns what one VM of the pool has.
-    fn vm(&self) -> Room {
-        self.capacity.part(self.workers)
+    fn vm(&self) -> Resources {
+        self.capacity.divided_by(self.workers)
     }
 
     /// Returns how much of the pool would be in use if it had so many fewer
@@ -86,12 +86,12 @@
     /// of room, whichever is more: those tasks may take all memory, and what
     /// they take of processors keeps VMs here for the next peak.
     pub(super) fn percent_without(&self, less: u64) -> u64 {
-        let capacity = self.capacity.less(&self.vm().times(less));
+        let capacity = self.capacity.minus(&self.vm().times(less));
         let asked_cpu = self.asked().cpu_millis;
         let of_all = asked_cpu * 100 / capacity.cpu_millis.max(1);
-        let least = Room { cpu_millis: 1, memory_mb: 1, gpus: 1 };
-        let left = capacity.less(&self.lasting).larger(&least);
-        let of_left = self.asked_by_short().per_thousand_of(&left) / 10;
+        let least = Resources { cpu_millis: 1, memory_mb: 1, gpus: 1 };
+        let left = capacity.minus(&self.lasting).component_max(&least);
+        let of_left = self.asked_by_short().permille_of(&left) / 10;
         of_all.max(of_left)
     }
 
@@ -100,16 +100,17 @@
     ///
     /// No more than `full_percent` of all processors are to be filled, nor of
     /// what tasks that are to last leave of the other kinds of room.
-    fn vms_needed(&self, vm: &Room, full_percent: u64) -> u64 {
-        let filled = |room: Room| room.times(100).part(full_percent);
+    fn vms_needed(&self, vm: &Resources, full_percent: u64) -> u64 {
+        let filled =
+            |room: Resources| room.times(100).divided_by(full_percent);
         let of_all = filled(self.asked());
         let of_left = filled(self.asked_by_short()).plus(&self.lasting);
         let cpu_millis = of_all.cpu_millis;
-        Room { cpu_millis, ..of_left }.rooms_of(vm)
+        Resources { cpu_millis, ..of_left }.units_of(vm)
     }
 
     /// Notes that a worker is to leave.
-    fn leaves(&mut self, capacity: &Room) {
+    fn leaves(&mut self, capacity: &Resources) {
         self.capacity.subtract(capacity);
         self.workers = self.workers.saturating_sub(1);
     }
@@ -202,7 +203,7 @@
                     }
                     let late = now.unix_ms > job.objective_ms(round);
                     let counted = if late {
-                        room.times(late_percent).part(100)
+                        room.times(late_percent).divided_by(100)
                     } else {
                         room
                     };
@@ -298,7 +299,7 @@
     fn targets(&self, now: Now) -> BTreeMap<String, u64> {
         // A move that was ordered needn't show in the list yet.
         let usable = self.vms.values().filter(|vm| {
-            vm.life == VmLife::Up && !self.moving.contains_key(&vm.vm)
+            vm.status == VmStatus::Up && !self.moving.contains_key(&vm.vm)
         });
         let total = usable.count() + self.moving.len();
         let mut left = total as u64;
@@ -349,9 +350,9 @@
 
     /// Returns how many VMs a pool needs so that it is no fuller than it may
     /// be, by the kind of room that it needs most VMs for.
-    fn need_for_room(&self, pool: &str, typical: &Room) -> u64 {
+    fn need_for_room(&self, pool: &str, typical: &Resources) -> u64 {
         let load = self.pool_load(pool);
-        let vm = load.vm().larger(typical);
+        let vm = load.vm().component_max(typical);
         load.vms_needed(&vm, self.sizing().full_percent)
     }
 
@@ -371,9 +372,10 @@
     }
 
     /// Returns the most that a VM has of each kind of room.
-    fn typical_vm(&self) -> Room {
+    fn typical_vm(&self) -> Resources {
         let rooms = self.vms.values().map(|vm| vm.capacity);
-        rooms.fold(Room::default(), |most, room| most.larger(&room))
+        rooms
+            .fold(Resources::default(), |most, room| most.component_max(&room))
     }
 
     /// Returns how many VMs a pool has or is about to have.
@@ -524,7 +526,7 @@
             let there = vms.get(vm).is_some_and(|vm| {
                 let mut life = vm.worker.iter();
                 vm.pool == moving.to
-                    && vm.life == VmLife::Up
+                    && vm.status == VmStatus::Up
                     && life.all(|life| workers.contains_key(life))
             });
             let late = now.steady_ms > moving.since_ms + COMING_MS;
@@ -537,7 +539,7 @@
         self.vms
             .values()
             .filter(|vm| self.free_pools.contains(&vm.pool))
-            .filter(|vm| vm.life == VmLife::Up)
+            .filter(|vm| vm.status == VmStatus::Up)
             .filter(|vm| !self.moving.contains_key(&vm.vm))
             .filter(|vm| !self.is_refused(&vm.vm, pool))
             .filter(|vm| self.may_order(&vm.vm, now))
--- a/crates/dewspar/src/schedule/stopping.rs
+++ b/crates/dewspar/src/schedule/stopping.rs
@@ -14,7 +14,7 @@
     job::TaskId,
     link::Class,
     schedule::{
-        Action, Decision, Now, Scheduler, StopAccount, StopOrder, WorkerId,
+        Action, Decision, Now, Scheduler, StopAttempts, StopOrder, WorkerId,
         worker::{Run, RunState},
     },
 };
@@ -67,9 +67,9 @@
         self.orders += 1;
     }
 
-    fn account(&self, now_ms: u64) -> StopAccount {
+    fn account(&self, now_ms: u64) -> StopAttempts {
         let since_ms = if self.orders == 0 { now_ms } else { self.first_ms };
-        StopAccount {
+        StopAttempts {
             reason: self.reason,
             after_ms: now_ms.saturating_sub(since_ms),
             orders: self.orders,
@@ -146,7 +146,7 @@
         now: Now,
     ) {
         if let RunState::Stopping(stop) = &run.state {
-            self.note(Decision::StopOver {
+            self.note(Decision::StopFinished {
                 task: *task,
                 run: run.run,
                 worker: worker_id.clone(),
--- a/crates/dewspar/src/schedule/suspects.rs
+++ b/crates/dewspar/src/schedule/suspects.rs
@@ -760,7 +760,7 @@
         // it: that was without work for 1.65 s in a random run.
         worker.is_usable()
             && !worker.keeps_room()
-            && worker.listing.capacity.holds(&demand(spec))
+            && worker.listing.capacity.contains(&demand(spec))
             && !worker.has_suspects()
             && self.is_as_steady(worker, wanted, now)
     }
@@ -810,7 +810,7 @@
             .filter(|worker| {
                 worker.listing.pool == pool
                     && worker.is_usable()
-                    && worker.listing.capacity.holds(&demand)
+                    && worker.listing.capacity.contains(&demand)
             })
             .map(|worker| self.steadiness(&worker.listing.vm, now))
             .max();
--- a/crates/dewspar/src/schedule/unseen_starts.rs
+++ b/crates/dewspar/src/schedule/unseen_starts.rs
@@ -29,7 +29,7 @@
 use crate::{
     job::{JobId, Progress, TaskId, TaskRecord},
     schedule::{
-        Decision, Incarnation, Now, Scheduler, VmLife, WorkerId,
+        Decision, Incarnation, Now, Scheduler, VmStatus, WorkerId,
         board::{Job, Task},
         processes::Succession,
         suspects::{Crashes, LostRuns},
@@ -239,7 +239,7 @@
     /// maintained its VM.
     pub(super) fn was_taken_down(&self, lost: &UnheardLoss, now: Now) -> bool {
         let changes = self.vms.get(&lost.vm).is_some_and(|vm| {
-            matches!(vm.life, VmLife::Moving | VmLife::Maintenance)
+            matches!(vm.status, VmStatus::Moving | VmStatus::Maintenance)
                 || vm.pool != lost.pool
         });
         changes || self.was_ordered_before(&lost.vm, now)
--- a/crates/dewspar/src/schedule/vm.rs
+++ b/crates/dewspar/src/schedule/vm.rs
@@ -1,5 +1,5 @@
 use {
-    crate::schedule::{Room, WorkerId},
+    crate::schedule::{Resources, WorkerId},
     displaydoc::Display,
     serde::{Deserialize, Serialize},
     std::collections::BTreeSet,
@@ -20,7 +20,7 @@
 
 /// What a VM is doing.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum VmLife {
+pub enum VmStatus {
     /// Its worker runs.
     Up,
     /// It is on its way to another pool.
@@ -31,14 +31,14 @@
     Down,
 }
 
-impl VmLife {
+impl VmStatus {
     /// Returns the name of what it is doing, for logs.
     pub fn name(self) -> &'static str {
         match self {
-            VmLife::Up => "up",
-            VmLife::Moving => "moving",
-            VmLife::Maintenance => "maintenance",
-            VmLife::Down => "down",
+            VmStatus::Up => "up",
+            VmStatus::Moving => "moving",
+            VmStatus::Maintenance => "maintenance",
+            VmStatus::Down => "down",
         }
     }
 }
@@ -51,11 +51,11 @@
     /// The pool that it is in.
     pub pool: String,
     /// What it is doing.
-    pub life: VmLife,
+    pub status: VmStatus,
     /// The data hall that it stands in.
     pub hall: String,
     /// What it has room for.
-    pub capacity: Room,
+    pub capacity: Resources,
     /// The life of its worker; `None` while there is none.
     pub worker: Option<WorkerId>,
 }
--- a/crates/dewspar/src/schedule/waits.rs
+++ b/crates/dewspar/src/schedule/waits.rs
@@ -10,7 +10,8 @@
     crate::{
         job::{StepSpec, TaskId},
         schedule::{
-            Decision, Lack, Now, Scheduler, board::demand, worker::Worker,
+            Decision, Now, Scheduler, UnfitWorkers, board::demand,
+            worker::Worker,
         },
     },
     std::collections::BTreeMap,
@@ -99,19 +100,24 @@
         };
         let lack = self.lack_for(spec, task, now);
         self.long_waits.told_ms.insert(first, now.steady_ms);
-        self.note(Decision::Waits {
+        self.note(Decision::LongWait {
             task: *task,
             tasks,
             waited_ms,
             reason,
-            lack,
+            unfit: lack,
         });
         true
     }
 
     /// Counts what the workers of its pool lack for a task.
-    fn lack_for(&self, spec: &StepSpec, task: &TaskId, now: Now) -> Lack {
-        let mut lack = Lack::default();
+    fn lack_for(
+        &self,
+        spec: &StepSpec,
+        task: &TaskId,
+        now: Now,
+    ) -> UnfitWorkers {
+        let mut lack = UnfitWorkers::default();
         let Some(job) = self.jobs.get(&task.job) else { return lack };
         let demand = demand(spec);
         let most = spec.max_per_worker as usize;
@@ -124,7 +130,7 @@
                 &mut lack.closed
             } else if free.cpu_millis < demand.cpu_millis {
                 &mut lack.cpu
-            } else if !free.holds(&demand) {
+            } else if !free.contains(&demand) {
                 &mut lack.memory
             } else if has_siblings(worker) {
                 &mut lack.siblings
--- a/crates/dewspar/src/schedule/wave_account.rs
+++ b/crates/dewspar/src/schedule/wave_account.rs
@@ -10,7 +10,7 @@
 use crate::{
     job::TaskId,
     schedule::{
-        Decision, ManagedVm, Now, Scheduler, VmLife,
+        Decision, ManagedVm, Now, Scheduler, VmStatus,
         wave_choice::{CALM_PERCENT, WavePace},
         wave_state::WaveState,
         worker::{Purpose, RunState, Worker},
@@ -30,20 +30,20 @@
 
 /// Whether the time of a wave is over.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum WaveTime {
+pub enum WaveDeadline {
     /// There is time left.
-    Left,
+    Ahead,
     /// It is just over.
-    Over,
+    Passed,
     /// It has been over for a while.
-    LongOver,
+    LongPassed,
 }
 
 /// How far a wave has come, and what keeps its VMs.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct WaveAccount {
+pub struct WaveProgress {
     /// Whether its time is over.
-    pub time: WaveTime,
+    pub time: WaveDeadline,
     /// All of its VMs.
     pub vms: usize,
     /// Those whose maintenance has begun, or that are gone for good.
@@ -59,13 +59,13 @@
     /// By what VMs are chosen.
     pub pace: WavePace,
     /// What keeps those that are left.
-    pub left: LeftVms,
+    pub left: RemainingVms,
 }
 
 /// The VMs of a wave that are left, each counted once under what it waits
 /// for next.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct LeftVms {
+pub struct RemainingVms {
     /// As many as planned are under way.
     pub parallel: usize,
     /// There is time to wait for a calmer pool.
@@ -107,7 +107,7 @@
     pub unlisted: usize,
 }
 
-impl LeftVms {
+impl RemainingVms {
     /// Returns each count with the name of its reason.
     pub fn by_reason(&self) -> [(&'static str, usize); 19] {
         [
@@ -141,7 +141,7 @@
 
 /// When a wave was last told of.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct WaveTold {
+pub(super) struct WaveReports {
     told_ms: u64,
     /// Whether it was told that its time is over.
     over: bool,
@@ -149,17 +149,17 @@
     looks: u32,
 }
 
-impl WaveTold {
+impl WaveReports {
     /// Returns what of the wave's time is to be told now, if anything.
-    fn due(&self, end_ms: u64, now_ms: u64) -> Option<WaveTime> {
+    fn due(&self, end_ms: u64, now_ms: u64) -> Option<WaveDeadline> {
         let time = match (now_ms >= end_ms, self.over) {
-            (false, _) => WaveTime::Left,
-            (true, false) => return Some(WaveTime::Over),
-            (true, true) => WaveTime::LongOver,
+            (false, _) => WaveDeadline::Ahead,
+            (true, false) => return Some(WaveDeadline::Passed),
+            (true, true) => WaveDeadline::LongPassed,
         };
         let every_ms = match time {
-            WaveTime::LongOver => LATE_TOLD_EVERY_MS,
-            WaveTime::Left | WaveTime::Over => TOLD_EVERY_MS,
+            WaveDeadline::LongPassed => LATE_TOLD_EVERY_MS,
+            WaveDeadline::Ahead | WaveDeadline::Passed => TOLD_EVERY_MS,
         };
         (now_ms >= self.told_ms + every_ms).then_some(time)
     }
@@ -172,7 +172,7 @@
         hindrance: Option<&'static str>,
         now: Now,
     ) {
-        let mut due: Vec<(u64, WaveTime)> = Vec::new();
+        let mut due: Vec<(u64, WaveDeadline)> = Vec::new();
         for (wave, state) in &mut self.waves {
             if state.completed {
                 continue;
@@ -189,40 +189,40 @@
     fn tell_wave(
         &mut self,
         wave: u64,
-        time: WaveTime,
+        time: WaveDeadline,
         hindrance: Option<&'static str>,
         now: Now,
     ) {
         let Some(state) = self.waves.get(&wave) else { return };
         let account = self.wave_account(wave, state, time, hindrance, now);
         let Some(state) = self.waves.get_mut(&wave) else { return };
-        state.told = WaveTold {
+        state.told = WaveReports {
             told_ms: now.steady_ms,
-            over: time != WaveTime::Left,
+            over: time != WaveDeadline::Ahead,
             looks: 0,
         };
-        self.note(Decision::WaveGoesOn { wave, account });
+        self.note(Decision::WaveProgress { wave, progress: account });
     }
 
     fn wave_account(
         &self,
         wave: u64,
         state: &WaveState,
-        time: WaveTime,
+        time: WaveDeadline,
         hindrance: Option<&'static str>,
         now: Now,
-    ) -> WaveAccount {
+    ) -> WaveProgress {
         let workers = self.workers_by_vm();
         let room = state.room(|vm| self.may_be_down(vm, now));
         let pace = self.wave_pace(wave, state, now);
         let look = Look { wave, state, room, pace, now };
-        let mut left = LeftVms::default();
+        let mut left = RemainingVms::default();
         for vm in state.remaining() {
             let worker = workers.get(vm.as_str()).copied();
             *self.count_of(&look, vm, worker, &mut left) += 1;
         }
         let vms = state.request.vms.len();
-        WaveAccount {
+        WaveProgress {
             time,
             vms,
             begun: vms.saturating_sub(left.total()),
@@ -241,16 +241,16 @@
         look: &Look,
         vm: &str,
         worker: Option<&Worker>,
-        left: &'a mut LeftVms,
+        left: &'a mut RemainingVms,
     ) -> &'a mut usize {
         let Some(known) = self.vms.get(vm) else { return &mut left.unlisted };
         if look.state.is_ordered(vm) {
             return &mut left.ordered;
         }
-        match known.life {
-            VmLife::Up => {}
-            VmLife::Moving => return &mut left.moving,
-            VmLife::Maintenance | VmLife::Down => return &mut left.down,
+        match known.status {
+            VmStatus::Up => {}
+            VmStatus::Moving => return &mut left.moving,
+            VmStatus::Maintenance | VmStatus::Down => return &mut left.down,
         }
         if !self.may_order(vm, look.now) || look.state.is_waiting(vm, look.now)
         {
@@ -266,7 +266,7 @@
         &self,
         look: &Look,
         worker: &Worker,
-        left: &'a mut LeftVms,
+        left: &'a mut RemainingVms,
     ) -> &'a mut usize {
         if worker.silent_since_ms.is_some() || !worker.synced {
             return &mut left.silent;
@@ -284,7 +284,7 @@
         &self,
         look: &Look,
         worker: &Worker,
-        left: &'a mut LeftVms,
+        left: &'a mut RemainingVms,
     ) -> &'a mut usize {
         let pace = &look.pace;
         let percent = || self.pool_percent_without(&worker.listing.pool, 1);
@@ -301,7 +301,7 @@
         &self,
         look: &Look,
         worker: &Worker,
-        left: &'a mut LeftVms,
+        left: &'a mut RemainingVms,
     ) -> &'a mut usize {
         if worker.is_settled() {
             return if look.room == 0 {
@@ -374,7 +374,7 @@
 fn count_without_worker<'a>(
     look: &Look,
     known: &ManagedVm,
-    left: &'a mut LeftVms,
+    left: &'a mut RemainingVms,
 ) -> &'a mut usize {
     if known.worker.is_some() {
         &mut left.unknown
--- a/crates/dewspar/src/schedule/wave_state.rs
+++ b/crates/dewspar/src/schedule/wave_state.rs
@@ -4,8 +4,8 @@
 
 use {
     crate::schedule::{
-        ManagedVm, Now, VmLife, VmOrderError, WaveRecord, WaveRequest,
-        wave_account::WaveTold,
+        ManagedVm, Now, VmOrderError, VmStatus, WaveRecord, WaveRequest,
+        wave_account::WaveReports,
     },
     std::collections::{BTreeMap, HashSet},
 };
@@ -43,7 +43,7 @@
     /// Whether this holder has told the operator that it runs.
     pub(super) reported: bool,
     /// When it was last told of.
-    pub(super) told: WaveTold,
+    pub(super) told: WaveReports,
     pub(super) completed: bool,
 }
 
@@ -131,7 +131,7 @@
         self.down.retain(|name, since_ms| {
             let Some(vm) = vms.get(name) else { return false };
             // A VM that moves has been back, though no list showed it up.
-            let back = matches!(vm.life, VmLife::Up | VmLife::Moving);
+            let back = matches!(vm.status, VmStatus::Up | VmStatus::Moving);
             // An older list may still show it as it was before.
             !(back && asked_ms > *since_ms)
         });
--- a/crates/dewspar/src/schedule/worker.rs
+++ b/crates/dewspar/src/schedule/worker.rs
@@ -6,7 +6,7 @@
         job::{JobId, TaskId},
         link::Class,
         schedule::{
-            Incarnation, Options, Room, WorkerId, WorkerListing,
+            Incarnation, Options, Resources, WorkerId, WorkerListing,
             stopping::Stop,
         },
     },
@@ -63,7 +63,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Kept {
     /// What the task takes.
-    pub(crate) room: Room,
+    pub(crate) room: Resources,
     /// Whether that was free when it was kept; else short tasks have to end
     /// first.
     pub(crate) was_free: bool,
@@ -71,8 +71,8 @@
 
 impl Kept {
     /// Returns what nobody else can have taken.
-    fn backed(&self) -> Room {
-        if self.was_free { self.room } else { Room::default() }
+    fn backed(&self) -> Resources {
+        if self.was_free { self.room } else { Resources::default() }
     }
 }
 
@@ -82,7 +82,7 @@
     pub(crate) run: u64,
     /// The token of the order that started it; 0 if it was found running.
     pub(crate) fence: u64,
-    pub(crate) demand: Room,
+    pub(crate) demand: Resources,
     pub(crate) state: RunState,
     /// When it was ordered or found.
     pub(crate) since_ms: u64,
@@ -131,7 +131,7 @@
     pub(crate) fn ordered(
         run: u64,
         fence: u64,
-        demand: Room,
+        demand: Resources,
         now_ms: u64,
     ) -> Run {
         Run {
@@ -226,15 +226,15 @@
     pub(crate) session: u64,
     pub(crate) listing: WorkerListing,
     pub(crate) runs: BTreeMap<TaskId, Run>,
-    used: Room,
+    used: Resources,
     /// What the runs of that take whose tasks are to last.
-    used_for_long: Room,
+    used_for_long: Resources,
     /// What is kept free for tasks that are to start here.
     kept: BTreeMap<TaskId, Kept>,
     /// The sum of that.
-    kept_room: Room,
+    kept_room: Resources,
     /// The sum of what of that is there already.
-    backed_room: Room,
+    backed_room: Resources,
     /// How many of the runs are suspected.
     suspects: usize,
     /// How many of the runs want nothing started beside them.
@@ -320,11 +320,11 @@
             session: 0,
             listing,
             runs: BTreeMap::new(),
-            used: Room::default(),
-            used_for_long: Room::default(),
+            used: Resources::default(),
+            used_for_long: Resources::default(),
             kept: BTreeMap::new(),
-            kept_room: Room::default(),
-            backed_room: Room::default(),
+            kept_room: Resources::default(),
+            backed_room: Resources::default(),
             suspects: 0,
             tested: 0,
             lease_revision,
@@ -394,30 +394,30 @@
 
     /// Returns what is free for tasks that take their share of processor and
     /// for which nothing is kept here.
-    pub(crate) fn free(&self) -> Room {
-        let unused = self.listing.capacity.less(&self.used);
+    pub(crate) fn free(&self) -> Resources {
+        let unused = self.listing.capacity.minus(&self.used);
         // Nearly all keep nothing, and this is asked of each worker of a pool.
         if self.kept.is_empty() {
             unused
         } else {
-            unused.less(&self.kept_room)
+            unused.minus(&self.kept_room)
         }
     }
 
     /// Returns what is free for a task, with what is kept for it.
-    pub(crate) fn free_for(&self, task: &TaskId) -> Room {
+    pub(crate) fn free_for(&self, task: &TaskId) -> Resources {
         let Some(own) = self.kept.get(task) else { return self.free() };
-        let unused = self.listing.capacity.less(&self.used);
+        let unused = self.listing.capacity.minus(&self.used);
         // What others wait for isn't there yet, and must not stand in the way
         // of what is: two that wait would keep each other out.
-        unused.less(&self.backed_room.less(&own.backed()))
+        unused.minus(&self.backed_room.minus(&own.backed()))
     }
 
     /// Returns what is free for a task once all is over that isn't to last.
-    pub(crate) fn free_soon_for(&self, task: &TaskId) -> Room {
+    pub(crate) fn free_soon_for(&self, task: &TaskId) -> Resources {
         let own = self.kept.get(task).map(|kept| kept.room);
-        let others = self.kept_room.less(&own.unwrap_or_default());
-        self.listing.capacity.less(&self.used_for_long).less(&others)
+        let others = self.kept_room.minus(&own.unwrap_or_default());
+        self.listing.capacity.minus(&self.used_for_long).minus(&others)
     }
 
     /// Keeps room for a task that is to start here.
@@ -438,8 +438,8 @@
     }
 
     fn sum_kept(&mut self) {
-        self.kept_room = Room::default();
-        self.backed_room = Room::default();
+        self.kept_room = Resources::default();
+        self.backed_room = Resources::default();
         for kept in self.kept.values() {
             self.kept_room.add(&kept.room);
             self.backed_room.add(&kept.backed());
@@ -451,7 +451,7 @@
         !self.kept.is_empty()
     }
 
-    pub(crate) fn used(&self) -> &Room {
+    pub(crate) fn used(&self) -> &Resources {
         &self.used
     }
 
--- a/crates/dewspar/src/schedule/write_ahead.rs
+++ b/crates/dewspar/src/schedule/write_ahead.rs
@@ -236,7 +236,7 @@
         };
         // Its room may have shrunk meanwhile.
         let roomy = self.is_sure_of_room(worker, &job.terms.pool, now)
-            && worker.listing.capacity.holds(worker.used());
+            && worker.listing.capacity.contains(worker.used());
         if !roomy || !may_be_ordered(worker, task, *run, now) {
             return Next::Withdraw;
         }
--- a/crates/dewspar/tests/newer_fields.rs
+++ b/crates/dewspar/tests/newer_fields.rs
@@ -8,7 +8,7 @@
     dewspar::{
         job::{JobId, JobSpec, Progress, StepSpec},
         schedule::{
-            AcceptedJob, Now, Options, OrderedVms, Orderer, Scheduler,
+            AcceptedJob, Now, Options, OrderIssuer, OrderedVms, Scheduler,
         },
     },
     serde_json::{Value, json},
@@ -106,7 +106,7 @@
     assert_eq!(written, orders);
 
     let mut scheduler = Scheduler::new(7, Options::default());
-    let holder = Orderer { node: "n2".to_owned(), incarnation: 1 };
+    let holder = OrderIssuer { node: "n2".to_owned(), incarnation: 1 };
     scheduler.leave_vms_alone(NOW, &holder, Some(read));
     let kept = scheduler.ordered_vms(NOW, &holder);
     assert_eq!(serde_json::to_value(&kept).expect("plain JSON"), orders);
@@ -128,7 +128,7 @@
     // Another node holds the lease, then that process again.
     for node in ["n2", "n1"] {
         let mut scheduler = Scheduler::new(7, Options::default());
-        let holder = Orderer { node: node.to_owned(), incarnation: 1 };
+        let holder = OrderIssuer { node: node.to_owned(), incarnation: 1 };
         scheduler.leave_vms_alone(NOW, &holder, Some(read.clone()));
         let kept = scheduler.ordered_vms(NOW, &holder);
         assert_eq!(serde_json::to_value(&kept).expect("plain JSON"), orders);
--- a/crates/dewspar/tests/schedule/cancelling.rs
+++ b/crates/dewspar/tests/schedule/cancelling.rs
@@ -5,7 +5,7 @@
         chain::{Chain, Stops},
         world::{World, at, id, job, listing, step},
     },
-    dewspar::schedule::{Decision, Now, Room, StopAccount, WorkerId},
+    dewspar::schedule::{Decision, Now, Resources, StopAttempts, WorkerId},
     dewspar_standin::task_worker::Fate,
 };
 
@@ -21,15 +21,15 @@
     world
 }
 
-fn told_ends(decisions: &[Decision]) -> Vec<StopAccount> {
+fn told_ends(decisions: &[Decision]) -> Vec<StopAttempts> {
     let told = decisions.iter().filter_map(|decision| match decision {
-        Decision::StopOver { stop, .. } => Some(*stop),
+        Decision::StopFinished { stop, .. } => Some(*stop),
         _ => None,
     });
     told.collect()
 }
 
-fn told_overdue(decisions: &[Decision]) -> Vec<StopAccount> {
+fn told_overdue(decisions: &[Decision]) -> Vec<StopAttempts> {
     let told = decisions.iter().filter_map(|decision| match decision {
         Decision::StopOverdue { stop, .. } => Some(*stop),
         _ => None,
@@ -284,7 +284,7 @@
     chain.world.cut.clear();
     chain.begin();
     let now_ms = chain.world.now_ms;
-    let room = Room { cpu_millis: 1_000, ..Room::default() };
+    let room = Resources { cpu_millis: 1_000, ..Resources::default() };
     let worker = chain.world.reach(&w1).expect("a worker");
     let started = worker.start(now_ms, &late, room, Fate::endless());
     assert!(started.is_ok(), "nobody has asked it under a newer token");
--- a/crates/dewspar/tests/schedule/chain.rs
+++ b/crates/dewspar/tests/schedule/chain.rs
@@ -5,7 +5,9 @@
     crate::world::{World, at, id},
     dewspar::{
         job::JobId,
-        schedule::{AcceptedJob, Action, Held, OrderError, Refusal, WorkerId},
+        schedule::{
+            AcceptedJob, Action, OrderError, Refusal, SentHold, WorkerId,
+        },
     },
     std::collections::{BTreeMap, BTreeSet},
 };
@@ -33,7 +35,7 @@
 struct Waiting {
     until_ms: u64,
     worker: WorkerId,
-    held: Held,
+    held: SentHold,
 }
 
 /// A fleet, a store, and the holder that has the lease.
--- a/crates/dewspar/tests/schedule/crashing.rs
+++ b/crates/dewspar/tests/schedule/crashing.rs
@@ -19,7 +19,7 @@
     },
     dewspar::{
         job::{JobId, StepSpec, TaskId},
-        schedule::{Decision, Room},
+        schedule::{Decision, Resources},
     },
     dewspar_standin::task_worker::Fate,
 };
@@ -37,7 +37,7 @@
 }
 
 fn losses_of(decisions: &[Decision], job: JobId) -> usize {
-    let lost = |decision: &&Decision| matches!(decision, Decision::Lost { task, .. } if task.job == job);
+    let lost = |decision: &&Decision| matches!(decision, Decision::RunLost { task, .. } if task.job == job);
     decisions.iter().filter(lost).count()
 }
 
@@ -178,7 +178,7 @@
     let _ = world.scheduler.plan_vms(at(world.now_ms));
     let decisions = world.scheduler.take_decisions();
     let emptied = decisions.iter().find_map(|decision| match decision {
-        Decision::Emptying { vm, .. } => Some(vm.clone()),
+        Decision::DrainStarted { vm, .. } => Some(vm.clone()),
         _ => None,
     });
     world.crash_vm(&emptied.expect("some worker is emptied"));
@@ -267,7 +267,7 @@
 #[test]
 fn many_bad_tasks_at_once_take_few_sound_ones_along() {
     let names = ["w1", "w2", "w3", "w4", "w5", "w6", "w7", "w8"];
-    let room = Room { cpu_millis: 20_000, memory_mb: 20_000, gpus: 0 };
+    let room = Resources { cpu_millis: 20_000, memory_mb: 20_000, gpus: 0 };
     let mut world = World::with_room(5, &names, room);
     world.told_after_ms = Some(500);
     world.list();
--- a/crates/dewspar/tests/schedule/duties.rs
+++ b/crates/dewspar/tests/schedule/duties.rs
@@ -7,13 +7,13 @@
     },
     dewspar::{
         job::StepSpec,
-        schedule::{OrderedVms, Orderer},
+        schedule::{OrderIssuer, OrderedVms},
     },
     dewspar_standin::task_worker::Fate,
 };
 
-fn process(node: &str, incarnation: u64) -> Orderer {
-    Orderer { node: node.to_owned(), incarnation }
+fn process(node: &str, incarnation: u64) -> OrderIssuer {
+    OrderIssuer { node: node.to_owned(), incarnation }
 }
 
 /// A pool that needs its spare VM.
@@ -26,7 +26,7 @@
 }
 
 /// What `holder` leaves on record after it ordered the spare VM.
-fn record_of(holder: &Orderer) -> OrderedVms {
+fn record_of(holder: &OrderIssuer) -> OrderedVms {
     let mut world = world_in_need();
     assert_eq!(vm_orders(&mut world), [move_of_spare()]);
     world.scheduler.ordered_vms(at(world.now_ms), holder)
--- a/crates/dewspar/tests/schedule/facts.rs
+++ b/crates/dewspar/tests/schedule/facts.rs
@@ -41,8 +41,8 @@
     reached.start(now_ms, order, step_room(), fate).expect("a start");
 }
 
-fn step_room() -> dewspar::schedule::Room {
-    dewspar::schedule::Room { cpu_millis: 1_000, memory_mb: 100, gpus: 0 }
+fn step_room() -> dewspar::schedule::Resources {
+    dewspar::schedule::Resources { cpu_millis: 1_000, memory_mb: 100, gpus: 0 }
 }
 
 #[test]
@@ -249,7 +249,9 @@
         _ => false,
     };
     let over = |decision: &Decision| match decision {
-        Decision::Lost { run, .. } | Decision::Ended { run, .. } => first(run),
+        Decision::RunLost { run, .. } | Decision::Ended { run, .. } => {
+            first(run)
+        }
         _ => false,
     };
     let starts = decisions.iter().filter(|d| started(d)).count();
--- a/crates/dewspar/tests/schedule/facts_of_vms.rs
+++ b/crates/dewspar/tests/schedule/facts_of_vms.rs
@@ -6,7 +6,7 @@
     dewspar::{
         job::StepSpec,
         schedule::{
-            Decision, ManagedVm, Orderer, VmLife, VmOrder, VmOrderError,
+            Decision, ManagedVm, OrderIssuer, VmOrder, VmOrderError, VmStatus,
             WaveRequest, WorkerId, WorkerListing,
         },
     },
@@ -145,7 +145,7 @@
     request_wave(&mut world, 1);
     let first = maintained(&mut world, 2_000);
     let orderer =
-        |node: &str| Orderer { node: node.to_owned(), incarnation: 1 };
+        |node: &str| OrderIssuer { node: node.to_owned(), incarnation: 1 };
     let (now, former) = (at(world.now_ms), orderer("node-1"));
     let ordered = world.scheduler.ordered_vms(now, &former);
     // It dies before the VM service has carried the order out.
@@ -299,9 +299,9 @@
         let vms = world.listings.iter().map(|listing| {
             let failed = listing.vm == vm;
             let up = managed(listing);
-            let life = if failed { VmLife::Down } else { up.life };
+            let life = if failed { VmStatus::Down } else { up.status };
             let worker = up.worker.filter(|_| !failed);
-            ManagedVm { life, worker, ..up }
+            ManagedVm { status: life, worker, ..up }
         });
         let vms: Vec<ManagedVm> = vms.collect();
         let now = at(world.now_ms);
--- a/crates/dewspar/tests/schedule/gangs_that_last.rs
+++ b/crates/dewspar/tests/schedule/gangs_that_last.rs
@@ -16,7 +16,7 @@
     },
     dewspar::{
         job::{JobId, StepSpec},
-        schedule::{Room, StopOrder, VmOrder, WorkerId},
+        schedule::{Resources, StopOrder, VmOrder, WorkerId},
     },
     dewspar_standin::task_worker::{Fate, TaskWorker},
     rand::{Rng, SeedableRng, rngs::StdRng},
@@ -117,7 +117,7 @@
 
     fn submit(&mut self, number: u64, spec: StepSpec, fate: Fate) {
         let cpu_millis = spec.cpu_millis;
-        let demand = Room { cpu_millis, ..Room::default() };
+        let demand = Resources { cpu_millis, ..Resources::default() };
         self.world.kinds.insert(id(number), RunKind { demand, fate });
         let job = job(vec![spec]);
         self.world.scheduler.submit(id(number), job, number, None);
--- a/crates/dewspar/tests/schedule/in_doubt.rs
+++ b/crates/dewspar/tests/schedule/in_doubt.rs
@@ -5,7 +5,7 @@
     crate::world::{World, at, id, job, step},
     dewspar::{
         job::{JobId, StepSpec},
-        schedule::{Decision, Room, StartOrder, WorkerId, WorkerListing},
+        schedule::{Decision, Resources, StartOrder, WorkerId, WorkerListing},
     },
     dewspar_standin::task_worker::Fate,
     std::collections::BTreeMap,
@@ -44,7 +44,7 @@
 /// Carries out a start that was sent to a former process.
 fn arrive(world: &mut World, id: &WorkerId, order: &StartOrder) {
     let clock = world.clock_of(id);
-    let demand = Room { cpu_millis: 1_000, ..Room::default() };
+    let demand = Resources { cpu_millis: 1_000, ..Resources::default() };
     // OK because it is only called for workers that are up.
     let worker = world.workers.get_mut(id).expect("up");
     // Refused where the token has been seen.
@@ -215,6 +215,6 @@
     lose_start(&mut world, id(1));
     world.run_for(1_000);
     let decisions = world.scheduler.take_decisions();
-    let in_doubt = |d: &Decision| matches!(d, Decision::InDoubt { .. });
+    let in_doubt = |d: &Decision| matches!(d, Decision::StartInDoubt { .. });
     assert!(!decisions.iter().any(in_doubt), "{decisions:?}");
 }
--- a/crates/dewspar/tests/schedule/kept_and_priority.rs
+++ b/crates/dewspar/tests/schedule/kept_and_priority.rs
@@ -8,7 +8,7 @@
         moving::lasting,
         world::{ROOM, RunKind, World, id, job, step},
     },
-    dewspar::{job::StepSpec, schedule::Room},
+    dewspar::{job::StepSpec, schedule::Resources},
     dewspar_standin::task_worker::Fate,
 };
 
@@ -24,7 +24,7 @@
     priority: u32,
 ) {
     let cpu_millis = spec.cpu_millis;
-    let demand = Room { cpu_millis, ..Room::default() };
+    let demand = Resources { cpu_millis, ..Resources::default() };
     world.kinds.insert(id(number), RunKind { demand, fate });
     let mut job = job(vec![spec]);
     job.terms.priority = priority;
--- a/crates/dewspar/tests/schedule/kept_places.rs
+++ b/crates/dewspar/tests/schedule/kept_places.rs
@@ -20,7 +20,7 @@
     },
     dewspar::{
         job::{StepSpec, TaskId},
-        schedule::{Decision, Lack, VmOrder, WaveRequest, WorkerId},
+        schedule::{Decision, UnfitWorkers, VmOrder, WaveRequest, WorkerId},
     },
     dewspar_standin::task_worker::Fate,
     std::collections::{BTreeMap, BTreeSet},
@@ -74,7 +74,7 @@
 fn emptied(world: &mut World) -> BTreeSet<String> {
     let decisions = world.scheduler.take_decisions();
     let emptied = decisions.iter().filter_map(|decision| match decision {
-        Decision::Emptying { worker, .. } => Some(worker.to_string()),
+        Decision::DrainStarted { worker, .. } => Some(worker.to_string()),
         _ => None,
     });
     emptied.collect()
@@ -345,12 +345,12 @@
 
 /// What is told of tasks that wait: the job's number, for how long, why, and
 /// what the workers lack.
-fn told(world: &mut World) -> Vec<(TaskId, u64, &'static str, Lack)> {
+fn told(world: &mut World) -> Vec<(TaskId, u64, &'static str, UnfitWorkers)> {
     let decisions = world.scheduler.take_decisions();
     let told = decisions.into_iter().filter_map(|decision| match decision {
-        Decision::Waits { task, waited_ms, reason, lack, .. } => {
-            Some((task, waited_ms, reason, lack))
-        }
+        Decision::LongWait {
+            task, waited_ms, reason, unfit: lack, ..
+        } => Some((task, waited_ms, reason, lack)),
         _ => None,
     });
     told.collect()
@@ -386,7 +386,7 @@
     assert_eq!(told(&mut world), [], "it may start soon");
     world.run_for(600);
     let first = told(&mut world);
-    let lack = Lack {
+    let lack = UnfitWorkers {
         workers: 4,
         closed: 1,
         cpu: 1,
--- a/crates/dewspar/tests/schedule/lasting.rs
+++ b/crates/dewspar/tests/schedule/lasting.rs
@@ -8,7 +8,9 @@
     crate::world::{POOL, World, at, id, job, listing, managed, step},
     dewspar::{
         job::StepSpec,
-        schedule::{ManagedVm, Room, VmOrder, WaveRequest, WorkerListing},
+        schedule::{
+            ManagedVm, Resources, VmOrder, WaveRequest, WorkerListing,
+        },
     },
     dewspar_standin::task_worker::{Fate, TaskWorker},
     std::collections::BTreeMap,
@@ -111,7 +113,8 @@
     }
 }
 
-const ROOM: Room = Room { cpu_millis: 4_000, memory_mb: 4_000, gpus: 2 };
+const ROOM: Resources =
+    Resources { cpu_millis: 4_000, memory_mb: 4_000, gpus: 2 };
 
 /// A step of so many tasks that are to last, at most one on a worker.
 fn lasting(count: u32) -> StepSpec {
--- a/crates/dewspar/tests/schedule/loading.rs
+++ b/crates/dewspar/tests/schedule/loading.rs
@@ -215,7 +215,7 @@
     let decisions = world.scheduler.take_decisions();
     let emptied = decisions
         .iter()
-        .any(|decision| matches!(decision, Decision::Emptying { .. }));
+        .any(|decision| matches!(decision, Decision::DrainStarted { .. }));
     assert!(!emptied, "nothing is known of what it runs");
 }
 
--- a/crates/dewspar/tests/schedule/moving_random.rs
+++ b/crates/dewspar/tests/schedule/moving_random.rs
@@ -12,7 +12,7 @@
     },
     dewspar::{
         job::{JobId, StepSpec, TaskId},
-        schedule::{Decision, Room},
+        schedule::{Decision, Resources},
     },
     dewspar_standin::task_worker::Fate,
     rand::{Rng, SeedableRng, rngs::StdRng},
@@ -67,7 +67,8 @@
     fn submit(&mut self, spec: StepSpec, fate: Fate) -> JobId {
         self.next_job += 1;
         let id = id(self.next_job);
-        let demand = Room { cpu_millis: spec.cpu_millis, ..Room::default() };
+        let demand =
+            Resources { cpu_millis: spec.cpu_millis, ..Resources::default() };
         self.world.kinds.insert(id, RunKind { demand, fate });
         let job = job(vec![spec]);
         self.world.scheduler.submit(id, job, self.next_job, None);
--- a/crates/dewspar/tests/schedule/restarted_workers.rs
+++ b/crates/dewspar/tests/schedule/restarted_workers.rs
@@ -9,8 +9,8 @@
     dewspar::{
         job::StepSpec,
         schedule::{
-            Decision, Held, HoldReport, Incarnation, OrderError, Room,
-            StartOrder, WorkerId,
+            Decision, HoldReport, Incarnation, OrderError, Resources,
+            SentHold, StartOrder, WorkerId,
         },
     },
     dewspar_standin::task_worker::Fate,
@@ -224,7 +224,7 @@
 /// Carries out a start that was sent to a former process.
 fn arrive(world: &mut World, id: &WorkerId, order: &StartOrder) -> bool {
     let clock = world.clock_of(id);
-    let demand = Room { cpu_millis: 1_000, ..Room::default() };
+    let demand = Resources { cpu_millis: 1_000, ..Resources::default() };
     // OK because the worker was started a moment ago.
     let worker = world.workers.get_mut(id).expect("started");
     worker.start(clock, order, demand, Fate::endless()).is_ok()
@@ -435,7 +435,7 @@
     world.fate = Fate::endless();
     let large =
         StepSpec { cpu_millis: 3_000, max_unavailable: 1, ..lasting(1) };
-    let demand = Room { cpu_millis: 3_000, ..Room::default() };
+    let demand = Resources { cpu_millis: 3_000, ..Resources::default() };
     let kind = RunKind { demand, fate: Fate::endless() };
     world.kinds.insert(id(1), kind);
     world.scheduler.submit(id(1), job(vec![large]), 6, None);
@@ -479,7 +479,7 @@
 
 /// Asks a worker of which some ends are acknowledged, and starts it again before
 /// the question arrives; the directory tells of that.
-fn question_to_former_process(world: &mut World) -> Held {
+fn question_to_former_process(world: &mut World) -> SentHold {
     world.scheduler.submit(id(1), job(vec![step(4)]), 6, None);
     world.run_for(3_000);
     world.fate = Fate::endless();
--- a/crates/dewspar/tests/schedule/review.rs
+++ b/crates/dewspar/tests/schedule/review.rs
@@ -17,7 +17,7 @@
     dewspar::{
         job::{JobId, StepSpec},
         schedule::{
-            AcceptedJob, AdviceTerms, Decision, ManagedVm, Room, VmOrder,
+            AcceptedJob, AdviceTerms, Decision, ManagedVm, Resources, VmOrder,
             WorkerId,
         },
     },
@@ -56,7 +56,7 @@
 /// Submits a job whose runs have a fate of their own, whenever they start.
 pub fn submit(world: &mut World, number: u64, job: AcceptedJob, fate: Fate) {
     let cpu_millis = job.spec.steps[0].cpu_millis;
-    let demand = Room { cpu_millis, ..Room::default() };
+    let demand = Resources { cpu_millis, ..Resources::default() };
     world.kinds.insert(id(number), RunKind { demand, fate });
     world.scheduler.submit(id(number), job, number, None);
 }
@@ -163,7 +163,7 @@
 fn a_place_that_has_shrunk_is_looked_for_anew() {
     let (mut world, _, place) = world_with_move();
     let mut next = 100;
-    let shrunk = Room { cpu_millis: 1_000, ..ROOM };
+    let shrunk = Resources { cpu_millis: 1_000, ..ROOM };
     for listing in &mut world.listings {
         if listing.id == place {
             listing.capacity = shrunk;
--- a/crates/dewspar/tests/schedule/rooms.rs
+++ b/crates/dewspar/tests/schedule/rooms.rs
@@ -8,12 +8,13 @@
     crate::world::{POOL, ROOM, World, at, id, job, step},
     dewspar::{
         job::TaskId,
-        schedule::{Room, StartOrder, WorkerId},
+        schedule::{Resources, StartOrder, WorkerId},
     },
     dewspar_standin::task_worker::Fate,
 };
 
-const HALF: Room = Room { cpu_millis: 2_000, memory_mb: 2_000, gpus: 0 };
+const HALF: Resources =
+    Resources { cpu_millis: 2_000, memory_mb: 2_000, gpus: 0 };
 
 fn world_of_one() -> World {
     let mut world = World::new(5, &["w1"]);
@@ -24,7 +25,7 @@
     world
 }
 
-fn shrink_to(world: &mut World, room: Room) {
+fn shrink_to(world: &mut World, room: Resources) {
     world.listings[0].capacity = room;
     world.list();
 }
--- a/crates/dewspar/tests/schedule/runs.rs
+++ b/crates/dewspar/tests/schedule/runs.rs
@@ -4,7 +4,7 @@
     crate::world::{POOL, World, at, id, job, next_hold, step},
     dewspar::{
         job::{Phase, StepSpec},
-        schedule::{Action, OrderError, Refusal, Room, WorkerId},
+        schedule::{Action, OrderError, Refusal, Resources, WorkerId},
     },
     dewspar_standin::task_worker::Fate,
 };
@@ -172,7 +172,7 @@
     world.scheduler.start_answered(&worker, &order.task, 1, lost, now);
     world.run_for(300);
     assert_eq!(world.starts.len(), 1, "started again under a new token");
-    let demand = Room::default();
+    let demand = Resources::default();
     let late = world.workers.get_mut(&worker).expect("w1").start(
         world.now_ms,
         &order,
--- a/crates/dewspar/tests/schedule/small_link.rs
+++ b/crates/dewspar/tests/schedule/small_link.rs
@@ -7,7 +7,7 @@
         job::{JobId, Phase, Progress, Repeat, StepSpec, TaskRecord},
         link::LinkLimits,
         schedule::{
-            AcceptedJob, Action, Options, OrderError, Room, Scheduler,
+            AcceptedJob, Action, Options, OrderError, Resources, Scheduler,
             StartOrder, WorkerId, WorkerListing,
         },
     },
@@ -57,8 +57,10 @@
 
 const HOLDER: u64 = 10_000;
 
-const ROOM: Room = Room { cpu_millis: 4_000, memory_mb: 4_000, gpus: 0 };
-const TASK: Room = Room { cpu_millis: 1_000, memory_mb: 100, gpus: 0 };
+const ROOM: Resources =
+    Resources { cpu_millis: 4_000, memory_mb: 4_000, gpus: 0 };
+const TASK: Resources =
+    Resources { cpu_millis: 1_000, memory_mb: 100, gpus: 0 };
 
 /// An order on its way.
 struct Sent {
--- a/crates/dewspar/tests/schedule/takeover.rs
+++ b/crates/dewspar/tests/schedule/takeover.rs
@@ -4,7 +4,8 @@
 use {
     crate::world::{POOL, at, id, job, listing, step},
     dewspar::schedule::{
-        Action, Options, OrderError, Room, Scheduler, WorkerId, WorkerListing,
+        Action, Options, OrderError, Resources, Scheduler, WorkerId,
+        WorkerListing,
     },
     dewspar_standin::task_worker::{Fate, TaskWorker},
     std::collections::{BTreeMap, VecDeque},
@@ -22,7 +23,7 @@
 /// How the scheduler is called, in milliseconds.
 const STEP_MS: u64 = 5;
 
-const ROOM: Room = Room {
+const ROOM: Resources = Resources {
     cpu_millis: 1_000 * TASKS_A_WORKER,
     memory_mb: 100 * TASKS_A_WORKER,
     gpus: 0,
@@ -152,7 +153,8 @@
         let now = at(self.now_ms);
         match action {
             Action::Start { worker, order, .. } => {
-                let demand = Room { cpu_millis: 1_000, ..Room::default() };
+                let demand =
+                    Resources { cpu_millis: 1_000, ..Resources::default() };
                 // OK because there are only these workers.
                 let at_worker = self.workers.get_mut(&worker).unwrap();
                 let clock_ms = now.steady_ms;
--- a/crates/dewspar/tests/schedule/unseen_starts.rs
+++ b/crates/dewspar/tests/schedule/unseen_starts.rs
@@ -18,7 +18,7 @@
     },
     dewspar::{
         job::JobId,
-        schedule::{OrderedVms, Orderer, VmLife, WorkerListing},
+        schedule::{OrderIssuer, OrderedVms, VmStatus, WorkerListing},
     },
     dewspar_standin::task_worker::Fate,
 };
@@ -137,9 +137,9 @@
 }
 
 /// Shows the list of VMs, in which the first one does this.
-fn show_first_vm_as(world: &mut World, life: VmLife) {
+fn show_first_vm_as(world: &mut World, life: VmStatus) {
     let mut vms: Vec<_> = world.listings.iter().map(managed).collect();
-    vms[0].life = life;
+    vms[0].status = life;
     vms[0].worker = None;
     world.scheduler.list_vms(at(world.now_ms), world.now_ms, &vms);
 }
@@ -147,7 +147,7 @@
 /// Its former holder had emptied it before it ordered that.
 #[test]
 fn a_worker_whose_vm_was_moved_has_not_crashed() {
-    for life in [VmLife::Moving, VmLife::Maintenance] {
+    for life in [VmStatus::Moving, VmStatus::Maintenance] {
         let mut world = hand_over_with_a_silent_worker();
         show_first_vm_as(&mut world, life);
         world.run_for(200);
@@ -164,10 +164,10 @@
         "ages_ms":{"vm-of-w1":200}}]"#;
     // OK because it is as a holder writes it.
     let ordered: OrderedVms = serde_json::from_str(ordered).unwrap();
-    let holder = Orderer { node: "n2".to_owned(), incarnation: 1 };
+    let holder = OrderIssuer { node: "n2".to_owned(), incarnation: 1 };
     let now = at(world.now_ms);
     world.scheduler.leave_vms_alone(now, &holder, Some(ordered));
-    show_first_vm_as(&mut world, VmLife::Up);
+    show_first_vm_as(&mut world, VmStatus::Up);
     world.run_for(200);
     assert_eq!(starts_of(&world, &first_task(id(1))), 1);
 }
@@ -176,7 +176,7 @@
 #[test]
 fn one_whose_vm_is_down_may_have_crashed() {
     let mut world = hand_over_with_a_silent_worker();
-    show_first_vm_as(&mut world, VmLife::Down);
+    show_first_vm_as(&mut world, VmStatus::Down);
     world.run_for(1_000);
     assert_eq!(starts_of(&world, &first_task(id(1))), 0);
     world.outage = false;
@@ -189,7 +189,7 @@
 #[test]
 fn what_is_to_start_first_is_stored_first() {
     let mut world = hand_over_with_a_silent_worker();
-    show_first_vm_as(&mut world, VmLife::Down);
+    show_first_vm_as(&mut world, VmStatus::Down);
     for (number, priority) in [(2, 9), (3, 2), (4, 5)] {
         let mut accepted = job(vec![step(1)]);
         accepted.terms.priority = priority;
--- a/crates/dewspar/tests/schedule/wave_accounts.rs
+++ b/crates/dewspar/tests/schedule/wave_accounts.rs
@@ -6,22 +6,23 @@
         world::{World, at, id, job, managed, step},
     },
     dewspar::schedule::{
-        Decision, LeftVms, ManagedVm, VmLife, WaveAccount, WaveTime, WorkerId,
+        Decision, ManagedVm, RemainingVms, VmStatus, WaveDeadline,
+        WaveProgress, WorkerId,
     },
     dewspar_standin::task_worker::Fate,
 };
 
-fn accounts(world: &mut World) -> Vec<WaveAccount> {
+fn accounts(world: &mut World) -> Vec<WaveProgress> {
     let decisions = world.scheduler.take_decisions();
     let accounts = decisions.into_iter().filter_map(|d| match d {
-        Decision::WaveGoesOn { account, .. } => Some(account),
+        Decision::WaveProgress { progress: account, .. } => Some(account),
         _ => None,
     });
     accounts.collect()
 }
 
 /// Looks at a wave once and returns what is told.
-fn account(world: &mut World) -> Option<WaveAccount> {
+fn account(world: &mut World) -> Option<WaveProgress> {
     world.scheduler.take_decisions();
     world.scheduler.plan_vms(at(world.now_ms));
     accounts(world).pop()
@@ -64,9 +65,9 @@
         pass(&mut world, 50, |_| {});
     }
     let count = |time| told.iter().filter(|told| **told == time).count();
-    assert_eq!(count(WaveTime::Left), 10);
-    assert_eq!(count(WaveTime::Over), 1);
-    assert_eq!(count(WaveTime::LongOver), 1);
+    assert_eq!(count(WaveDeadline::Ahead), 10);
+    assert_eq!(count(WaveDeadline::Passed), 1);
+    assert_eq!(count(WaveDeadline::LongPassed), 1);
 }
 
 #[test]
@@ -98,17 +99,18 @@
     let told = account(&mut world).expect("it is due");
     let most = told.pace.parallel;
     assert_eq!(told.pace.under_way, 1, "one more a look");
-    let unchosen = LeftVms { short: 1, next: 4, ..LeftVms::default() };
+    let unchosen =
+        RemainingVms { short: 1, next: 4, ..RemainingVms::default() };
     assert_eq!(told.left, unchosen);
     for _ in 0..20 {
         world.scheduler.plan_vms(at(world.now_ms));
         pass(&mut world, 50, |_| {});
     }
     let told = account(&mut world).expect("it is due");
-    let chosen = LeftVms {
+    let chosen = RemainingVms {
         short: told.pace.under_way,
         parallel: 5 - told.pace.under_way,
-        ..LeftVms::default()
+        ..RemainingVms::default()
     };
     assert_eq!(told.left, chosen);
     assert!(told.pace.parallel >= most);
@@ -138,8 +140,8 @@
 fn vms_that_cannot_be_maintained_are_told_apart() {
     let mut world = world_without(&["w1"]);
     pass(&mut world, 50, |vms| {
-        vms[1].life = VmLife::Moving;
-        vms[2].life = VmLife::Down;
+        vms[1].status = VmStatus::Moving;
+        vms[2].status = VmStatus::Down;
         vms.remove(3);
     });
     world.scheduler.worker_gone(
--- a/crates/dewspar/tests/schedule/waves_in_time.rs
+++ b/crates/dewspar/tests/schedule/waves_in_time.rs
@@ -12,7 +12,7 @@
     },
     dewspar::{
         job::StepSpec,
-        schedule::{ManagedVm, VmLife, VmOrder, WaveRequest, WorkerId},
+        schedule::{ManagedVm, VmOrder, VmStatus, WaveRequest, WorkerId},
     },
     dewspar_standin::task_worker::{Fate, TaskWorker},
     std::collections::{BTreeMap, BTreeSet},
@@ -66,12 +66,12 @@
             let vm = managed(listing);
             match down.contains_key(&listing.vm) {
                 true => {
-                    let life = VmLife::Maintenance;
-                    ManagedVm { life, worker: None, ..vm }
+                    let life = VmStatus::Maintenance;
+                    ManagedVm { status: life, worker: None, ..vm }
                 }
                 false if moving.contains(&listing.vm) => {
-                    let life = VmLife::Moving;
-                    ManagedVm { life, worker: None, ..vm }
+                    let life = VmStatus::Moving;
+                    ManagedVm { status: life, worker: None, ..vm }
                 }
                 false => vm,
             }
--- a/crates/dewspar/tests/schedule/world.rs
+++ b/crates/dewspar/tests/schedule/world.rs
@@ -4,9 +4,9 @@
     dewspar::{
         job::{JobId, JobSpec, Progress, StepSpec, TaskId},
         schedule::{
-            AcceptedJob, Action, Held, HoldReport, Incarnation, ManagedVm,
-            Now, Options, OrderError, QueueTerms, Room, Scheduler, StartOrder,
-            StopOrder, VmLife, WorkerId, WorkerListing,
+            AcceptedJob, Action, HoldReport, Incarnation, ManagedVm, Now,
+            Options, OrderError, QueueTerms, Resources, Scheduler, SentHold,
+            StartOrder, StopOrder, VmStatus, WorkerId, WorkerListing,
         },
     },
     dewspar_standin::task_worker::{Fate, TaskWorker},
@@ -22,7 +22,8 @@
 /// epoch.
 const FIRST_BORN_MS: u64 = 1_600_000_000_000;
 
-pub const ROOM: Room = Room { cpu_millis: 4_000, memory_mb: 4_000, gpus: 0 };
+pub const ROOM: Resources =
+    Resources { cpu_millis: 4_000, memory_mb: 4_000, gpus: 0 };
 
 pub fn at(steady_ms: u64) -> Now {
     Now { steady_ms, unix_ms: 1_700_000_000_000 + steady_ms }
@@ -74,7 +75,7 @@
 /// What a job's runs take, and how they end.
 #[derive(Clone, Copy)]
 pub struct RunKind {
-    pub demand: Room,
+    pub demand: Resources,
     pub fate: Fate,
 }
 
@@ -161,7 +162,7 @@
     }
 
     /// Makes a world whose workers have that much room.
-    pub fn with_room(revision: u64, names: &[&str], room: Room) -> World {
+    pub fn with_room(revision: u64, names: &[&str], room: Resources) -> World {
         let mut world = World::new(revision, names);
         for listing in &mut world.listings {
             listing.capacity = room;
@@ -345,7 +346,10 @@
             Action::Start { worker, order, .. } => {
                 let clock = self.clock_of(&worker);
                 let usual = RunKind {
-                    demand: Room { cpu_millis: 1_000, ..Room::default() },
+                    demand: Resources {
+                        cpu_millis: 1_000,
+                        ..Resources::default()
+                    },
                     fate: self.fate,
                 };
                 let kind = self.kinds.get(&order.task.job).copied();
@@ -414,7 +418,7 @@
     pub fn hold_result(
         &mut self,
         worker: &WorkerId,
-        held: &Held,
+        held: &SentHold,
         result: Result<HoldReport, OrderError>,
         now: Now,
     ) {
@@ -451,7 +455,7 @@
 }
 
 /// Plans at this moment and returns the hold that goes to a worker.
-pub fn next_hold(world: &mut World, worker: &WorkerId) -> Held {
+pub fn next_hold(world: &mut World, worker: &WorkerId) -> SentHold {
     let actions = world.scheduler.plan(at(world.now_ms));
     let held = actions.into_iter().find_map(|action| match action {
         Action::Hold { worker: to, held, .. } if to == *worker => Some(held),
@@ -464,7 +468,7 @@
     ManagedVm {
         vm: listing.vm.clone(),
         pool: listing.pool.clone(),
-        life: VmLife::Up,
+        status: VmStatus::Up,
         hall: "hall-1".to_owned(),
         capacity: listing.capacity,
         worker: Some(listing.id.clone()),
--- a/crates/dewspar/tests/schedule/write_ahead.rs
+++ b/crates/dewspar/tests/schedule/write_ahead.rs
@@ -8,8 +8,8 @@
     dewspar::{
         job::{JobId, Phase},
         schedule::{
-            Action, Changes, Decision, Options, Room, Scheduler, WorkerId,
-            WorkerListing,
+            Action, Changes, Decision, Options, Resources, Scheduler,
+            WorkerId, WorkerListing,
         },
     },
     dewspar_standin::task_worker::{Fate, TaskWorker},
@@ -84,10 +84,10 @@
 // taken for another run.
 #[test]
 fn a_start_on_a_worker_that_may_be_at_fault_is_ordered_once_on_record() {
-    let room = Room { cpu_millis: 1_000, memory_mb: 1_000, gpus: 0 };
+    let room = Resources { cpu_millis: 1_000, memory_mb: 1_000, gpus: 0 };
     let mut world = World::with_room(5, &["w1"], room);
     world.take_over(8);
-    let demand = Room { cpu_millis: 1_000, ..Room::default() };
+    let demand = Resources { cpu_millis: 1_000, ..Resources::default() };
     for number in [1, 2] {
         let fails = RunKind { demand, fate: Fate::failed(100) };
         world.kinds.insert(id(number), fails);
@@ -141,7 +141,7 @@
 impl Takeover {
     fn new() -> Takeover {
         let mut scheduler = Scheduler::new(7, Options::default());
-        let room = Room { cpu_millis: 8_000, memory_mb: 8_000, gpus: 0 };
+        let room = Resources { cpu_millis: 8_000, memory_mb: 8_000, gpus: 0 };
         let listings: Vec<WorkerListing> = (0..WORKERS)
             .map(|number| WorkerListing {
                 capacity: room,
@@ -209,7 +209,8 @@
                     told.iter().any(|told| told == worker.as_str())
                 });
                 self.starts_not_on_record += u64::from(!on_record);
-                let demand = Room { cpu_millis: 1_000, ..Room::default() };
+                let demand =
+                    Resources { cpu_millis: 1_000, ..Resources::default() };
                 // OK because there are only these workers.
                 let at_worker = self.workers.get_mut(&worker).expect("known");
                 let clock_ms = now.steady_ms;
--- a/crates/dewspar/tests/schedule_random/world.rs
+++ b/crates/dewspar/tests/schedule_random/world.rs
@@ -9,7 +9,7 @@
         job::{JobId, JobSpec, Progress, Repeat, StepSpec, TaskId},
         schedule::{
             AcceptedJob, Action, EndCause, HoldReport, Incarnation, Now,
-            Options, OrderError, QueueTerms, Room, Scheduler, StartOrder,
+            Options, OrderError, QueueTerms, Resources, Scheduler, StartOrder,
             StopOrder, WorkerId, WorkerListing,
         },
     },
@@ -19,7 +19,8 @@
 };
 
 const POOL: &str = "registry";
-const ROOM: Room = Room { cpu_millis: 3_000, memory_mb: 3_000, gpus: 0 };
+const ROOM: Resources =
+    Resources { cpu_millis: 3_000, memory_mb: 3_000, gpus: 0 };
 const STEP_MS: u64 = 25;
 const MAX_ATTEMPTS: u32 = 3;
 
@@ -41,7 +42,7 @@
     slow: u64,
     cut_until_ms: u64,
     /// What its room was, each until when; it counts for a while after that.
-    former_rooms: Vec<(u64, Room)>,
+    former_rooms: Vec<(u64, Resources)>,
 }
 
 /// For how long a room counts that has shrunk, in milliseconds: the shortest
@@ -49,12 +50,12 @@
 const ROOM_COUNTS_MS: u64 = 4_500;
 
 impl Life {
-    fn has_room_for(&self, used: &Room, now_ms: u64) -> bool {
+    fn has_room_for(&self, used: &Resources, now_ms: u64) -> bool {
         let counts = |until_ms: u64| now_ms <= until_ms + ROOM_COUNTS_MS;
         let former = self.former_rooms.iter();
         let mut former = former.filter(|(until, _)| counts(*until));
-        self.listing.capacity.holds(used)
-            || former.any(|(_, room)| room.holds(used))
+        self.listing.capacity.contains(used)
+            || former.any(|(_, room)| room.contains(used))
     }
 
     /// Makes it the process that is started now: its clock doesn't show when.
@@ -295,7 +296,7 @@
     /// with its next reading.
     fn change_room(&mut self) {
         let thirds = self.random.random_range(1..=3);
-        let room = Room {
+        let room = Resources {
             cpu_millis: ROOM.cpu_millis * thirds / 3,
             memory_mb: ROOM.memory_mb * thirds / 3,
             gpus: 0,
@@ -305,7 +306,7 @@
         let before = life.listing.capacity;
         life.former_rooms.push((now_ms, before));
         life.listing.capacity = room;
-        self.shrinks += u32::from(!room.holds(&before));
+        self.shrinks += u32::from(!room.contains(&before));
     }
 
     pub fn now(&self) -> Now {
@@ -686,8 +687,11 @@
         let now_ms = self.now_ms;
         let life = self.reach(worker)?;
         let clock = life.clock(now_ms);
-        let demand =
-            Room { cpu_millis: 1_000, memory_mb: 500, ..Room::default() };
+        let demand = Resources {
+            cpu_millis: 1_000,
+            memory_mb: 500,
+            ..Resources::default()
+        };
         let fate =
             if fails { Fate::failed(work_ms) } else { Fate::done(work_ms) };
         let used_before = life.worker.used();
@@ -734,7 +738,7 @@
     fn hold(
         &mut self,
         worker: &WorkerId,
-        held: &dewspar::schedule::Held,
+        held: &dewspar::schedule::SentHold,
     ) -> Result<HoldReport, OrderError> {
         let now_ms = self.now_ms;
         let life = self.reach(worker)?;
--- a/crates/dewspard/src/jobs/decisions.rs
+++ b/crates/dewspard/src/jobs/decisions.rs
@@ -4,7 +4,7 @@
 
 use {
     crate::counters,
-    dewspar::schedule::{Decision, LeftVms, WaveAccount, WaveTime},
+    dewspar::schedule::{Decision, RemainingVms, WaveDeadline, WaveProgress},
     slog::{Logger, info, warn},
 };
 
@@ -19,7 +19,7 @@
             metrics::histogram!(counters::TASK_WAIT)
                 .record(*waited_ms as f64 / 1_000.0);
         }
-        Decision::Begun { job, after_ms } => {
+        Decision::JobBegan { job, after_ms } => {
             info!(log, "job: begun"; "job" => %job, "after_ms" => after_ms);
         }
         Decision::Ended { task, run, worker, cause, failures } => {
@@ -43,7 +43,7 @@
                 "task" => %task, "worker" => %worker,
                 "place" => place.as_ref().map(|place| place.to_string()));
         }
-        Decision::Waits { task, tasks, waited_ms, reason, lack } => {
+        Decision::LongWait { task, tasks, waited_ms, reason, unfit: lack } => {
             warn!(log, "task: waits"; "job" => %task.job, "task" => %task,
                 "tasks" => tasks, "waited_ms" => waited_ms,
                 "reason" => reason, "workers" => lack.workers,
@@ -52,7 +52,7 @@
                 "with_siblings" => lack.siblings, "barred" => lack.barred);
             counters::count_by(counters::LONG_WAITS, "reason", reason);
         }
-        Decision::StopOver { task, run, worker, cause, stop } => {
+        Decision::StopFinished { task, run, worker, cause, stop } => {
             info!(log, "task: stopped"; "job" => %task.job, "task" => %task,
                 "run" => run, "worker" => %worker, "cause" => cause,
                 "reason" => stop.reason, "after_ms" => stop.after_ms,
@@ -69,13 +69,20 @@
                 "orders" => stop.orders, "answered" => stop.answered);
             counters::count_by(counters::OVERDUE_STOPS, "reason", stop.reason);
         }
-        Decision::Lost { task, run, worker, reason, age_ms, beside } => {
+        Decision::RunLost {
+            task,
+            run,
+            worker,
+            reason,
+            age_ms,
+            other_runs: beside,
+        } => {
             warn!(log, "task: run lost"; "job" => %task.job,
                 "task" => %task, "run" => run, "worker" => %worker,
                 "reason" => reason, "age_ms" => age_ms, "beside" => beside);
             counters::count_by(counters::TASK_ENDS, "cause", "lost");
         }
-        Decision::InDoubt { task, worker, for_ms } => {
+        Decision::StartInDoubt { task, worker, for_ms } => {
             warn!(log, "task: start in doubt"; "job" => %task.job,
                 "task" => %task, "worker" => %worker, "for_ms" => for_ms,
                 "outcome" => "it starts on that worker only");
@@ -114,13 +121,13 @@
                 "outcome" => outcome);
             counters::count_by(counters::OTHER_PROCESSES, "outcome", outcome);
         }
-        Decision::ListsPassedOver { worker, clock_ms, latest_ms } => {
+        Decision::StaleReportIgnored { worker, clock_ms, latest_ms } => {
             warn!(log, "worker: lists passed over"; "worker" => %worker,
                 "clock_ms" => clock_ms, "latest_ms" => latest_ms,
                 "reason" => "the worker's clock is behind");
             counters::count(counters::LISTS_PASSED_OVER);
         }
-        Decision::Emptying { worker, vm, reason } => {
+        Decision::DrainStarted { worker, vm, reason } => {
             info!(log, "worker: emptied"; "worker" => %worker, "vm" => vm,
                 "reason" => reason);
         }
@@ -136,14 +143,14 @@
                 "vms" => vms, "used_cpu" => used_cpu,
                 "forecast_cpu" => forecast_cpu, "waiting_cpu" => waiting_cpu);
         }
-        Decision::WaveGoesOn { wave, account } => {
+        Decision::WaveProgress { wave, progress: account } => {
             record_wave(log, *wave, account);
         }
         Decision::WorkerGone { worker, reason } => {
             warn!(log, "worker: gone"; "worker" => %worker,
                 "reason" => reason);
         }
-        Decision::Job { job, phase, after_ms } => {
+        Decision::JobFinished { job, phase, after_ms } => {
             info!(log, "job: came to its end"; "job" => %job,
                 "phase" => phase.name(), "after_ms" => after_ms);
             counters::count_by(counters::JOBS, "phase", phase.name());
@@ -165,12 +172,12 @@
 }
 
 /// Logs what keeps the VMs of a wave, and counts those that are late.
-fn record_wave(log: &Logger, wave: u64, account: &WaveAccount) {
-    let WaveAccount { vms, begun, down, room, pace, left, .. } = account;
+fn record_wave(log: &Logger, wave: u64, account: &WaveProgress) {
+    let WaveProgress { vms, begun, down, room, pace, left, .. } = account;
     let line = match account.time {
-        WaveTime::Left => "wave: goes on",
-        WaveTime::Over => "wave: its time is over",
-        WaveTime::LongOver => "wave: late",
+        WaveDeadline::Ahead => "wave: goes on",
+        WaveDeadline::Passed => "wave: its time is over",
+        WaveDeadline::LongPassed => "wave: late",
     };
     info!(log, "{}", line; "wave" => wave, "vms" => vms, "begun" => begun,
         "left" => left.total(), "down" => down, "room" => room,
@@ -179,7 +186,7 @@
         "needed_ms" => pace.needed_ms, "parallel" => pace.parallel,
         "under_way" => pace.under_way, "due" => pace.due, "may_wait" => pace.may_wait,
         "kept_by" => kept_by(left));
-    if account.time != WaveTime::Over {
+    if account.time != WaveDeadline::Passed {
         return;
     }
     for (reason, vms) in left.by_reason() {
@@ -188,7 +195,7 @@
 }
 
 /// Names what keeps VMs, each with how many.
-fn kept_by(left: &LeftVms) -> String {
+fn kept_by(left: &RemainingVms) -> String {
     let kept = left.by_reason();
     let kept = kept.iter().filter(|(_, vms)| *vms > 0);
     let kept: Vec<String> =
--- a/crates/dewspard/src/jobs/election.rs
+++ b/crates/dewspard/src/jobs/election.rs
@@ -30,7 +30,7 @@
     crate::{clock, counters, passed_over},
     dewspar::{
         relay::RelayNode,
-        schedule::{Options, Orderer},
+        schedule::{Options, OrderIssuer},
     },
     dewspar_platform::{
         Batch, Commit, Error, Expected, Fleet, JobWorkers, KeyValue, Lease,
@@ -319,9 +319,9 @@
     }
 
     /// Returns by what name orders to the VM service are recorded.
-    pub(super) fn orderer(&self) -> Orderer {
+    pub(super) fn orderer(&self) -> OrderIssuer {
         let (node, incarnation) = (self.node.clone(), self.incarnation);
-        Orderer { node, incarnation }
+        OrderIssuer { node, incarnation }
     }
 
     /// Returns whether this node couldn't keep up a short while ago.
--- a/crates/dewspard/src/jobs/event.rs
+++ b/crates/dewspard/src/jobs/event.rs
@@ -15,9 +15,9 @@
         job::TaskId,
         record::RecordWritten,
         schedule::{
-            Changes, EndSetAside, EndsSetAside, Held as SentHold, HoldReport,
-            ManagedVm, OrderError, PaceOrder, StartLog, VmOrderError,
-            WorkerId, WorkerListing,
+            Changes, EndSetAside, EndsSetAside, HoldReport, ManagedVm,
+            OrderError, PaceOrder, SentHold, StartLog, VmOrderError, WorkerId,
+            WorkerListing,
         },
     },
     dewspar_platform::Error,
--- a/crates/dewspard/src/jobs/intake.rs
+++ b/crates/dewspard/src/jobs/intake.rs
@@ -110,7 +110,7 @@
             BTreeMap::new();
         for vm in vms {
             let pool = pools.entry(vm.pool.clone()).or_default();
-            *pool.entry(vm.life.name()).or_default() += 1;
+            *pool.entry(vm.status.name()).or_default() += 1;
         }
         if pools != self.pools {
             let capacities = vms.iter().map(|vm| vm.capacity.cpu_millis);
