--- a/crates/dewspar/src/schedule/full_pools.rs
+++ b/crates/dewspar/src/schedule/full_pools.rs
@@ -1,5 +1,5 @@
 use {
-    crate::schedule::{Resources, place::PoolNumber},
+    crate::schedule::{Resources, placement::PoolNumber},
     std::collections::BTreeMap,
 };
 
--- a/crates/dewspar/src/schedule/waits.rs
+++ b/crates/dewspar/src/schedule/long_waits.rs
@@ -10,7 +10,7 @@
     crate::{
         job::{StepSpec, TaskId},
         schedule::{
-            Decision, Now, Scheduler, UnfitWorkers, board::demand,
+            Decision, Now, Scheduler, UnfitWorkers, job_state::demand,
             worker::Worker,
         },
     },
--- a/crates/dewspar/src/schedule/place/alike.rs
+++ b/crates/dewspar/src/schedule/placement/uniform.rs
@@ -13,7 +13,7 @@
     crate::{
         job::{StepSpec, TaskId},
         schedule::{
-            Now, Resources, Scheduler, WorkerId, board::demand,
+            Now, Resources, Scheduler, WorkerId, job_state::demand,
             worker::Worker, workers::WorkerNumber,
         },
     },
--- a/crates/dewspar/src/schedule/places/gang.rs
+++ b/crates/dewspar/src/schedule/reservations/gang.rs
@@ -25,8 +25,8 @@
     crate::{
         job::TaskId,
         schedule::{
-            Now, Resources, Scheduler, WorkerId, board::demand,
-            place::RoomFrom, worker::Kept,
+            Now, Resources, Scheduler, WorkerId, job_state::demand,
+            placement::RoomFrom, worker::Kept,
         },
     },
     std::collections::BTreeMap,
--- a/crates/dewspar/src/schedule/sizing.rs
+++ b/crates/dewspar/src/schedule/sizing.rs
@@ -17,7 +17,7 @@
         schedule::{
             Decision, Forecast, Now, Resources, Scheduler, Sizing, VmOrder,
             VmOrderError, VmStatus, WorkerId,
-            board::demand,
+            job_state::demand,
             worker::{Purpose, Worker},
         },
     },
