--- a/crates/dewspard/tests/jobs.rs
+++ b/crates/dewspard/tests/jobs.rs
@@ -27,7 +27,7 @@
 };
 
 /// How long anything may take before a test gives up on it.
-const LIMIT: Duration = Duration::from_secs(60);
+const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
 const POOL: &str = "registry";
 
@@ -38,12 +38,12 @@
     order_faults: Faults,
     fleet: TaskFleet,
     nodes: Vec<JobNode>,
-    lapsing: tokio::task::JoinHandle<()>,
+    lease_expiry: tokio::task::JoinHandle<()>,
 }
 
 impl Drop for Cluster {
     fn drop(&mut self) {
-        self.lapsing.abort();
+        self.lease_expiry.abort();
     }
 }
 
@@ -53,11 +53,11 @@
         let store = Store::new(store_faults.clone());
         let fleet = TaskFleet::new(order_faults.clone(), POOL, 4);
         fleet.configure(QueueSet::new(1, vec![queue("extracts")]));
-        let lapsed = store.clone();
-        let lapsing = tokio::spawn(async move {
+        let store_clone = store.clone();
+        let lease_expiry = tokio::spawn(async move {
             loop {
                 sleep(Duration::from_millis(50)).await;
-                lapsed.lapse_leases();
+                store_clone.lapse_leases();
             }
         });
         let mut cluster = Cluster {
@@ -66,7 +66,7 @@
             order_faults,
             fleet,
             nodes: Vec::new(),
-            lapsing,
+            lease_expiry,
         };
         for number in 0..nodes {
             let node = cluster.node(&format!("node-{number}")).await;
@@ -132,7 +132,7 @@
     }
 
     async fn wait_for_phase(&self, node: usize, number: u64, phase: &str) {
-        until(async || {
+        wait_until(async || {
             self.phase(node, number).await.as_deref() == Some(phase)
         })
         .await;
@@ -140,7 +140,7 @@
 
     /// Checks that each task was started under rising numbers only, and
     /// returns how often each was.
-    fn starts(&self) -> BTreeMap<String, u64> {
+    fn start_counts(&self) -> BTreeMap<String, u64> {
         let mut starts: BTreeMap<String, u64> = BTreeMap::new();
         let mut last: BTreeMap<String, u64> = BTreeMap::new();
         for (task, run) in self.fleet.started() {
@@ -185,7 +185,7 @@
     .expect("a request");
     let client: Client<_, Full<Bytes>> =
         Client::builder(TokioExecutor::new()).build_http();
-    let answered = timeout(LIMIT, client.request(request)).await;
+    let answered = timeout(TEST_TIMEOUT, client.request(request)).await;
     let response = answered.expect("in time").expect("an answer");
     let status = response.status();
     let body = response.into_body().collect().await.expect("a body");
@@ -194,37 +194,41 @@
 }
 
 /// Waits until something holds.
-async fn until<F: Future<Output = bool>>(mut holds: impl FnMut() -> F) {
+async fn wait_until<F: Future<Output = bool>>(
+    mut condition: impl FnMut() -> F,
+) {
     let waiting = async {
-        while !holds().await {
+        while !condition().await {
             sleep(Duration::from_millis(20)).await;
         }
     };
-    timeout(LIMIT, waiting).await.expect("in time");
+    timeout(TEST_TIMEOUT, waiting).await.expect("in time");
 }
 
-async fn submitted(cluster: &Cluster, node: usize, number: u64) {
-    until(async || cluster.submit(node, number).await == StatusCode::CREATED)
-        .await;
+async fn submit_until_accepted(cluster: &Cluster, node: usize, number: u64) {
+    wait_until(async || {
+        cluster.submit(node, number).await == StatusCode::CREATED
+    })
+    .await;
 }
 
 #[tokio::test]
-async fn runs_a_job_that_any_node_accepts_and_answers_for() {
+async fn any_node_accepts_a_job_and_reports_its_status() {
     let cluster = Cluster::start(3).await;
-    submitted(&cluster, 1, 1).await;
+    submit_until_accepted(&cluster, 1, 1).await;
     cluster.wait_for_phase(2, 1, "completed").await;
     // The same job again is the same job.
     assert_eq!(cluster.submit(0, 1).await, StatusCode::CREATED);
     cluster.wait_for_phase(0, 1, "completed").await;
-    let starts = cluster.starts();
+    let starts = cluster.start_counts();
     assert_eq!(starts.len(), 4);
     assert!(starts.values().all(|starts| *starts == 1), "{starts:?}");
 }
 
 #[tokio::test]
-async fn refuses_what_it_cannot_read_and_names_the_field() {
+async fn invalid_requests_are_refused_with_the_field_name() {
     let cluster = Cluster::start(1).await;
-    submitted(&cluster, 0, 1).await;
+    submit_until_accepted(&cluster, 0, 1).await;
     let (get, post) = (Method::GET, Method::POST);
     let (status, _) = cluster.call(0, get, "/v1/queues/none", None).await;
     assert_eq!(status, StatusCode::NOT_FOUND);
@@ -243,14 +247,14 @@
 }
 
 #[tokio::test]
-async fn new_jobs_are_refused_unsent_once_the_store_is_known_to_be_out() {
+async fn new_jobs_are_refused_unsent_once_a_store_outage_is_known() {
     let mut cluster = Cluster::start(0).await;
     let mut settings = JobSettings::loopback("node-0");
     // So that an old configuration is no reason to refuse anything.
     settings.timing.config_apply_ms = 600_000;
     let node = cluster.node_with(settings).await;
     cluster.nodes.push(node);
-    submitted(&cluster, 0, 1).await;
+    submit_until_accepted(&cluster, 0, 1).await;
     // Longer than any caller waits; calls under way end after that.
     cluster.store_faults.set_delay_us(6_000_000);
     // Sent before anybody could know.
@@ -261,9 +265,9 @@
         assert_eq!(refused, StatusCode::SERVICE_UNAVAILABLE);
     }
     cluster.store_faults.set_delay_us(0);
-    submitted(&cluster, 0, 9).await;
+    submit_until_accepted(&cluster, 0, 9).await;
     cluster.wait_for_phase(0, 9, "completed").await;
-    let starts = cluster.starts();
+    let starts = cluster.start_counts();
     for number in 3..6 {
         let job = format!("{number:016x}");
         let ran = starts.keys().any(|task| task.starts_with(&job));
@@ -272,17 +276,17 @@
 }
 
 #[tokio::test]
-async fn a_job_outlives_the_node_that_schedules_it() {
+async fn a_job_survives_the_failure_of_the_lease_holder() {
     let mut cluster = Cluster::start(3).await;
     cluster.fleet.set_work_ms(1_500);
-    submitted(&cluster, 0, 1).await;
-    until(async || cluster.fleet.running().len() == 3).await;
+    submit_until_accepted(&cluster, 0, 1).await;
+    wait_until(async || cluster.fleet.running().len() == 3).await;
     let name = cluster.holder().await.expect("a holder");
     let number: usize = name[5..].parse().expect("node-N");
     cluster.nodes.remove(number).kill();
     cluster.wait_for_phase(0, 1, "completed").await;
     // What ran was found and not started again.
-    let starts = cluster.starts();
+    let starts = cluster.start_counts();
     assert!(starts.values().all(|starts| *starts == 1), "{starts:?}");
 }
 
@@ -297,22 +301,25 @@
     };
     let job = AcceptedJob { spec, terms: queue("").terms, accepted_at_ms: 1 };
     let job = serde_json::to_vec(&job).expect("plain JSON");
-    let odd = format!("{:016x}", 7);
+    let unreadable_id = format!("{:016x}", 7);
     let batch = Batch::default()
-        .put(&format!("q/in/{odd}"), job)
-        .put(&format!("run/{odd}"), b"no progress".to_vec());
+        .put(&format!("q/in/{unreadable_id}"), job)
+        .put(&format!("run/{unreadable_id}"), b"no progress".to_vec());
     cluster.store.commit(&batch).await.expect("a store");
     let node = cluster.node("node-0").await;
     cluster.nodes.push(node);
-    submitted(&cluster, 0, 1).await;
+    submit_until_accepted(&cluster, 0, 1).await;
     cluster.wait_for_phase(0, 1, "completed").await;
-    let starts = cluster.starts();
+    let starts = cluster.start_counts();
     // All of it may have been done.
-    assert!(!starts.keys().any(|task| task.starts_with(&odd)), "{starts:?}");
+    assert!(
+        !starts.keys().any(|task| task.starts_with(&unreadable_id)),
+        "{starts:?}"
+    );
 }
 
 #[tokio::test]
-async fn a_weak_node_hands_the_lease_to_a_stronger_one_that_comes() {
+async fn a_weak_holder_hands_the_lease_to_a_stronger_node() {
     let mut cluster = Cluster::start(0).await;
     let mut weak = JobSettings::loopback("weak");
     weak.machine.cpu_millis = 120.0;
@@ -321,22 +328,23 @@
     let node = cluster.node_with(weak).await;
     cluster.nodes.push(node);
     cluster.fleet.set_work_ms(1_500);
-    submitted(&cluster, 0, 1).await;
-    until(async || cluster.fleet.running().len() == 3).await;
+    submit_until_accepted(&cluster, 0, 1).await;
+    wait_until(async || cluster.fleet.running().len() == 3).await;
     assert_eq!(cluster.holder().await.as_deref(), Some("weak"));
     let node = cluster.node_with(strong).await;
     cluster.nodes.push(node);
-    until(async || cluster.holder().await.as_deref() == Some("strong")).await;
+    wait_until(async || cluster.holder().await.as_deref() == Some("strong"))
+        .await;
     cluster.wait_for_phase(1, 1, "completed").await;
     // What ran was found and not started again.
-    let starts = cluster.starts();
+    let starts = cluster.start_counts();
     assert!(starts.values().all(|starts| *starts == 1), "{starts:?}");
 }
 
 #[tokio::test]
 async fn a_holder_whose_orders_all_take_long_hands_the_lease_over() {
     let cluster = Cluster::start(2).await;
-    submitted(&cluster, 0, 1).await;
+    submit_until_accepted(&cluster, 0, 1).await;
     cluster.wait_for_phase(0, 1, "completed").await;
     let first = cluster.holder().await.expect("a holder");
     // As if the node read every answer late.
@@ -345,15 +353,15 @@
     let handed_over = async {
         while cluster.holder().await.is_none_or(|holder| holder == first) {
             number += 1;
-            submitted(&cluster, 0, number).await;
+            submit_until_accepted(&cluster, 0, number).await;
             // Enough orders to judge by, and no backlog.
             sleep(Duration::from_millis(100)).await;
         }
     };
-    timeout(LIMIT, handed_over).await.expect("in time");
+    timeout(TEST_TIMEOUT, handed_over).await.expect("in time");
     cluster.order_faults.set_delay_us(0);
     cluster.wait_for_phase(1, number, "completed").await;
-    let starts = cluster.starts();
+    let starts = cluster.start_counts();
     assert!(starts.values().all(|starts| *starts == 1), "{starts:?}");
 }
 
@@ -361,13 +369,13 @@
 /// once another node schedules. This one was given it by somebody else: the
 /// lease stands, and the other workers have to be made use of.
 #[tokio::test]
-async fn one_worker_that_claims_a_later_token_costs_no_lease() {
+async fn one_worker_with_a_later_token_does_not_end_the_lease() {
     let cluster = Cluster::start(1).await;
     let lease = async || {
         let version = cluster.store.version("q/owner").await;
         version.expect("a store")
     };
-    submitted(&cluster, 0, 1).await;
+    submit_until_accepted(&cluster, 0, 1).await;
     cluster.wait_for_phase(0, 1, "completed").await;
     let before = lease().await;
     let workers = cluster.fleet.workers().await.expect("a directory");
@@ -380,7 +388,7 @@
     let held = cluster.fleet.hold("", &workers[0].id, &claim).await;
     held.expect("an answer");
     for number in 2..20 {
-        submitted(&cluster, 0, number).await;
+        submit_until_accepted(&cluster, 0, number).await;
     }
     for number in 2..20 {
         cluster.wait_for_phase(0, number, "completed").await;
@@ -392,12 +400,12 @@
 async fn a_cancelled_job_stops() {
     let cluster = Cluster::start(2).await;
     cluster.fleet.set_work_ms(600_000);
-    submitted(&cluster, 0, 1).await;
-    until(async || cluster.fleet.running().len() == 3).await;
+    submit_until_accepted(&cluster, 0, 1).await;
+    wait_until(async || cluster.fleet.running().len() == 3).await;
     let path = job_path(1);
     let (status, _) = cluster.call(1, Method::DELETE, &path, None).await;
     assert_eq!(status, StatusCode::OK);
-    until(async || cluster.fleet.running().is_empty()).await;
+    wait_until(async || cluster.fleet.running().is_empty()).await;
     cluster.wait_for_phase(0, 1, "cancelled").await;
 }
 
@@ -405,17 +413,17 @@
 // write while orders to stop its runs had no result; later holders read no
 // cancelling and left the runs alone while they loaded, 14 s long.
 #[tokio::test]
-async fn a_cancelling_stays_on_record_until_nothing_runs_of_its_job() {
+async fn a_cancellation_stays_stored_until_no_task_of_its_job_runs() {
     let mut cluster = Cluster::start(1).await;
     cluster.fleet.set_work_ms(600_000);
-    submitted(&cluster, 0, 1).await;
-    until(async || cluster.fleet.running().len() == 3).await;
+    submit_until_accepted(&cluster, 0, 1).await;
+    wait_until(async || cluster.fleet.running().len() == 3).await;
     cluster.order_faults.set_outage(true);
     let path = job_path(1);
     let (status, _) = cluster.call(0, Method::DELETE, &path, None).await;
     assert_eq!(status, StatusCode::OK);
     cluster.wait_for_phase(0, 1, "cancelled").await;
-    let on_record = async |cluster: &Cluster| {
+    let stored_cancellations = async |cluster: &Cluster| {
         let listed = cluster.store.list("q/stop/").await;
         listed.expect("a store").1.len()
     };
@@ -424,44 +432,46 @@
     node.stop().await;
     let node = cluster.node("node-next").await;
     cluster.nodes.push(node);
-    until(async || cluster.holder().await.as_deref() == Some("node-next"))
-        .await;
-    assert_eq!(on_record(&cluster).await, 1);
+    wait_until(async || {
+        cluster.holder().await.as_deref() == Some("node-next")
+    })
+    .await;
+    assert_eq!(stored_cancellations(&cluster).await, 1);
     assert_eq!(cluster.fleet.running().len(), 3);
     cluster.order_faults.set_outage(false);
-    until(async || cluster.fleet.running().is_empty()).await;
-    until(async || on_record(&cluster).await == 0).await;
+    wait_until(async || cluster.fleet.running().is_empty()).await;
+    wait_until(async || stored_cancellations(&cluster).await == 0).await;
     cluster.wait_for_phase(0, 1, "cancelled").await;
 }
 
 #[tokio::test]
-async fn a_job_is_found_though_watches_hear_nothing() {
+async fn a_job_is_found_while_watches_are_silent() {
     let cluster = Cluster::start(2).await;
-    submitted(&cluster, 0, 1).await;
+    submit_until_accepted(&cluster, 0, 1).await;
     cluster.wait_for_phase(0, 1, "completed").await;
     cluster.store_faults.set_silent(true);
-    submitted(&cluster, 1, 2).await;
+    submit_until_accepted(&cluster, 1, 2).await;
     cluster.wait_for_phase(0, 2, "completed").await;
 }
 
 #[tokio::test]
-async fn a_count_of_waiting_jobs_that_was_not_stored_is_stored_later() {
+async fn a_waiting_count_whose_write_failed_is_stored_later() {
     let cluster = Cluster::start(1).await;
     cluster.fleet.set_work_ms(600_000);
     // Sixteen slots: the sixth job's first task fills the last one.
     for number in 1..=6 {
-        submitted(&cluster, 0, number).await;
+        submit_until_accepted(&cluster, 0, number).await;
     }
-    until(async || cluster.fleet.running().len() == 16).await;
+    wait_until(async || cluster.fleet.running().len() == 16).await;
     sleep(Duration::from_millis(800)).await;
     // Whatever the holder writes of the next job is refused.
     cluster.store_faults.set_delay_us(300_000);
-    submitted(&cluster, 0, 7).await;
+    submit_until_accepted(&cluster, 0, 7).await;
     cluster.store_faults.set_outage(true);
     sleep(Duration::from_millis(600)).await;
     cluster.store_faults.set_outage(false);
     cluster.store_faults.set_delay_us(0);
-    until(async || {
+    wait_until(async || {
         let path = "/v1/queues/extracts";
         let (_, body) = cluster.call(0, Method::GET, path, None).await;
         body["pending"] == 1
@@ -470,24 +480,24 @@
 }
 
 #[tokio::test]
-async fn a_holder_that_does_not_hear_of_new_jobs_gives_no_count() {
+async fn a_holder_with_a_silent_feed_gives_no_count() {
     let cluster = Cluster::start(1).await;
-    submitted(&cluster, 0, 1).await;
+    submit_until_accepted(&cluster, 0, 1).await;
     cluster.wait_for_phase(0, 1, "completed").await;
     cluster.fleet.set_work_ms(600_000);
     // The holder goes on, and writes what it likes, but hears nothing.
     cluster.store_faults.set_silent(true);
     cluster.store_faults.set_unlisted(true);
-    submitted(&cluster, 0, 2).await;
+    submit_until_accepted(&cluster, 0, 2).await;
     let path = "/v1/queues/extracts";
-    until(async || {
+    wait_until(async || {
         let (status, _) = cluster.call(0, Method::GET, path, None).await;
         status == StatusCode::SERVICE_UNAVAILABLE
     })
     .await;
     cluster.store_faults.set_unlisted(false);
     cluster.wait_for_phase(0, 2, "running").await;
-    until(async || {
+    wait_until(async || {
         let (status, body) = cluster.call(0, Method::GET, path, None).await;
         status == StatusCode::OK && body["pending"] == 0
     })
@@ -507,20 +517,20 @@
     put("q/owner", &owner).await;
     let node = cluster.node("node-0").await;
     cluster.nodes.push(node);
-    submitted(&cluster, 0, 1).await;
+    submit_until_accepted(&cluster, 0, 1).await;
     let counted = async |waiting: u64| {
         let path = "/v1/queues/extracts";
         let (status, body) = cluster.call(0, Method::GET, path, None).await;
         status == StatusCode::OK && body["pending"] == waiting
     };
-    until(async || counted(1).await).await;
+    wait_until(async || counted(1).await).await;
     // What a holder wrote that is gone.
     put("pending", "{}").await;
-    submitted(&cluster, 0, 2).await;
-    until(async || counted(2).await).await;
+    submit_until_accepted(&cluster, 0, 2).await;
+    wait_until(async || counted(2).await).await;
     put("pending", "no JSON").await;
-    submitted(&cluster, 0, 3).await;
-    until(async || counted(3).await).await;
+    submit_until_accepted(&cluster, 0, 3).await;
+    wait_until(async || counted(3).await).await;
 }
 
 #[tokio::test]
@@ -536,7 +546,7 @@
         cluster.nodes.push(node);
     }
     for number in 1..4 {
-        submitted(&cluster, 0, number).await;
+        submit_until_accepted(&cluster, 0, number).await;
     }
     let path = "/v1/queues/extracts";
     let before = cluster.store.lists_of("run/");
@@ -563,12 +573,12 @@
 }
 
 #[tokio::test]
-async fn lists_the_jobs_of_a_queue_that_are_not_over() {
+async fn lists_the_unfinished_jobs_of_a_queue() {
     let cluster = Cluster::start(2).await;
-    submitted(&cluster, 0, 1).await;
+    submit_until_accepted(&cluster, 0, 1).await;
     cluster.wait_for_phase(0, 1, "completed").await;
     cluster.fleet.set_work_ms(600_000);
-    submitted(&cluster, 0, 2).await;
+    submit_until_accepted(&cluster, 0, 2).await;
     cluster.wait_for_phase(1, 2, "running").await;
     let path = "/v1/queues/extracts/jobs";
     let (status, body) = cluster.call(1, Method::GET, path, None).await;
@@ -581,26 +591,26 @@
 }
 
 #[tokio::test]
-async fn what_is_refused_while_the_store_is_out_never_runs() {
+async fn jobs_refused_during_a_store_outage_never_run() {
     let cluster = Cluster::start(2).await;
-    submitted(&cluster, 0, 1).await;
+    submit_until_accepted(&cluster, 0, 1).await;
     cluster.wait_for_phase(0, 1, "completed").await;
     cluster.store_faults.set_outage(true);
     let refused = cluster.submit(0, 2).await;
     assert_eq!(refused, StatusCode::SERVICE_UNAVAILABLE);
     cluster.store_faults.set_outage(false);
     // The next job is accepted again, and comes to its end.
-    submitted(&cluster, 1, 3).await;
+    submit_until_accepted(&cluster, 1, 3).await;
     cluster.wait_for_phase(1, 3, "completed").await;
-    let ran = cluster.starts();
+    let ran = cluster.start_counts();
     let refused = format!("{:016x}", 2);
     assert!(!ran.keys().any(|task| task.starts_with(&refused)), "{ran:?}");
 }
 
 #[tokio::test]
-async fn an_answer_that_the_store_lost_is_never_called_a_refusal() {
+async fn a_lost_store_answer_is_not_reported_as_a_refusal() {
     let cluster = Cluster::start(2).await;
-    submitted(&cluster, 0, 1).await;
+    submit_until_accepted(&cluster, 0, 1).await;
     cluster.store_faults.set_lost_per_mille(1_000);
     let status = cluster.submit(0, 2).await;
     assert_ne!(status, StatusCode::SERVICE_UNAVAILABLE);
@@ -609,29 +619,29 @@
 }
 
 #[tokio::test]
-async fn lost_answers_of_workers_start_nothing_twice_at_a_time() {
+async fn lost_worker_answers_start_no_task_twice() {
     let cluster = Cluster::start(2).await;
     cluster.order_faults.set_lost_per_mille(150);
     for number in 1..=10 {
-        submitted(&cluster, number as usize % 2, number).await;
+        submit_until_accepted(&cluster, number as usize % 2, number).await;
     }
     for number in 1..=10 {
         cluster.wait_for_phase(0, number, "completed").await;
     }
-    let starts = cluster.starts();
+    let starts = cluster.start_counts();
     assert_eq!(starts.len(), 40);
     // A lost answer is found out, not answered by another run.
     assert!(starts.values().all(|starts| *starts == 1), "{starts:?}");
 }
 
 #[tokio::test]
-async fn a_vm_that_fails_costs_its_tasks_one_more_run() {
+async fn tasks_of_a_failed_vm_run_again() {
     let cluster = Cluster::start(2).await;
     cluster.fleet.set_work_ms(400);
     for number in 1..=4 {
-        submitted(&cluster, 0, number).await;
+        submit_until_accepted(&cluster, 0, number).await;
     }
-    until(async || cluster.fleet.running().len() >= 8).await;
+    wait_until(async || cluster.fleet.running().len() >= 8).await;
     cluster.fleet.crash("vm-0");
     for number in 1..=4 {
         cluster.wait_for_phase(1, number, "completed").await;
@@ -640,12 +650,12 @@
 
 // The ends of a restarted worker were taken for known ones: tasks were done twice.
 #[tokio::test]
-async fn workers_that_start_again_do_nothing_twice() {
+async fn restarted_workers_repeat_no_task() {
     let cluster = Cluster::start(2).await;
     cluster.fleet.set_work_ms(50);
     for number in 1..=12 {
-        submitted(&cluster, number as usize % 2, number).await;
-        until(async || cluster.fleet.running().len() >= 2).await;
+        submit_until_accepted(&cluster, number as usize % 2, number).await;
+        wait_until(async || cluster.fleet.running().len() >= 2).await;
         cluster.fleet.restart(&format!("vm-{}", number % 4));
         cluster.wait_for_phase(1, number, "completed").await;
     }
@@ -655,14 +665,14 @@
 #[tokio::test]
 async fn a_wave_maintains_every_vm() {
     let cluster = Cluster::start(2).await;
-    submitted(&cluster, 0, 1).await;
+    submit_until_accepted(&cluster, 0, 1).await;
     cluster.fleet.request_wave(WaveRequest {
         wave: 1,
         vms: (0..4).map(|vm| format!("vm-{vm}")).collect(),
         duration_ms: 5_000,
         max_down: 2,
     });
-    until(async || cluster.fleet.maintained().len() == 4).await;
-    submitted(&cluster, 1, 2).await;
+    wait_until(async || cluster.fleet.maintained().len() == 4).await;
+    submit_until_accepted(&cluster, 1, 2).await;
     cluster.wait_for_phase(0, 2, "completed").await;
 }
--- a/crates/dewspard/tests/late_relays.rs
+++ b/crates/dewspard/tests/late_relays.rs
@@ -5,7 +5,7 @@
 //! how long its holder waits for it, so that a relay passes over what is over.
 //! It can tell by the steady clocks of both, since both count suspension.
 //!
-//! Here a gate between them keeps what the holder sends, as the relay's system
+//! Here a proxy between them keeps what the holder sends, as the relay's system
 //! would, and the steady clock is told that time has passed. In a file of its
 //! own: it passes for the whole process.
 
@@ -41,10 +41,10 @@
 };
 
 /// How long anything may take before the test gives up on it.
-const LIMIT: Duration = Duration::from_secs(60);
+const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// How long a relay takes to carry an order that it takes, many times over.
-const CARRIED: Duration = Duration::from_millis(500);
+const EXECUTION_WAIT: Duration = Duration::from_millis(500);
 
 /// For how long the relay's VM is suspended: much longer than any order is
 /// waited for.
@@ -53,32 +53,36 @@
 const POOL: &str = "registry";
 
 /// What the tasks are given of the job that comes late.
-const LATE_WORK: &str = "what was to be done 20 s ago";
+const LATE_PAYLOAD: &str = "what was to be done 20 s ago";
 
-/// A connection of the holder, as the gate passes it on.
+/// A connection of the holder, as the proxy passes it on.
 #[derive(Default)]
-struct Passage {
+struct ProxiedConnection {
     /// What wasn't passed on.
-    kept: Mutex<Vec<u8>>,
+    buffered: Mutex<Vec<u8>>,
     to_relay: Mutex<Option<OwnedWriteHalf>>,
     /// How much the relay has said, and whether it has ended the connection.
-    heard: AtomicUsize,
+    received_bytes: AtomicUsize,
     ended: AtomicBool,
 }
 
-impl Passage {
-    fn has_kept(&self, text: &str) -> bool {
-        let kept = self.kept.lock().expect("bytes");
-        kept.windows(text.len()).any(|part| part == text.as_bytes())
+impl ProxiedConnection {
+    fn has_buffered(&self, text: &str) -> bool {
+        let buffered = self.buffered.lock().expect("bytes");
+        buffered.windows(text.len()).any(|part| part == text.as_bytes())
     }
 
-    async fn pass_on(&self, mut from: OwnedReadHalf, is_closed: &AtomicBool) {
+    async fn forward_to_relay(
+        &self,
+        mut from: OwnedReadHalf,
+        is_paused: &AtomicBool,
+    ) {
         let mut bytes = [0; 4096];
         while let Ok(count @ 1..) = from.read(&mut bytes).await {
-            let closed = is_closed.load(Ordering::Relaxed);
-            if closed || !self.kept.lock().expect("bytes").is_empty() {
-                let mut kept = self.kept.lock().expect("bytes");
-                kept.extend_from_slice(&bytes[..count]);
+            let paused = is_paused.load(Ordering::Relaxed);
+            if paused || !self.buffered.lock().expect("bytes").is_empty() {
+                let mut buffered = self.buffered.lock().expect("bytes");
+                buffered.extend_from_slice(&bytes[..count]);
                 continue;
             }
             self.send(&bytes[..count]).await;
@@ -93,11 +97,15 @@
         *self.to_relay.lock().expect("a half") = Some(to_relay);
     }
 
-    async fn pass_back(&self, mut from: OwnedReadHalf, to: OwnedWriteHalf) {
+    async fn forward_to_holder(
+        &self,
+        mut from: OwnedReadHalf,
+        to: OwnedWriteHalf,
+    ) {
         let mut to = to;
         let mut bytes = [0; 4096];
         while let Ok(count @ 1..) = from.read(&mut bytes).await {
-            self.heard.fetch_add(count, Ordering::Relaxed);
+            self.received_bytes.fetch_add(count, Ordering::Relaxed);
             // The holder may be done with it.
             let _ = to.write_all(&bytes[..count]).await;
         }
@@ -107,21 +115,21 @@
 
 /// Stands between a holder and a relay.
 #[derive(Clone, Default)]
-struct Gate {
-    is_closed: Arc<AtomicBool>,
-    passages: Arc<Mutex<Vec<Arc<Passage>>>>,
+struct BufferingProxy {
+    is_paused: Arc<AtomicBool>,
+    connections: Arc<Mutex<Vec<Arc<ProxiedConnection>>>>,
 }
 
-impl Gate {
-    /// Returns the address of a gate before a relay.
-    async fn before(&self, relay: &str) -> String {
+impl BufferingProxy {
+    /// Returns the address of a proxy before a relay.
+    async fn listen_for(&self, relay: &str) -> String {
         let listener = TcpListener::bind("127.0.0.1:0").await;
         let listener = listener.expect("a port");
         let address = listener.local_addr().expect("an address");
-        let (gate, relay) = (self.clone(), relay.to_owned());
+        let (proxy, relay) = (self.clone(), relay.to_owned());
         tokio::spawn(async move {
             while let Ok((holder, _)) = listener.accept().await {
-                gate.open(holder, &relay).await;
+                proxy.open(holder, &relay).await;
             }
         });
         address.to_string()
@@ -131,40 +139,44 @@
         let relay = TcpStream::connect(relay).await.expect("a relay");
         let (from_holder, to_holder) = holder.into_split();
         let (from_relay, to_relay) = relay.into_split();
-        let passage = Arc::new(Passage::default());
-        *passage.to_relay.lock().expect("a half") = Some(to_relay);
-        self.passages.lock().expect("a list").push(passage.clone());
-        let (back, is_closed) = (passage.clone(), self.is_closed.clone());
+        let connection = Arc::new(ProxiedConnection::default());
+        *connection.to_relay.lock().expect("a half") = Some(to_relay);
+        self.connections.lock().expect("a list").push(connection.clone());
+        let (back, is_paused) = (connection.clone(), self.is_paused.clone());
         tokio::spawn(async move {
-            passage.pass_on(from_holder, &is_closed).await;
+            connection.forward_to_relay(from_holder, &is_paused).await;
         });
         tokio::spawn(async move {
-            back.pass_back(from_relay, to_holder).await;
+            back.forward_to_holder(from_relay, to_holder).await;
         });
     }
 
-    fn set_closed(&self, closed: bool) {
-        self.is_closed.store(closed, Ordering::Relaxed);
+    fn set_paused(&self, paused: bool) {
+        self.is_paused.store(paused, Ordering::Relaxed);
     }
 
     /// Waits until a connection keeps a text.
-    async fn keeps(&self, text: &str) -> Arc<Passage> {
+    async fn wait_until_buffered(&self, text: &str) -> Arc<ProxiedConnection> {
         let find = || {
-            let passages = self.passages.lock().expect("a list").clone();
-            passages.into_iter().find(|passage| passage.has_kept(text))
+            let connections = self.connections.lock().expect("a list").clone();
+            connections
+                .into_iter()
+                .find(|connection| connection.has_buffered(text))
         };
-        until(async || find().is_some()).await;
+        wait_until(async || find().is_some()).await;
         find().expect("a connection")
     }
 }
 
-async fn until<F: Future<Output = bool>>(mut holds: impl FnMut() -> F) {
+async fn wait_until<F: Future<Output = bool>>(
+    mut condition: impl FnMut() -> F,
+) {
     let waiting = async {
-        while !holds().await {
+        while !condition().await {
             sleep(Duration::from_millis(5)).await;
         }
     };
-    timeout(LIMIT, waiting).await.expect("in time");
+    timeout(TEST_TIMEOUT, waiting).await.expect("in time");
 }
 
 async fn start(
@@ -203,7 +215,7 @@
     format!("{number:016x}").parse().expect("an identifier")
 }
 
-async fn hand_in(store: &Store, number: u64, payload: &str) {
+async fn submit(store: &Store, number: u64, payload: &str) {
     let step = StepSpec { count: 2, cpu_millis: 500, ..StepSpec::default() };
     let spec = JobSpec {
         queue: "extracts".to_owned(),
@@ -218,9 +230,9 @@
     store.commit(&batch).await.expect("a store");
 }
 
-async fn wait_for(store: &Store, number: u64) {
+async fn wait_until_completed(store: &Store, number: u64) {
     let key = format!("run/{}", id(number));
-    until(async || {
+    wait_until(async || {
         let found = store.get(&key).await.expect("a store");
         let progress = found.and_then(|found| {
             serde_json::from_slice::<Progress>(&found.value).ok()
@@ -230,18 +242,18 @@
     .await;
 }
 
-/// Has the holder reach the relay through a gate.
-async fn put_gate_before_relay(store: &Store, key: &str) -> Gate {
-    until(async || store.version(key).await != Ok(0)).await;
+/// Has the holder reach the relay through a proxy.
+async fn put_proxy_before_relay(store: &Store, key: &str) -> BufferingProxy {
+    wait_until(async || store.version(key).await != Ok(0)).await;
     let offer = store.get(key).await.expect("a store").expect("an offer");
     let offer: RelayNode = serde_json::from_slice(&offer.value).expect("JSON");
-    let gate = Gate::default();
-    let address = gate.before(&offer.address).await;
+    let proxy = BufferingProxy::default();
+    let address = proxy.listen_for(&offer.address).await;
     let offer = RelayNode { address, ..offer };
     let offer = serde_json::to_vec(&offer).expect("plain JSON");
     let batch = Batch::default().put(key, offer);
     store.commit(&batch).await.expect("a store");
-    gate
+    proxy
 }
 
 fn is_held_by(owner: Option<&[u8]>, node: &str) -> bool {
@@ -250,13 +262,13 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_relay_that_wakes_carries_nothing_that_its_holder_gave_up() {
+async fn a_resumed_relay_drops_orders_that_its_holder_gave_up() {
     let store = Store::new(Faults::new(1));
-    let lapsed = store.clone();
+    let store_clone = store.clone();
     tokio::spawn(async move {
         loop {
             sleep(Duration::from_millis(50)).await;
-            lapsed.lapse_leases();
+            store_clone.lapse_leases();
         }
     });
     let fleet = TaskFleet::new(Faults::new(2), POOL, 4);
@@ -269,40 +281,40 @@
     fleet.configure(QueueSet::new(1, vec![queue]));
     let reached = fleet.reached_with(Faults::new(4));
     let _relay = start(&store, reached, "relay", 1.0).await;
-    let gate = put_gate_before_relay(&store, "relay/relay").await;
+    let proxy = put_proxy_before_relay(&store, "relay/relay").await;
     // What runs is carried by the relay: the holder reaches no worker.
     let cut_off = Faults::new(3);
     cut_off.set_outage(true);
     let reached = fleet.reached_with(cut_off);
     let _holder = start(&store, reached, "holder", 2.0).await;
-    until(async || {
+    wait_until(async || {
         let owner = store.get("q/owner").await.expect("a store");
         is_held_by(owner.as_ref().map(|o| o.value.as_slice()), "holder")
     })
     .await;
     for number in 1..6 {
-        hand_in(&store, number, "what to do").await;
-        wait_for(&store, number).await;
+        submit(&store, number, "what to do").await;
+        wait_until_completed(&store, number).await;
     }
 
-    gate.set_closed(true);
-    hand_in(&store, 50, LATE_WORK).await;
-    let passage = gate.keeps(LATE_WORK).await;
-    let kept = passage.kept.lock().expect("bytes").clone();
-    let heard = passage.heard.load(Ordering::Relaxed);
+    proxy.set_paused(true);
+    submit(&store, 50, LATE_PAYLOAD).await;
+    let connection = proxy.wait_until_buffered(LATE_PAYLOAD).await;
+    let buffered = connection.buffered.lock().expect("bytes").clone();
+    let received_bytes = connection.received_bytes.load(Ordering::Relaxed);
     clock::suppose_suspension(SUSPENDED_MS);
-    passage.send(&kept).await;
-    until(async || {
-        passage.heard.load(Ordering::Relaxed) > heard
-            || passage.ended.load(Ordering::Relaxed)
+    connection.send(&buffered).await;
+    wait_until(async || {
+        connection.received_bytes.load(Ordering::Relaxed) > received_bytes
+            || connection.ended.load(Ordering::Relaxed)
     })
     .await;
-    sleep(CARRIED).await;
+    sleep(EXECUTION_WAIT).await;
     let started = fleet.started();
     let late = started.iter().filter(|(task, _)| task.job == id(50));
     assert_eq!(late.count(), 0, "by orders that are over");
 
     // The way over the relay is found again.
-    gate.set_closed(false);
-    wait_for(&store, 50).await;
+    proxy.set_paused(false);
+    wait_until_completed(&store, 50).await;
 }
--- a/crates/dewspard/tests/relays.rs
+++ b/crates/dewspard/tests/relays.rs
@@ -40,12 +40,12 @@
 };
 
 /// How long anything may take before a test gives up on it.
-const LIMIT: Duration = Duration::from_secs(60);
+const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
 const POOL: &str = "registry";
 
 /// How much the holder says that it can schedule; the others say half.
-const STRENGTH: f64 = 2.0;
+const HOLDER_STRENGTH: f64 = 2.0;
 
 /// What each node's link carries, in megabits a second: more than a message may
 /// be long in a tenth of a second.
@@ -53,9 +53,9 @@
 
 /// Keeps the messages of all lines.
 #[derive(Clone, Default)]
-struct Lines(Arc<Mutex<Vec<String>>>);
+struct CapturedLog(Arc<Mutex<Vec<String>>>);
 
-impl Drain for Lines {
+impl Drain for CapturedLog {
     type Ok = ();
     type Err = Never;
 
@@ -66,7 +66,7 @@
     }
 }
 
-impl Lines {
+impl CapturedLog {
     fn count(&self, text: &str) -> usize {
         let lines = self.0.lock().expect("lines");
         lines.iter().filter(|line| line.contains(text)).count()
@@ -75,15 +75,15 @@
 
 struct Cluster {
     /// What all nodes log.
-    lines: Lines,
+    lines: CapturedLog,
     store: Store,
     fleet: TaskFleet,
-    lapsing: JoinHandle<()>,
+    lease_expiry: JoinHandle<()>,
 }
 
 impl Drop for Cluster {
     fn drop(&mut self) {
-        self.lapsing.abort();
+        self.lease_expiry.abort();
     }
 }
 
@@ -98,14 +98,14 @@
             ..Queue::default()
         };
         fleet.configure(QueueSet::new(1, vec![queue]));
-        let lapsed = store.clone();
-        let lapsing = tokio::spawn(async move {
+        let store_clone = store.clone();
+        let lease_expiry = tokio::spawn(async move {
             loop {
                 sleep(Duration::from_millis(50)).await;
-                lapsed.lapse_leases();
+                store_clone.lapse_leases();
             }
         });
-        Cluster { lines: Lines::default(), store, fleet, lapsing }
+        Cluster { lines: CapturedLog::default(), store, fleet, lease_expiry }
     }
 
     /// Starts a node that reaches the workers with these faults.
@@ -130,16 +130,16 @@
     }
 
     /// Starts the node that schedules, which can't reach any worker by itself.
-    async fn holder_cut_off(&self) -> JobNode {
+    async fn holder_without_workers(&self) -> JobNode {
         let orders = Faults::new(3);
         orders.set_outage(true);
-        let node = self.node("holder", STRENGTH, orders).await;
+        let node = self.node("holder", HOLDER_STRENGTH, orders).await;
         self.wait_for_holder().await;
         node
     }
 
     async fn wait_for_holder(&self) {
-        until(async || {
+        wait_until(async || {
             self.store.version("q/owner").await.expect("a store") > 0
         })
         .await;
@@ -158,10 +158,12 @@
     }
 
     /// Returns where a node offers to carry.
-    async fn offered(&self, name: &str) -> SocketAddr {
+    async fn relay_address_of(&self, name: &str) -> SocketAddr {
         let key = format!("relay/{name}");
-        until(async || self.store.version(&key).await.expect("a store") > 0)
-            .await;
+        wait_until(async || {
+            self.store.version(&key).await.expect("a store") > 0
+        })
+        .await;
         let found = self.store.get(&key).await.expect("a store");
         let offer: RelayNode =
             serde_json::from_slice(&found.expect("an offer").value)
@@ -169,7 +171,7 @@
         offer.address.parse().expect("an address")
     }
 
-    async fn hand_in(&self, numbers: impl Iterator<Item = u64>) {
+    async fn submit(&self, numbers: impl Iterator<Item = u64>) {
         for number in numbers {
             let job = serde_json::to_vec(&job()).expect("plain JSON");
             let key = format!("q/in/{}", id(number));
@@ -189,7 +191,7 @@
 
     async fn wait_for_all(&self, numbers: impl Iterator<Item = u64>) {
         for number in numbers {
-            until(async || self.is_completed(number).await).await;
+            wait_until(async || self.is_completed(number).await).await;
         }
     }
 
@@ -255,22 +257,24 @@
 }
 
 /// Waits until something holds.
-async fn until<F: Future<Output = bool>>(mut holds: impl FnMut() -> F) {
+async fn wait_until<F: Future<Output = bool>>(
+    mut condition: impl FnMut() -> F,
+) {
     let waiting = async {
-        while !holds().await {
+        while !condition().await {
             sleep(Duration::from_millis(20)).await;
         }
     };
-    timeout(LIMIT, waiting).await.expect("in time");
+    timeout(TEST_TIMEOUT, waiting).await.expect("in time");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn others_carry_what_a_holder_sends_beyond_its_means() {
+async fn relays_carry_orders_beyond_the_capacity_of_the_holder() {
     let cluster = Cluster::new();
-    let _holder = cluster.holder_cut_off().await;
+    let _holder = cluster.holder_without_workers().await;
     let _first = cluster.node("relay-1", 1.0, Faults::new(4)).await;
     let _second = cluster.node("relay-2", 1.0, Faults::new(5)).await;
-    cluster.hand_in(1..20).await;
+    cluster.submit(1..20).await;
     cluster.wait_for_all(1..20).await;
     cluster.check_starts();
 }
@@ -278,21 +282,21 @@
 /// A relay that is lost takes its orders along: nobody knows whether they were
 /// carried out. They are asked about over another one, and all jobs end.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_lost_relay_leaves_its_workers_to_others() {
+async fn workers_of_a_lost_relay_move_to_another() {
     let cluster = Cluster::new();
-    let _holder = cluster.holder_cut_off().await;
+    let _holder = cluster.holder_without_workers().await;
     let (store, fleet) = (cluster.store.clone(), cluster.fleet.clone());
     let log = cluster.log();
     let lost = Runtime::new().expect("a runtime");
     lost.spawn(async move {
         let fleet = fleet.reached_with(Faults::new(4));
         let _node = start(store, fleet, "relay-1", 1.0, &log).await;
-        sleep(LIMIT).await;
+        sleep(TEST_TIMEOUT).await;
     });
-    cluster.hand_in(1..10).await;
+    cluster.submit(1..10).await;
     cluster.wait_for_all(1..3).await;
     cluster.fleet.set_work_ms(400);
-    cluster.hand_in(10..20).await;
+    cluster.submit(10..20).await;
     lost.shutdown_background();
     let _other = cluster.node("relay-2", 1.0, Faults::new(5)).await;
     cluster.wait_for_all(1..20).await;
@@ -300,14 +304,14 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_relay_that_stops_is_left_before_it_is_gone() {
+async fn a_stopping_relay_is_replaced_before_it_exits() {
     let cluster = Cluster::new();
-    let _holder = cluster.holder_cut_off().await;
+    let _holder = cluster.holder_without_workers().await;
     let first = cluster.node("relay-1", 1.0, Faults::new(4)).await;
-    cluster.hand_in(1..10).await;
+    cluster.submit(1..10).await;
     cluster.wait_for_all(1..3).await;
     let _second = cluster.node("relay-2", 1.0, Faults::new(5)).await;
-    cluster.hand_in(10..20).await;
+    cluster.submit(10..20).await;
     first.stop().await;
     cluster.wait_for_all(1..20).await;
     cluster.check_starts();
@@ -315,27 +319,27 @@
 
 /// What a relay says first, as it stands in a connection: the length of the
 /// message, and which one it is.
-const WELCOME: &[u8] = &CARRIES;
+const WELCOME_BYTES: &[u8] = &WELCOME_FRAME;
 
 /// An address that takes connections and never answers looks like the best
 /// relay there is. It is given up, and its workers are reached otherwise.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_relay_that_says_nothing_is_given_up() {
-    workers_are_reached_beside_a_relay_that_says_only(b"").await;
+async fn a_relay_that_never_answers_is_abandoned() {
+    check_fallback_from_relay_that_sends_only(b"").await;
 }
 
 /// The same for one that falls silent once it is to carry orders.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_relay_that_falls_silent_is_given_up() {
-    workers_are_reached_beside_a_relay_that_says_only(WELCOME).await;
+async fn a_relay_that_falls_silent_is_abandoned() {
+    check_fallback_from_relay_that_sends_only(WELCOME_BYTES).await;
 }
 
 /// The same for one whose messages can't be read.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_relay_that_cannot_be_understood_is_given_up() {
-    let odd = [&[0, 0, 0, 1, 0xff], &[0xff; 5], &[0, 0, 0, 0, 0]];
-    for text in odd {
-        workers_are_reached_beside_a_relay_that_says_only(text).await;
+    let malformed = [&[0, 0, 0, 1, 0xff], &[0xff; 5], &[0, 0, 0, 0, 0]];
+    for text in malformed {
+        check_fallback_from_relay_that_sends_only(text).await;
     }
 }
 
@@ -343,35 +347,34 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_holder_that_cannot_be_understood_disturbs_no_other() {
     let cluster = Cluster::new();
-    let _holder = cluster.holder_cut_off().await;
+    let _holder = cluster.holder_without_workers().await;
     let _relay = cluster.node("relay-1", 1.0, Faults::new(4)).await;
     let key = "relay/relay-1";
-    until(async || cluster.store.version(key).await != Ok(0)).await;
+    wait_until(async || cluster.store.version(key).await != Ok(0)).await;
     let offer = cluster.store.get(key).await.expect("a store");
     let offer = offer.expect("an offer").value;
     let offer: RelayNode = serde_json::from_slice(&offer).expect("JSON");
-    let odd: [&[u8]; 4] = [b"", b"\xff\xff\xff\xff", &[0; 400], b"GET /"];
-    for text in odd {
+    let malformed: [&[u8]; 4] =
+        [b"", b"\xff\xff\xff\xff", &[0; 400], b"GET /"];
+    for text in malformed {
         let stranger = TcpStream::connect(&offer.address).await;
         let mut stranger = stranger.expect("a connection");
         stranger.write_all(text).await.expect("sent");
         stranger.shutdown().await.expect("ended");
     }
-    cluster.hand_in(1..10).await;
+    cluster.submit(1..10).await;
     cluster.wait_for_all(1..10).await;
     cluster.check_starts();
 }
 
-async fn workers_are_reached_beside_a_relay_that_says_only(
-    text: &'static [u8],
-) {
+async fn check_fallback_from_relay_that_sends_only(text: &'static [u8]) {
     let cluster = Cluster::new();
-    let mute = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    cluster.offer("mute", address_of(&mute), 1_000_000).await;
+    let silent_relay = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+    cluster.offer("mute", address_of(&silent_relay), 1_000_000).await;
     let heard = Arc::new(AtomicUsize::new(0));
     let counted = heard.clone();
     tokio::spawn(async move {
-        while let Ok((mut stream, _)) = mute.accept().await {
+        while let Ok((mut stream, _)) = silent_relay.accept().await {
             let counted = counted.clone();
             tokio::spawn(async move {
                 // The holder may be done with it.
@@ -383,9 +386,10 @@
             });
         }
     });
-    let _holder = cluster.node("holder", STRENGTH, Faults::new(3)).await;
+    let _holder =
+        cluster.node("holder", HOLDER_STRENGTH, Faults::new(3)).await;
     cluster.wait_for_holder().await;
-    cluster.hand_in(1..20).await;
+    cluster.submit(1..20).await;
     cluster.wait_for_all(1..20).await;
     cluster.check_starts();
     assert!(heard.load(Ordering::Relaxed) > 0, "it was asked to carry");
@@ -401,12 +405,12 @@
 const LARGE_PAYLOAD: usize = 5_700_000;
 
 #[tokio::test(flavor = "multi_thread")]
-async fn orders_that_carry_much_go_out_in_several_messages() {
+async fn large_payloads_are_split_over_several_messages() {
     let cluster = Cluster::new();
-    let _holder = cluster.holder_cut_off().await;
+    let _holder = cluster.holder_without_workers().await;
     let _relay = cluster.node("relay-1", 1.0, Faults::new(4)).await;
     // A relay is chosen once there is enough to carry.
-    cluster.hand_in(1..10).await;
+    cluster.submit(1..10).await;
     cluster.wait_for_all(1..10).await;
     let mut batch = Batch::default();
     for number in 10..14 {
@@ -426,8 +430,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_offer_that_cannot_be_read_hides_itself_alone() {
     let cluster = Cluster::new();
-    let odd: [&[u8]; 4] = [b"null", b"{", b"", b"{\"name\":7}"];
-    for (number, value) in odd.iter().enumerate() {
+    let malformed: [&[u8]; 4] = [b"null", b"{", b"", b"{\"name\":7}"];
+    for (number, value) in malformed.iter().enumerate() {
         let key = format!("relay/odd-{number}");
         let batch = Batch::default().put(&key, value.to_vec());
         cluster.store.commit(&batch).await.expect("a store");
@@ -435,20 +439,20 @@
     // So may what they say of how much they can schedule.
     let strength = Batch::default().put("node/odd", b"{}".to_vec());
     cluster.store.commit(&strength).await.expect("a store");
-    let _holder = cluster.holder_cut_off().await;
+    let _holder = cluster.holder_without_workers().await;
     let _relay = cluster.node("relay-1", 1.0, Faults::new(4)).await;
-    cluster.hand_in(1..10).await;
+    cluster.submit(1..10).await;
     cluster.wait_for_all(1..10).await;
     cluster.check_starts();
     // Each once, though all of them are read each few seconds.
-    assert_eq!(cluster.lines.count("passed over"), odd.len() + 1);
+    assert_eq!(cluster.lines.count("passed over"), malformed.len() + 1);
 }
 
 /// What a relay says first, with its length before it.
-const CARRIES: [u8; 5] = [0, 0, 0, 1, 0];
+const WELCOME_FRAME: [u8; 5] = [0, 0, 0, 1, 0];
 
 /// A message without orders.
-const NO_ORDERS: [u8; 8] = [0, 0, 0, 4, 1, 0, 0, 0];
+const EMPTY_ORDERS_FRAME: [u8; 8] = [0, 0, 0, 4, 1, 0, 0, 0];
 
 /// The version of the messages.
 const VERSION: u8 = 3;
@@ -472,14 +476,14 @@
 
 /// Says that it carries on each connection, and nothing more; returns how many
 /// connections were opened, and how many have ended.
-fn say_that_it_carries(listener: TcpListener) -> [Arc<AtomicUsize>; 2] {
+fn serve_welcome_only(listener: TcpListener) -> [Arc<AtomicUsize>; 2] {
     let (opened, ended) = <(Arc<AtomicUsize>, Arc<AtomicUsize>)>::default();
     let counts = [opened.clone(), ended.clone()];
     tokio::spawn(async move {
         while let Ok((mut stream, _)) = listener.accept().await {
             let (opened, ended) = (opened.clone(), ended.clone());
             tokio::spawn(async move {
-                let said = stream.write_all(&CARRIES).await;
+                let said = stream.write_all(&WELCOME_FRAME).await;
                 said.expect("an open connection");
                 opened.fetch_add(1, Ordering::Relaxed);
                 read_to_end(stream).await;
@@ -490,18 +494,19 @@
     counts
 }
 
-async fn port() -> TcpListener {
+async fn listen() -> TcpListener {
     TcpListener::bind("127.0.0.1:0").await.expect("a port")
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_relay_that_carries_and_answers_nothing_is_lost() {
+async fn a_relay_that_answers_no_order_is_lost() {
     let cluster = Cluster::new();
-    let silent = port().await;
+    let silent = listen().await;
     cluster.offer("silent", address_of(&silent), 1_000_000).await;
-    let _counts = say_that_it_carries(silent);
-    let _holder = cluster.node("holder", STRENGTH, Faults::new(3)).await;
-    cluster.hand_in(1..20).await;
+    let _counts = serve_welcome_only(silent);
+    let _holder =
+        cluster.node("holder", HOLDER_STRENGTH, Faults::new(3)).await;
+    cluster.submit(1..20).await;
     cluster.wait_for_all(1..20).await;
     cluster.check_starts();
     assert!(cluster.lines.count("relay: lost") > 0);
@@ -510,15 +515,15 @@
 /// A relay that stands still has orders when it wakes that were taken for lost
 /// long ago, and whose tasks have been started by others since.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_relay_that_wakes_with_old_orders_starts_nothing_twice() {
+async fn a_resumed_relay_with_stale_orders_starts_nothing_twice() {
     let cluster = Cluster::new();
-    let _holder = cluster.holder_cut_off().await;
+    let _holder = cluster.holder_without_workers().await;
     let orders = Faults::new(4);
     let _relay = cluster.node("relay-1", 1.0, orders.clone()).await;
-    cluster.hand_in(1..10).await;
+    cluster.submit(1..10).await;
     cluster.wait_for_all(1..10).await;
     orders.set_delay_us(2_000_000);
-    cluster.hand_in(10..14).await;
+    cluster.submit(10..14).await;
     sleep(Duration::from_millis(500)).await;
     let before = cluster.fleet.started().len();
     orders.set_delay_us(0);
@@ -532,10 +537,10 @@
 
 /// The relay of two holders, one of which doesn't know of the other yet.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_relay_carries_for_the_latest_holder_alone() {
+async fn a_relay_serves_only_the_latest_holder() {
     let cluster = Cluster::new();
     let _relay = cluster.node("relay-1", 1.0, Faults::new(4)).await;
-    let address = cluster.offered("relay-1").await;
+    let address = cluster.relay_address_of("relay-1").await;
     let connect = async |lease_revision| {
         let mut stream = TcpStream::connect(address).await.expect("a relay");
         let hello = hello(lease_revision);
@@ -543,18 +548,18 @@
         stream
     };
     let carries = async |stream: &mut TcpStream| {
-        let mut said = [0; CARRIES.len()];
+        let mut said = [0; WELCOME_FRAME.len()];
         let read = stream.read_exact(&mut said);
-        let read = timeout(LIMIT, read).await.expect("in time");
-        read.is_ok_and(|_| said == CARRIES)
+        let read = timeout(TEST_TIMEOUT, read).await.expect("in time");
+        read.is_ok_and(|_| said == WELCOME_FRAME)
     };
     let mut former = connect(5).await;
     assert!(carries(&mut former).await);
     let mut latest = connect(7).await;
     assert!(carries(&mut latest).await);
     // With the next that it sends.
-    former.write_all(&NO_ORDERS).await.expect("an open connection");
-    timeout(LIMIT, read_to_end(former)).await.expect("it is ended");
+    former.write_all(&EMPTY_ORDERS_FRAME).await.expect("an open connection");
+    timeout(TEST_TIMEOUT, read_to_end(former)).await.expect("it is ended");
     let mut between = connect(6).await;
     assert!(!carries(&mut between).await, "there is a later holder");
     // The same one once more, after its connection was lost.
@@ -565,35 +570,35 @@
 /// One relay says at once that it carries, the other never does, so that the
 /// holder ends while it waits for both.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_holder_that_ends_while_it_connects_leaves_no_connection() {
+async fn a_holder_that_stops_while_connecting_leaves_no_connection() {
     let cluster = Cluster::new();
-    let (quick, mute) = (port().await, port().await);
+    let (quick, silent_relay) = (listen().await, listen().await);
     cluster.offer("quick", address_of(&quick), 1).await;
-    cluster.offer("mute", address_of(&mute), 1).await;
-    let [opened, ended] = say_that_it_carries(quick);
+    cluster.offer("mute", address_of(&silent_relay), 1).await;
+    let [opened, ended] = serve_welcome_only(quick);
     tokio::spawn(async move {
-        while let Ok((stream, _)) = mute.accept().await {
+        while let Ok((stream, _)) = silent_relay.accept().await {
             tokio::spawn(read_to_end(stream));
         }
     });
-    let holder = cluster.node("holder", STRENGTH, Faults::new(3)).await;
+    let holder = cluster.node("holder", HOLDER_STRENGTH, Faults::new(3)).await;
     cluster.wait_for_holder().await;
-    cluster.hand_in(1..20).await;
-    until(async || opened.load(Ordering::Relaxed) > 0).await;
+    cluster.submit(1..20).await;
+    wait_until(async || opened.load(Ordering::Relaxed) > 0).await;
     sleep(Duration::from_millis(50)).await;
     holder.stop().await;
     let opened = opened.load(Ordering::Relaxed);
-    until(async || ended.load(Ordering::Relaxed) == opened).await;
+    wait_until(async || ended.load(Ordering::Relaxed) == opened).await;
 }
 
 /// A single answer may be late without the relay being silent.
 #[tokio::test(flavor = "multi_thread")]
-async fn one_late_answer_does_not_cost_a_relay() {
+async fn one_late_answer_does_not_end_a_relay() {
     let cluster = Cluster::new();
-    let _holder = cluster.holder_cut_off().await;
+    let _holder = cluster.holder_without_workers().await;
     let orders = Faults::new(4);
     let _relay = cluster.node("relay-1", 1.0, orders.clone()).await;
-    cluster.hand_in(1..10).await;
+    cluster.submit(1..10).await;
     cluster.wait_for_all(1..10).await;
     // Until nothing is asked any more.
     sleep(Duration::from_secs(1)).await;
@@ -612,7 +617,10 @@
 }
 
 /// Passes on whatever comes, and counts what goes to the relay, in bytes.
-fn pass_on(listener: TcpListener, relay: SocketAddr) -> Arc<AtomicUsize> {
+fn proxy_connections(
+    listener: TcpListener,
+    relay: SocketAddr,
+) -> Arc<AtomicUsize> {
     let carried = Arc::<AtomicUsize>::default();
     let counted = carried.clone();
     tokio::spawn(async move {
@@ -620,14 +628,14 @@
             let relay = TcpStream::connect(relay).await.expect("a relay");
             let (from_holder, to_holder) = holder.into_split();
             let (from_relay, to_relay) = relay.into_split();
-            tokio::spawn(copy(from_holder, to_relay, counted.clone()));
-            tokio::spawn(copy(from_relay, to_holder, Arc::default()));
+            tokio::spawn(copy_bytes(from_holder, to_relay, counted.clone()));
+            tokio::spawn(copy_bytes(from_relay, to_holder, Arc::default()));
         }
     });
     carried
 }
 
-async fn copy(
+async fn copy_bytes(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
     copied: Arc<AtomicUsize>,
@@ -643,40 +651,40 @@
 
 /// Longer than the lease lasts without renewal, and shorter than a holder goes
 /// on without the store.
-const UNCERTAIN: Duration = Duration::from_secs(3);
+const UNCERTAIN_LEASE_WAIT: Duration = Duration::from_secs(3);
 
 #[tokio::test(flavor = "multi_thread")]
-async fn nothing_goes_over_relays_while_the_lease_may_be_over() {
+async fn no_orders_are_relayed_while_the_lease_may_have_expired() {
     let cluster = Cluster::new();
-    let holder = cluster.node("holder", STRENGTH, Faults::new(3)).await;
+    let holder = cluster.node("holder", HOLDER_STRENGTH, Faults::new(3)).await;
     cluster.wait_for_holder().await;
     let _relay = cluster.node("relay-1", 1.0, Faults::new(4)).await;
-    let relay = cluster.offered("relay-1").await;
-    let between = port().await;
+    let relay = cluster.relay_address_of("relay-1").await;
+    let between = listen().await;
     cluster.offer("relay-1", address_of(&between), 1_000).await;
-    let carried = pass_on(between, relay);
-    cluster.hand_in(1..10).await;
+    let carried = proxy_connections(between, relay);
+    cluster.submit(1..10).await;
     cluster.wait_for_all(1..10).await;
     cluster.fleet.set_work_ms(60_000);
-    cluster.hand_in(10..12).await;
-    until(async || !cluster.fleet.running().is_empty()).await;
+    cluster.submit(10..12).await;
+    wait_until(async || !cluster.fleet.running().is_empty()).await;
     let begun = carried.load(Ordering::Relaxed);
-    until(async || carried.load(Ordering::Relaxed) > begun).await;
+    wait_until(async || carried.load(Ordering::Relaxed) > begun).await;
     cluster.store.faults().set_outage(true);
-    sleep(UNCERTAIN).await;
+    sleep(UNCERTAIN_LEASE_WAIT).await;
     let before = carried.load(Ordering::Relaxed);
-    sleep(UNCERTAIN).await;
+    sleep(UNCERTAIN_LEASE_WAIT).await;
     assert_eq!(carried.load(Ordering::Relaxed), before);
     assert!(!cluster.fleet.running().is_empty(), "they were asked directly");
     drop(holder);
 }
 
 /// What a node logs that gives the lease up.
-const NO_LONGER: &str = "this node no longer schedules";
+const LEASE_RELEASED_MESSAGE: &str = "this node no longer schedules";
 
 /// How long each task takes where some are to end under either holder, in
 /// milliseconds.
-const SOME_WORK_MS: u64 = 150;
+const TASK_DURATION_MS: u64 = 150;
 
 /// Two nodes and their relay: the one that schedules is cut off from the store,
 /// though neither from the relay nor, by it, from the workers. The other one takes
@@ -684,10 +692,10 @@
 /// by itself, so all that runs was carried by the one relay, for the later of them
 /// alone; and nothing runs twice.
 #[tokio::test(flavor = "multi_thread")]
-async fn one_relay_serves_the_node_that_takes_over_from_one_cut_off() {
+async fn one_relay_serves_the_successor_of_a_partitioned_holder() {
     let cluster = Cluster::new();
-    cluster.fleet.set_work_ms(SOME_WORK_MS);
-    let (cut, lines) = (Faults::new(7), Lines::default());
+    cluster.fleet.set_work_ms(TASK_DURATION_MS);
+    let (cut, lines) = (Faults::new(7), CapturedLog::default());
     let log = Logger::root(lines.clone().fuse(), o!());
     let cut_off = |seed| {
         let orders = Faults::new(seed);
@@ -695,11 +703,11 @@
         cluster.fleet.reached_with(orders)
     };
     let store = cluster.store.reached_with(cut.clone());
-    let former = start(store, cut_off(3), "former", STRENGTH, &log);
+    let former = start(store, cut_off(3), "former", HOLDER_STRENGTH, &log);
     let _former = former.await;
     cluster.wait_for_holder().await;
     let _relay = cluster.node("relay-1", 1.0, Faults::new(4)).await;
-    cluster.hand_in(1..30).await;
+    cluster.submit(1..30).await;
     cluster.wait_for_all(1..3).await;
     let owner = async || cluster.store.version("q/owner").await;
     let before = owner().await;
@@ -709,19 +717,23 @@
     cut.set_outage(true);
     let (store, fleet) = (cluster.store.clone(), cut_off(6));
     let log = cluster.log();
-    let _next = start(store, fleet, "next", STRENGTH, &log).await;
+    let _next = start(store, fleet, "next", HOLDER_STRENGTH, &log).await;
     let is_taken = |now| now != Ok(0) && now != before;
-    until(async || is_taken(owner().await)).await;
-    assert_eq!(lines.count(NO_LONGER), 0, "it goes on with what it knows");
-    cluster.hand_in(30..40).await;
+    wait_until(async || is_taken(owner().await)).await;
+    assert_eq!(
+        lines.count(LEASE_RELEASED_MESSAGE),
+        0,
+        "it goes on with what it knows"
+    );
+    cluster.submit(30..40).await;
     cluster.wait_for_all(1..40).await;
     cluster.check_starts();
-    until(async || lines.count(NO_LONGER) == 1).await;
+    wait_until(async || lines.count(LEASE_RELEASED_MESSAGE) == 1).await;
 
     // Cut off no longer, it looks on.
     let after = owner().await;
     cut.set_outage(false);
-    cluster.hand_in(40..50).await;
+    cluster.submit(40..50).await;
     cluster.wait_for_all(40..50).await;
     cluster.check_starts();
     assert_eq!(owner().await, after, "the lease has changed hands");
@@ -733,16 +745,17 @@
 /// It answers at once, so it was no silent relay: its share of the workers counted
 /// as silent, and what they had done was started again once their leases were over.
 #[tokio::test(flavor = "multi_thread")]
-async fn workers_that_a_relay_does_not_reach_are_asked_directly() {
+async fn workers_unreachable_by_their_relay_are_asked_directly() {
     let cluster = Cluster::new();
-    let _holder = cluster.node("holder", STRENGTH, Faults::new(3)).await;
+    let _holder =
+        cluster.node("holder", HOLDER_STRENGTH, Faults::new(3)).await;
     cluster.wait_for_holder().await;
     let orders = Faults::new(4);
     let _relay = cluster.node("relay-1", 1.0, orders.clone()).await;
-    cluster.hand_in(1..10).await;
+    cluster.submit(1..10).await;
     cluster.wait_for_all(1..10).await;
-    cluster.fleet.set_work_ms(SOME_WORK_MS);
-    cluster.hand_in(10..40).await;
+    cluster.fleet.set_work_ms(TASK_DURATION_MS);
+    cluster.submit(10..40).await;
     cluster.wait_for_all(10..15).await;
     assert!(cluster.lines.count("relay: chosen") > 0);
     orders.set_outage(true);
