--- a/crates/dewspar/src/schedule/full_pools.rs
+++ b/crates/dewspar/src/schedule/full_pools.rs
@@ -1,5 +1,5 @@
 use {
-    crate::schedule::{Room, placement::PoolNumber},
+    crate::schedule::{Resources, placement::PoolNumber},
     std::collections::BTreeMap,
 };
 
@@ -12,22 +12,30 @@
 /// fall ever further behind.
 #[derive(Debug, Default)]
 pub(super) struct FullPools {
-    refused: Vec<Vec<Room>>,
+    refused: Vec<Vec<Resources>>,
 }
 
 impl FullPools {
-    pub(super) fn record_refusal(&mut self, pool: PoolNumber, demand: Room) {
+    pub(super) fn record_refusal(
+        &mut self,
+        pool: PoolNumber,
+        demand: Resources,
+    ) {
         if self.refused.len() <= pool {
             self.refused.resize_with(pool + 1, Vec::new);
         }
         let refused = &mut self.refused[pool];
-        refused.retain(|larger| !larger.holds(&demand));
+        refused.retain(|larger| !larger.contains(&demand));
         refused.push(demand);
     }
 
-    pub(super) fn is_full_for(&self, pool: PoolNumber, demand: &Room) -> bool {
+    pub(super) fn is_full_for(
+        &self,
+        pool: PoolNumber,
+        demand: &Resources,
+    ) -> bool {
         let refused = self.refused.get(pool);
-        refused.is_some_and(|r| r.iter().any(|least| demand.holds(least)))
+        refused.is_some_and(|r| r.iter().any(|least| demand.contains(least)))
     }
 }
 
--- a/crates/dewspar/src/schedule/long_running.rs
+++ b/crates/dewspar/src/schedule/long_running.rs
@@ -18,7 +18,7 @@
     crate::{
         job::{StepSpec, TaskId},
         schedule::{
-            Now, Room, Scheduler, WorkerId,
+            Now, Resources, Scheduler, WorkerId,
             job_state::{Job, demand},
             placement::has_label,
             worker::{DrainReason, Worker},
@@ -43,7 +43,7 @@
 struct StepDemand<'a> {
     first: TaskId,
     spec: &'a StepSpec,
-    demand: Room,
+    demand: Resources,
     /// How many run on no worker that stays.
     unplaced: u64,
     /// How many of these could start now.
@@ -55,12 +55,12 @@
 struct PoolDemand<'a> {
     steps: Vec<StepDemand<'a>>,
     /// The workers that stay, each with what is to last there.
-    on: HashMap<&'a WorkerId, Room>,
+    on: HashMap<&'a WorkerId, Resources>,
 }
 
 /// A VM that tasks are put on in thought.
 struct Bin<'a> {
-    free: Room,
+    free: Resources,
     /// Its worker; `None` for one that is to come.
     worker: Option<&'a Worker>,
 }
@@ -72,7 +72,7 @@
         if self.worker.is_some_and(|worker| !has_label(worker, label)) {
             return 0;
         }
-        let fitting = self.free.times_held(&step.demand);
+        let fitting = self.free.count_fitting(&step.demand);
         let taken = count.min(fitting).min(self.siblings_left(step));
         self.free.subtract(&step.demand.times(taken));
         taken
@@ -94,7 +94,7 @@
 fn added_vms<'a>(
     mut bins: Vec<Bin<'a>>,
     steps: &[(&StepDemand, u64)],
-    vms: &[Room],
+    vms: &[Resources],
 ) -> u64 {
     let Some(smallest) = smallest(steps) else { return 0 };
     let mut added = 0;
@@ -104,9 +104,9 @@
         // that the steps before it have filled.
         bins.retain_mut(|bin| {
             left -= bin.take(step, left);
-            bin.free.holds(&smallest)
+            bin.free.contains(&smallest)
         });
-        let fitting = vms.iter().filter(|vm| vm.holds(&step.demand));
+        let fitting = vms.iter().filter(|vm| vm.contains(&step.demand));
         let Some(vm) = fitting.max_by_key(|vm| vm.cpu_millis) else {
             continue;
         };
@@ -121,9 +121,9 @@
 }
 
 /// Returns the least of each kind of room that some task asks for.
-fn smallest(steps: &[(&StepDemand, u64)]) -> Option<Room> {
+fn smallest(steps: &[(&StepDemand, u64)]) -> Option<Resources> {
     let demands = steps.iter().map(|(step, _)| step.demand);
-    demands.reduce(|least, demand| least.smaller(&demand))
+    demands.reduce(|least, demand| least.component_min(&demand))
 }
 
 impl Scheduler {
@@ -167,7 +167,7 @@
         &'a self,
         job: &'a Job,
         first: TaskId,
-        on: &mut HashMap<&'a WorkerId, Room>,
+        on: &mut HashMap<&'a WorkerId, Resources>,
         now: Now,
     ) -> Option<StepDemand<'a>> {
         let spec = job.step_spec(&first)?;
@@ -203,16 +203,17 @@
 
     /// Returns which part of the largest VM a task takes, in thousandths of
     /// the kind of room that it takes most of.
-    fn dominant_share(&self, demand: &Room) -> u64 {
+    fn dominant_share(&self, demand: &Resources) -> u64 {
         let largest = self.capacities.iter();
-        let largest = largest.fold(Room::default(), |a, b| a.larger(b));
-        demand.per_thousand_of(&largest)
+        let largest =
+            largest.fold(Resources::default(), |a, b| a.component_max(b));
+        demand.permille_of(&largest)
     }
 
     fn floor_vms(&self, pool: &PoolDemand) -> u64 {
         let bins = pool.on.iter().filter_map(|(id, used)| {
             let worker = self.workers.get(id)?;
-            let free = worker.listing.capacity.less(used);
+            let free = worker.listing.capacity.minus(used);
             Some(Bin { free, worker: Some(worker) })
         });
         let mut bins: Vec<Bin> = bins.collect();
@@ -244,7 +245,7 @@
     }
 
     /// Returns the room of each VM that is on its way to a pool.
-    fn incoming_rooms(&self, pool: &str) -> impl Iterator<Item = Room> {
+    fn incoming_rooms(&self, pool: &str) -> impl Iterator<Item = Resources> {
         let ordered = self.moving.iter().filter(move |(_, m)| m.to == pool);
         let ordered =
             ordered.filter_map(|(vm, _)| Some(self.vms.get(vm)?.capacity));
--- a/crates/dewspar/src/schedule/reservations/gang.rs
+++ b/crates/dewspar/src/schedule/reservations/gang.rs
@@ -25,7 +25,7 @@
     crate::{
         job::TaskId,
         schedule::{
-            Now, Room, Scheduler, WorkerId, job_state::demand,
+            Now, Resources, Scheduler, WorkerId, job_state::demand,
             placement::RoomHorizon, worker::ReservedRoom,
         },
     },
@@ -305,7 +305,7 @@
     ) {
         let SuspendedReservation { task, planned, room } = taken;
         if let Some(worker) = self.workers.get_mut(&planned.to) {
-            let was_free = worker.free().holds(&room);
+            let was_free = worker.free().contains(&room);
             worker.reserve_for(task, ReservedRoom { room, was_free });
         }
         self.places.planned.insert(task, planned);
@@ -336,7 +336,7 @@
         let suits = self.workers.get(worker_id).is_some_and(|worker| {
             worker.is_usable()
                 && worker.listing.pool == job.terms.pool
-                && worker.free().holds(&demand(spec))
+                && worker.free().contains(&demand(spec))
         });
         if suits && !has_failed {
             self.reserve_room(task, None, worker_id);
@@ -517,5 +517,5 @@
 pub(in crate::schedule) struct SuspendedReservation {
     task: TaskId,
     planned: Reservation,
-    room: Room,
+    room: Resources,
 }
--- a/crates/dewspar/src/schedule/worker.rs
+++ b/crates/dewspar/src/schedule/worker.rs
@@ -6,7 +6,7 @@
         job::{JobId, TaskId},
         link::Class,
         schedule::{
-            Incarnation, Options, Room, WorkerId, WorkerListing,
+            Incarnation, Options, Resources, WorkerId, WorkerListing,
             stopping::Stop,
         },
     },
@@ -63,7 +63,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ReservedRoom {
     /// What the task takes.
-    pub(crate) room: Room,
+    pub(crate) room: Resources,
     /// Whether that was free when it was kept; else short tasks have to end
     /// first.
     pub(crate) was_free: bool,
@@ -71,8 +71,8 @@
 
 impl ReservedRoom {
     /// Returns what nobody else can have taken.
-    fn secured(&self) -> Room {
-        if self.was_free { self.room } else { Room::default() }
+    fn secured(&self) -> Resources {
+        if self.was_free { self.room } else { Resources::default() }
     }
 }
 
@@ -82,7 +82,7 @@
     pub(crate) run: u64,
     /// The token of the order that started it; 0 if it was found running.
     pub(crate) fence: u64,
-    pub(crate) demand: Room,
+    pub(crate) demand: Resources,
     pub(crate) state: RunState,
     /// When it was ordered or found.
     pub(crate) since_ms: u64,
@@ -131,7 +131,7 @@
     pub(crate) fn ordered(
         run: u64,
         fence: u64,
-        demand: Room,
+        demand: Resources,
         now_ms: u64,
     ) -> Run {
         Run {
@@ -226,15 +226,15 @@
     pub(crate) session: u64,
     pub(crate) listing: WorkerListing,
     pub(crate) runs: BTreeMap<TaskId, Run>,
-    used: Room,
+    used: Resources,
     /// What the runs of that take whose tasks are to last.
-    used_by_long_running: Room,
+    used_by_long_running: Resources,
     /// What is kept free for tasks that are to start here.
     reserved: BTreeMap<TaskId, ReservedRoom>,
     /// The sum of that.
-    reserved_room: Room,
+    reserved_room: Resources,
     /// The sum of what of that is there already.
-    secured_room: Room,
+    secured_room: Resources,
     /// How many of the runs are suspected.
     suspects: usize,
     /// How many of the runs want nothing started beside them.
@@ -320,11 +320,11 @@
             session: 0,
             listing,
             runs: BTreeMap::new(),
-            used: Room::default(),
-            used_by_long_running: Room::default(),
+            used: Resources::default(),
+            used_by_long_running: Resources::default(),
             reserved: BTreeMap::new(),
-            reserved_room: Room::default(),
-            secured_room: Room::default(),
+            reserved_room: Resources::default(),
+            secured_room: Resources::default(),
             suspects: 0,
             tested: 0,
             lease_revision,
@@ -394,30 +394,30 @@
 
     /// Returns what is free for tasks that take their share of processor and
     /// for which nothing is kept here.
-    pub(crate) fn free(&self) -> Room {
-        let unused = self.listing.capacity.less(&self.used);
+    pub(crate) fn free(&self) -> Resources {
+        let unused = self.listing.capacity.minus(&self.used);
         // Nearly all keep nothing, and this is asked of each worker of a pool.
         if self.reserved.is_empty() {
             unused
         } else {
-            unused.less(&self.reserved_room)
+            unused.minus(&self.reserved_room)
         }
     }
 
     /// Returns what is free for a task, with what is kept for it.
-    pub(crate) fn free_for(&self, task: &TaskId) -> Room {
+    pub(crate) fn free_for(&self, task: &TaskId) -> Resources {
         let Some(own) = self.reserved.get(task) else { return self.free() };
-        let unused = self.listing.capacity.less(&self.used);
+        let unused = self.listing.capacity.minus(&self.used);
         // What others wait for isn't there yet, and must not stand in the way
         // of what is: two that wait would keep each other out.
-        unused.less(&self.secured_room.less(&own.secured()))
+        unused.minus(&self.secured_room.minus(&own.secured()))
     }
 
     /// Returns what is free for a task once all is over that isn't to last.
-    pub(crate) fn free_soon_for(&self, task: &TaskId) -> Room {
+    pub(crate) fn free_soon_for(&self, task: &TaskId) -> Resources {
         let own = self.reserved.get(task).map(|reserved| reserved.room);
-        let others = self.reserved_room.less(&own.unwrap_or_default());
-        self.listing.capacity.less(&self.used_by_long_running).less(&others)
+        let others = self.reserved_room.minus(&own.unwrap_or_default());
+        self.listing.capacity.minus(&self.used_by_long_running).minus(&others)
     }
 
     /// Keeps room for a task that is to start here.
@@ -442,8 +442,8 @@
     }
 
     fn sum_reserved(&mut self) {
-        self.reserved_room = Room::default();
-        self.secured_room = Room::default();
+        self.reserved_room = Resources::default();
+        self.secured_room = Resources::default();
         for reserved in self.reserved.values() {
             self.reserved_room.add(&reserved.room);
             self.secured_room.add(&reserved.secured());
@@ -455,7 +455,7 @@
         !self.reserved.is_empty()
     }
 
-    pub(crate) fn used(&self) -> &Room {
+    pub(crate) fn used(&self) -> &Resources {
         &self.used
     }
 
--- a/crates/dewspard/src/jobs/election.rs
+++ b/crates/dewspard/src/jobs/election.rs
@@ -24,13 +24,13 @@
 
 use {
     super::{
-        holder, intent, keys, outcome::Outcome, readiness::Readiness,
-        settings::Machine,
+        holder, intent, keys, readiness::Readiness, settings::Machine,
+        step_down::StepDown,
     },
     crate::{clock, counters, passed_over},
     dewspar::{
         relay::RelayNode,
-        schedule::{Options, Orderer},
+        schedule::{Options, OrderIssuer},
     },
     dewspar_platform::{
         Batch, Commit, Error, Expected, Fleet, JobWorkers, KeyValue, Lease,
@@ -337,9 +337,9 @@
     }
 
     /// Returns by what name orders to the VM service are recorded.
-    pub(super) fn orderer(&self) -> Orderer {
+    pub(super) fn orderer(&self) -> OrderIssuer {
         let (node, incarnation) = (self.node.clone(), self.incarnation);
-        Orderer { node, incarnation }
+        OrderIssuer { node, incarnation }
     }
 
     /// Returns whether this node couldn't keep up a short while ago.
@@ -426,7 +426,7 @@
             "revision" => held.revision, "lease_ms" => held.lease_ms);
         counters::count(counters::TAKEOVERS);
         let outcome = holder::run(self, held).await;
-        if matches!(outcome, Outcome::Overloaded) {
+        if matches!(outcome, StepDown::Overloaded) {
             counters::count(counters::OVERLOADS);
             self.overloaded_until_ms = clock::now_ms() + OVERLOAD_BACKOFF_MS;
         }
@@ -473,13 +473,13 @@
         }
     }
 
-    async fn release(&self, held: &HeldLease, outcome: Outcome) {
+    async fn release(&self, held: &HeldLease, outcome: StepDown) {
         let reason = match outcome {
-            Outcome::Lost(reason) => reason,
-            Outcome::Stopping => "the node stops",
-            Outcome::Yielding => "a stronger node asks for it",
-            Outcome::Overloaded => "this node can't keep up",
-            Outcome::OutOfTokens => "no later token is left for a worker",
+            StepDown::Lost(reason) => reason,
+            StepDown::Stopping => "the node stops",
+            StepDown::Yielding => "a stronger node asks for it",
+            StepDown::Overloaded => "this node can't keep up",
+            StepDown::OutOfTokens => "no later token is left for a worker",
         };
         info!(self.log, "election: this node no longer schedules";
             "revision" => held.revision, "reason" => reason);
