--- a/crates/dewspard/src/jobs/counts.rs
+++ b/crates/dewspard/src/jobs/counts.rs
@@ -21,28 +21,28 @@
 };
 
 /// How often counts are written if they have changed, in milliseconds.
-const CHANGED_AFTER_MS: u64 = 700;
+const CHANGED_WRITE_INTERVAL_MS: u64 = 700;
 
 /// How often counts are written that haven't changed, in milliseconds: so
 /// that they are a second old at most, and a write may be lost before readers
 /// take them for given up.
-const UNCHANGED_AFTER_MS: u64 = 1_000;
+const UNCHANGED_WRITE_INTERVAL_MS: u64 = 1_000;
 
 /// How often it is looked whether counts have changed, in milliseconds: each
 /// look goes through all jobs.
-const LOOK_AFTER_MS: u64 = 100;
+const CHECK_INTERVAL_MS: u64 = 100;
 
 /// For how long a record that stays the same is believed, in milliseconds:
 /// callers may be told counts of that age.
-const GIVEN_UP_AFTER_MS: u64 = 2_000;
+const ABANDONED_AFTER_MS: u64 = 2_000;
 
 /// For how long counts are answered from without reading again, in
 /// milliseconds: a quarter of what callers may be told.
-const READ_AGAIN_AFTER_MS: u64 = 500;
+const RECORD_CACHE_MS: u64 = 500;
 
 /// For how long a node's own count is answered from, in milliseconds: it
 /// reads every stored job, which takes a small link most of a second.
-const COUNT_AGAIN_AFTER_MS: u64 = 1_000;
+const OWN_COUNT_CACHE_MS: u64 = 1_000;
 
 /// How many jobs of each queue wait.
 pub(super) type WaitingJobs = BTreeMap<String, u64>;
@@ -50,10 +50,10 @@
 /// The holder's side: when counts are written, and under what condition.
 #[derive(Debug, Default)]
 pub(super) struct CountsWriter {
-    written: WaitingJobs,
-    written_ms: u64,
+    last_written: WaitingJobs,
+    last_write_ms: u64,
     /// When it was last looked whether they have changed.
-    looked_ms: u64,
+    last_check_ms: u64,
     /// The record's version; 0 for none.
     version: u64,
     /// Whether the last write is known to have taken place.
@@ -63,33 +63,34 @@
 
 impl CountsWriter {
     /// Notes at which version the record was found; 0 for none.
-    pub(super) fn found(&mut self, version: u64) {
+    pub(super) fn set_version(&mut self, version: u64) {
         self.version = version;
     }
 
     /// Returns whether counts may have to be written now.
     pub(super) fn is_due(&self, now_ms: u64) -> bool {
         !self.is_writing
-            && now_ms >= self.written_ms + CHANGED_AFTER_MS
-            && now_ms >= self.looked_ms + LOOK_AFTER_MS
+            && now_ms >= self.last_write_ms + CHANGED_WRITE_INTERVAL_MS
+            && now_ms >= self.last_check_ms + CHECK_INTERVAL_MS
     }
 
     /// Returns the write of these counts, unless the record is new enough.
-    pub(super) fn write(
+    pub(super) fn begin_write(
         &mut self,
         counts: WaitingJobs,
         held: &HeldLease,
         now_ms: u64,
     ) -> Option<Batch> {
-        self.looked_ms = now_ms;
-        let is_new = now_ms < self.written_ms + UNCHANGED_AFTER_MS;
-        if counts == self.written && self.is_stored && is_new {
+        self.last_check_ms = now_ms;
+        let is_recent =
+            now_ms < self.last_write_ms + UNCHANGED_WRITE_INTERVAL_MS;
+        if counts == self.last_written && self.is_stored && is_recent {
             return None;
         }
         // OK because texts and numbers can always be written.
         let value = serde_json::to_vec(&counts).expect("plain JSON");
-        self.written = counts;
-        self.written_ms = now_ms;
+        self.last_written = counts;
+        self.last_write_ms = now_ms;
         self.is_writing = true;
         let batch = Batch::default()
             .when(keys::OWNER, Expected::Version(held.revision))
@@ -100,7 +101,7 @@
 
     /// Notes what became of the write; one that failed is tried again under
     /// the same condition, so that only one of the two can take place.
-    pub(super) fn answered(&mut self, written: RecordWritten) {
+    pub(super) fn write_answered(&mut self, written: RecordWritten) {
         self.is_writing = false;
         self.is_stored = matches!(written, RecordWritten::Done(_));
         match written {
@@ -111,8 +112,8 @@
     }
 
     /// Returns the counts that were written last.
-    pub(super) fn written(&self) -> &WaitingJobs {
-        &self.written
+    pub(super) fn last_written(&self) -> &WaitingJobs {
+        &self.last_written
     }
 }
 
@@ -121,11 +122,11 @@
 pub(super) struct CountsReader {
     counts: WaitingJobs,
     /// Until when they are answered from.
-    good_until_ms: u64,
+    cached_until_ms: u64,
     /// The version of the record that was read last; 0 for none.
     version: u64,
     /// When that version was first read.
-    first_read_ms: u64,
+    first_seen_ms: u64,
 }
 
 /// What a record is worth.
@@ -139,7 +140,7 @@
 
 impl CountsRecord {
     /// Returns why it isn't believed, if it isn't.
-    pub(super) fn unfit(&self) -> Option<&'static str> {
+    pub(super) fn unusable_reason(&self) -> Option<&'static str> {
         match self {
             CountsRecord::Fresh(_) => None,
             CountsRecord::Unusable(reason) => Some(reason),
@@ -157,8 +158,12 @@
 
 impl CountsReader {
     /// Returns a queue's count, if it needn't be read again.
-    pub(super) fn known(&self, queue: &str, now_ms: u64) -> Option<u64> {
-        (now_ms < self.good_until_ms).then(|| self.count(queue))
+    pub(super) fn cached_count(
+        &self,
+        queue: &str,
+        now_ms: u64,
+    ) -> Option<u64> {
+        (now_ms < self.cached_until_ms).then(|| self.count(queue))
     }
 
     /// Returns a queue's count as it was taken over last; a queue that isn't
@@ -168,7 +173,7 @@
     }
 
     /// Judges the record that was found, and notes its version.
-    pub(super) fn judge(
+    pub(super) fn evaluate(
         &mut self,
         found: Option<&Versioned>,
         now_ms: u64,
@@ -176,12 +181,12 @@
         let version = found.map_or(0, |found| found.version);
         if version != self.version {
             self.version = version;
-            self.first_read_ms = now_ms;
+            self.first_seen_ms = now_ms;
         }
         let Some(found) = found else {
             return CountsRecord::Unusable("no holder has counted");
         };
-        if now_ms >= self.first_read_ms + GIVEN_UP_AFTER_MS {
+        if now_ms >= self.first_seen_ms + ABANDONED_AFTER_MS {
             return CountsRecord::Unusable("its holder doesn't renew it");
         }
         match serde_json::from_slice(&found.value) {
@@ -193,18 +198,18 @@
     /// Returns for how long the record that was judged has been the same, in
     /// milliseconds.
     pub(super) fn unchanged_ms(&self, now_ms: u64) -> u64 {
-        now_ms.saturating_sub(self.first_read_ms)
+        now_ms.saturating_sub(self.first_seen_ms)
     }
 
     /// Takes over a holder's counts.
-    pub(super) fn take_record(&mut self, counts: WaitingJobs, now_ms: u64) {
+    pub(super) fn use_record(&mut self, counts: WaitingJobs, now_ms: u64) {
         self.counts = counts;
-        self.good_until_ms = now_ms + READ_AGAIN_AFTER_MS;
+        self.cached_until_ms = now_ms + RECORD_CACHE_MS;
     }
 
     /// Takes over what this node has counted itself.
-    pub(super) fn take_own(&mut self, counts: WaitingJobs, now_ms: u64) {
+    pub(super) fn use_own_count(&mut self, counts: WaitingJobs, now_ms: u64) {
         self.counts = counts;
-        self.good_until_ms = now_ms + COUNT_AGAIN_AFTER_MS;
+        self.cached_until_ms = now_ms + OWN_COUNT_CACHE_MS;
     }
 }
--- a/crates/dewspard/src/jobs/decisions.rs
+++ b/crates/dewspard/src/jobs/decisions.rs
@@ -9,7 +9,7 @@
 };
 
 /// Logs and counts a decision.
-pub(super) fn record(log: &Logger, decision: &Decision) {
+pub(super) fn log_and_count(log: &Logger, decision: &Decision) {
     match decision {
         Decision::Started { task, run, worker, waited_ms, cpu_millis } => {
             info!(log, "task: start ordered"; "job" => %task.job, "task" => %task,
@@ -137,7 +137,7 @@
                 "forecast_cpu" => forecast_cpu, "waiting_cpu" => waiting_cpu);
         }
         Decision::WaveGoesOn { wave, account } => {
-            record_wave(log, *wave, account);
+            log_wave(log, *wave, account);
         }
         Decision::WorkerGone { worker, reason } => {
             warn!(log, "worker: gone"; "worker" => %worker,
@@ -165,20 +165,20 @@
 }
 
 /// Logs what keeps the VMs of a wave, and counts those that are late.
-fn record_wave(log: &Logger, wave: u64, account: &WaveAccount) {
+fn log_wave(log: &Logger, wave: u64, account: &WaveAccount) {
     let WaveAccount { vms, begun, down, room, pace, left, .. } = account;
-    let line = match account.time {
+    let message = match account.time {
         WaveTime::Left => "wave: goes on",
         WaveTime::Over => "wave: its time is over",
         WaveTime::LongOver => "wave: late",
     };
-    info!(log, "{}", line; "wave" => wave, "vms" => vms, "begun" => begun,
+    info!(log, "{}", message; "wave" => wave, "vms" => vms, "begun" => begun,
         "left" => left.total(), "down" => down, "room" => room,
         "looks" => account.looks, "hindrance" => account.hindrance,
         "left_ms" => pace.left_ms,
         "needed_ms" => pace.needed_ms, "parallel" => pace.parallel,
         "under_way" => pace.under_way, "due" => pace.due, "may_wait" => pace.may_wait,
-        "kept_by" => kept_by(left));
+        "kept_by" => format_reasons(left));
     if account.time != WaveTime::Over {
         return;
     }
@@ -188,7 +188,7 @@
 }
 
 /// Names what keeps VMs, each with how many.
-fn kept_by(left: &LeftVms) -> String {
+fn format_reasons(left: &LeftVms) -> String {
     let kept = left.by_reason();
     let kept = kept.iter().filter(|(_, vms)| *vms > 0);
     let kept: Vec<String> =
--- a/crates/dewspard/src/jobs/deferred_ends.rs
+++ b/crates/dewspard/src/jobs/deferred_ends.rs
@@ -24,55 +24,55 @@
 
 /// How many ends are written or deleted at once: the store takes 32 entries,
 /// and one is the lease's condition.
-const ENDS_A_WRITE: usize = 31;
+const MAX_ENDS_PER_WRITE: usize = 31;
 
 /// The pause before ends are written again that weren't, in milliseconds, as
 /// for changes of jobs.
-const RETRY_MS: u64 = 100;
+const RETRY_DELAY_MS: u64 = 100;
 
 /// Ends that former holders have set aside, by their job.
 #[derive(Debug, Default)]
 pub(super) struct DeferredEnds {
-    of_jobs: BTreeMap<JobId, Vec<EndSetAside>>,
+    by_job: BTreeMap<JobId, Vec<EndSetAside>>,
     /// The jobs whose ends were taken in.
-    taken_in: BTreeSet<JobId>,
+    applied: BTreeSet<JobId>,
     is_writing: bool,
     /// From when the next write may begin.
-    write_from_ms: u64,
+    next_write_ms: u64,
 }
 
 impl DeferredEnds {
-    pub(super) fn take_loaded(&mut self, ends: Vec<EndSetAside>) {
+    pub(super) fn add_loaded(&mut self, ends: Vec<EndSetAside>) {
         for end in ends {
-            let of_job = self.of_jobs.entry(end.end.task.job).or_default();
+            let of_job = self.by_job.entry(end.end.task.job).or_default();
             of_job.push(end);
         }
     }
 
     /// Takes the ends that needn't be kept, with this stored of their job.
-    fn take_stored(
+    fn take_obsolete(
         &mut self,
         id: JobId,
         progress: &Progress,
     ) -> Vec<EndSetAside> {
-        let Some(ends) = self.of_jobs.get_mut(&id) else {
+        let Some(ends) = self.by_job.get_mut(&id) else {
             return Vec::new();
         };
         let over = progress.phase.is_final();
-        let taken_in = self.taken_in.contains(&id);
-        let is_stored = |aside: &mut EndSetAside| {
-            over || taken_in && holds(progress, aside)
+        let applied = self.applied.contains(&id);
+        let is_obsolete = |aside: &mut EndSetAside| {
+            over || applied && is_recorded(progress, aside)
         };
-        let stored = ends.extract_if(.., is_stored).collect();
+        let stored = ends.extract_if(.., is_obsolete).collect();
         if ends.is_empty() {
-            self.of_jobs.remove(&id);
+            self.by_job.remove(&id);
         }
         stored
     }
 }
 
 /// Returns whether a job's record tells of the end of a run.
-fn holds(progress: &Progress, aside: &EndSetAside) -> bool {
+fn is_recorded(progress: &Progress, aside: &EndSetAside) -> bool {
     let EndSetAside { end, .. } = aside;
     progress.tasks.iter().any(|record| {
         let place = (record.round, record.step, record.index);
@@ -103,7 +103,7 @@
 
 impl<K: KeyValue, W: JobWorkers, F: Fleet> Holder<'_, K, W, F> {
     /// Leaves a job alone that can't be read, unless it is known already.
-    pub(super) fn leave_unread(&mut self, id: JobId) {
+    pub(super) fn skip_unreadable(&mut self, id: JobId) {
         if self.scheduler.phase(id).is_none() {
             self.unreadable.insert(id);
             self.scheduler.leave_alone(id);
@@ -111,27 +111,27 @@
     }
 
     /// Takes in what former holders have set aside of a job.
-    pub(super) fn take_in_ends(&mut self, id: JobId) {
+    pub(super) fn apply_deferred_ends(&mut self, id: JobId) {
         let now = super::holder::now();
-        let Some(ends) = self.ends.of_jobs.get(&id) else { return };
+        let Some(ends) = self.deferred_ends.by_job.get(&id) else { return };
         for end in ends {
             self.scheduler.take_in_end(end, now);
         }
-        self.ends.taken_in.insert(id);
+        self.deferred_ends.applied.insert(id);
     }
 
     /// Writes ends that are to be set aside.
-    pub(super) fn store_ends(&mut self, now: Now) {
-        let due = now.steady_ms >= self.ends.write_from_ms;
-        if self.ends.is_writing || !due {
+    pub(super) fn write_deferred_ends(&mut self, now: Now) {
+        let due = now.steady_ms >= self.deferred_ends.next_write_ms;
+        if self.deferred_ends.is_writing || !due {
             return;
         }
-        let ends = self.scheduler.take_ends_set_aside(ENDS_A_WRITE);
+        let ends = self.scheduler.take_ends_set_aside(MAX_ENDS_PER_WRITE);
         if ends.is_empty() {
             return;
         }
-        self.ends.is_writing = true;
-        let batch = put_ends(self.held.revision, &ends);
+        self.deferred_ends.is_writing = true;
+        let batch = ends_batch(self.held.revision, &ends);
         let store = self.candidate.store.with_purpose(Purpose::Progress);
         let sender = self.sender.clone();
         let log = self.candidate.log.clone();
@@ -152,63 +152,65 @@
     }
 
     /// Takes in what became of a write of ends.
-    pub(super) fn ends_written(
+    pub(super) fn deferred_ends_written(
         &mut self,
         ends: &EndsSetAside,
         written: RecordWritten,
         now: Now,
     ) {
-        self.ends.is_writing = false;
+        self.deferred_ends.is_writing = false;
         match written {
             RecordWritten::Done(_) => self.scheduler.ends_stored(ends, now),
             RecordWritten::Failed => {
-                self.ends.write_from_ms = now.steady_ms + RETRY_MS;
+                self.deferred_ends.next_write_ms =
+                    now.steady_ms + RETRY_DELAY_MS;
                 self.scheduler.ends_not_stored(ends);
             }
             // Nothing but the lease's key has to be as it was.
             RecordWritten::Conflict { .. } => {
-                self.lost = Some("the store refused this holder's write");
+                self.lost_reason =
+                    Some("the store refused this holder's write");
             }
         }
     }
 
     /// Deletes what was set aside of jobs that are stored as over, or with what
     /// was taken in: a job whose task lasts would have ever more of it.
-    pub(super) fn delete_stored_ends(&mut self, changes: &Changes) {
+    pub(super) fn delete_recorded_ends(&mut self, changes: &Changes) {
         for (id, progress) in &changes.progress {
-            let ends = self.ends.take_stored(*id, progress);
+            let ends = self.deferred_ends.take_obsolete(*id, progress);
             self.delete_ends(&ends);
         }
     }
 
     /// Deletes what was set aside of jobs that are neither open nor among
     /// those that can't be read.
-    pub(super) fn delete_useless_ends(&mut self) {
+    pub(super) fn delete_orphaned_ends(&mut self) {
         let (scheduler, unreadable) = (&self.scheduler, &self.unreadable);
-        let useless = |id: &JobId| {
+        let orphaned = |id: &JobId| {
             scheduler.phase(*id).is_none() && !unreadable.contains(id)
         };
-        let of_jobs = &mut self.ends.of_jobs;
-        let useless: Vec<EndSetAside> = of_jobs
-            .extract_if(.., |id, _| useless(id))
+        let by_job = &mut self.deferred_ends.by_job;
+        let orphaned: Vec<EndSetAside> = by_job
+            .extract_if(.., |id, _| orphaned(id))
             .flat_map(|(_, ends)| ends)
             .collect();
-        self.delete_ends(&useless);
+        self.delete_ends(&orphaned);
     }
 
     fn delete_ends(&self, ends: &[EndSetAside]) {
-        for some in ends.chunks(ENDS_A_WRITE) {
+        for chunk in ends.chunks(MAX_ENDS_PER_WRITE) {
             let lease = Expected::Version(self.held.revision);
             let mut batch = Batch::default().when(keys::OWNER, lease);
-            for EndSetAside { end, .. } in some {
+            for EndSetAside { end, .. } in chunk {
                 batch = batch.delete(&keys::end(&end.task, end.run));
             }
-            self.write(batch, "deletion of ends set aside");
+            self.spawn_write(batch, "deletion of ends set aside");
         }
     }
 }
 
-fn put_ends(lease_revision: u64, ends: &EndsSetAside) -> Batch {
+fn ends_batch(lease_revision: u64, ends: &EndsSetAside) -> Batch {
     let lease = Expected::Version(lease_revision);
     let batch = Batch::default().when(keys::OWNER, lease);
     ends.ends().fold(batch, |batch, aside| {
--- a/crates/dewspard/src/jobs/event.rs
+++ b/crates/dewspard/src/jobs/event.rs
@@ -88,21 +88,21 @@
     AllLoaded,
     /// Everything that was accepted before this time has been told.
     FeedCurrent {
-        asked_ms: u64,
+        requested_ms: u64,
     },
     DirectoryRead {
         /// When it was asked for, on the steady clock.
-        asked_ms: u64,
+        requested_ms: u64,
         listings: Vec<WorkerListing>,
     },
     /// A worker was looked up in the directory.
     WorkerFound {
         /// When it was asked for, on the steady clock.
-        asked_ms: u64,
+        requested_ms: u64,
         listing: WorkerListing,
     },
     VmsRead {
-        asked_ms: u64,
+        requested_ms: u64,
         vms: Vec<ManagedVm>,
     },
     MaintenanceAnswered {
@@ -164,6 +164,6 @@
     VmOrdersWritten(RecordWritten),
     ProgressWritten {
         changes: Changes,
-        stored: WriteOutcome,
+        outcome: WriteOutcome,
     },
 }
--- a/crates/dewspard/src/jobs/feeds.rs
+++ b/crates/dewspard/src/jobs/feeds.rs
@@ -8,7 +8,7 @@
         election::HeldLease,
         event::{Event, EventSender},
         keys,
-        progress::{FeedEvent, load_feed, read_event},
+        progress::{FeedEvent, load_feed, parse_event},
         settings::Machine,
         worker_lookups::LookupOutcome,
     },
@@ -31,28 +31,28 @@
 /// and new lives are looked up one by one meanwhile. What changes otherwise,
 /// such as that a worker drains, may be known so much later; from 2 s on the
 /// directory counts as not read for a while.
-const DIRECTORY_PACE: PollPace =
+const DIRECTORY_POLL_PACE: PollPace =
     PollPace { least_ms: 250, most_ms: 1_500, share_percent: 5 };
 
 /// How often the list of VMs is read: it takes 190 bytes a VM. What is
 /// ordered of VMs needs one that isn't older than 2 s.
-const VM_PACE: PollPace =
+const VM_POLL_PACE: PollPace =
     PollPace { least_ms: 500, most_ms: 1_200, share_percent: 5 };
 
 /// The share of the lease after which it is renewed.
-const RENEWALS_A_LEASE: u64 = 4;
+const RENEWALS_PER_LEASE: u64 = 4;
 
 /// How often it is checked whether the feed has gone silent: a watch may hear
 /// nothing for a second before it fails, which is longer than a quick job may
 /// wait.
-const SILENCE_CHECK: Duration = Duration::from_millis(200);
+const SILENCE_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
 /// How far the feed may be behind what the store has, in time: some answers
 /// of a slow store.
 const SILENCE_GRACE: Duration = Duration::from_millis(100);
 
 /// The pause after a call to the store that gave no result.
-const RETRY: Duration = Duration::from_millis(100);
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// What a node's readings cost it.
 #[derive(Clone, Debug)]
@@ -65,7 +65,7 @@
     /// Begins a reading whose calls count for this purpose.
     fn begin(&self, purpose: Purpose) -> Poll<'_> {
         let received = self.received(purpose);
-        Poll { cost: self, purpose, received, asked_ms: clock::now_ms() }
+        Poll { cost: self, purpose, received, requested_ms: clock::now_ms() }
     }
 
     fn received(&self, purpose: Purpose) -> u64 {
@@ -79,7 +79,7 @@
     purpose: Purpose,
     /// What was received for its purpose before.
     received: u64,
-    asked_ms: u64,
+    requested_ms: u64,
 }
 
 impl Poll<'_> {
@@ -87,30 +87,30 @@
     async fn pause(self, pace: PollPace) {
         let bytes = self.cost.received(self.purpose) - self.received;
         let cost_ms = self.cost.machine.list_read_ms(bytes);
-        let took_ms = clock::now_ms().saturating_sub(self.asked_ms);
+        let took_ms = clock::now_ms().saturating_sub(self.requested_ms);
         sleep(Duration::from_millis(pace.pause_ms(cost_ms, took_ms))).await;
     }
 }
 
 /// Reads the list of VMs again and again.
-pub(super) async fn read_vms<F: Fleet>(
+pub(super) async fn poll_vms<F: Fleet>(
     fleet: F,
     cost: PollCost,
     sender: EventSender,
 ) {
     loop {
-        let reading = cost.begin(Purpose::Vms);
-        let asked_ms = reading.asked_ms;
+        let poll = cost.begin(Purpose::Vms);
+        let requested_ms = poll.requested_ms;
         match fleet.vms().await {
             Ok(vms) => {
-                let event = Event::VmsRead { asked_ms, vms };
+                let event = Event::VmsRead { requested_ms, vms };
                 if sender.send(event).await.is_err() {
                     return;
                 }
             }
             Err(error) => counters::platform_failure(&error),
         }
-        reading.pause(VM_PACE).await;
+        poll.pause(VM_POLL_PACE).await;
     }
 }
 
@@ -125,24 +125,24 @@
     sender: EventSender,
     log: Logger,
 ) {
-    let heard = SharedFeedProgress::new(version);
-    let mut silent_at = None;
+    let progress = SharedFeedProgress::new(version);
+    let mut last_silent_version = None;
     loop {
         let next = tokio::select! {
-            error = watch_feed(&store, &heard, &sender, &log) => {
+            error = watch_feed(&store, &progress, &sender, &log) => {
                 counters::platform_failure(&error);
                 info!(log, "holder: feed interrupted";
-                    "version" => heard.version(), "error" => %error);
-                sleep(RETRY).await;
+                    "version" => progress.version(), "error" => %error);
+                sleep(RETRY_DELAY).await;
                 after_failure(&error)
             }
-            newest = silence(&store, &heard, &sender) => {
+            newest = wait_for_silence(&store, &progress, &sender) => {
                 counters::count(counters::SILENT_FEEDS);
-                let version = heard.version();
+                let version = progress.version();
                 info!(log, "holder: feed silent";
                     "version" => version, "newest" => newest);
-                let was_silent_at = silent_at.replace(version);
-                after_silence(version, was_silent_at)
+                let previous_silent_version = last_silent_version.replace(version);
+                after_silence(version, previous_silent_version)
             }
         };
         match next {
@@ -155,12 +155,12 @@
                     if sender.send(Event::Feed(feed)).await.is_err() {
                         return;
                     }
-                    heard.note(read_at);
+                    progress.advance(read_at);
                     break;
                 }
                 Err(error) => counters::platform_failure(&error),
             }
-            sleep(RETRY).await;
+            sleep(RETRY_DELAY).await;
         }
     }
 }
@@ -183,8 +183,11 @@
 
 /// A watch that took the place of a silent one and heard nothing either won't
 /// be helped by a third.
-fn after_silence(version: u64, was_silent_at: Option<u64>) -> FeedResume {
-    if was_silent_at == Some(version) {
+fn after_silence(
+    version: u64,
+    previous_silent_version: Option<u64>,
+) -> FeedResume {
+    if previous_silent_version == Some(version) {
         FeedResume::FullRead
     } else {
         FeedResume::Watch
@@ -194,14 +197,14 @@
 /// Returns once the store has accepted a job of which the feed doesn't tell,
 /// with the version at which it did; until then it reports when the feed was
 /// current.
-async fn silence<K: KeyValue>(
+async fn wait_for_silence<K: KeyValue>(
     store: &K,
-    heard: &SharedFeedProgress,
+    progress: &SharedFeedProgress,
     sender: &EventSender,
 ) -> u64 {
     loop {
-        sleep(SILENCE_CHECK).await;
-        let asked_ms = clock::now_ms();
+        sleep(SILENCE_CHECK_INTERVAL).await;
+        let requested_ms = clock::now_ms();
         let newest = match store.version(keys::ACCEPTED_LAST).await {
             Ok(newest) => newest,
             Err(error) => {
@@ -209,14 +212,14 @@
                 continue;
             }
         };
-        if newest > heard.version() {
+        if newest > progress.version() {
             sleep(SILENCE_GRACE).await;
         }
-        match heard.judge(newest, asked_ms) {
+        match progress.state(newest, requested_ms) {
             FeedState::Current => {
                 // Behind what the feed has told, in the same channel. A holder
                 // that is gone ends this task.
-                let _ = sender.send(Event::FeedCurrent { asked_ms }).await;
+                let _ = sender.send(Event::FeedCurrent { requested_ms }).await;
             }
             FeedState::Behind => {}
             FeedState::Silent => return newest,
@@ -244,22 +247,22 @@
         self.progress().version()
     }
 
-    fn note(&self, version: u64) {
+    fn advance(&self, version: u64) {
         self.progress().heard(version, clock::now_ms());
     }
 
-    fn judge(&self, newest: u64, asked_ms: u64) -> FeedState {
-        self.progress().judge(newest, asked_ms)
+    fn state(&self, newest: u64, requested_ms: u64) -> FeedState {
+        self.progress().judge(newest, requested_ms)
     }
 }
 
 async fn watch_feed<K: KeyValue>(
     store: &K,
-    heard: &SharedFeedProgress,
+    progress: &SharedFeedProgress,
     sender: &EventSender,
     log: &Logger,
 ) -> Error {
-    let from = heard.version();
+    let from = progress.version();
     let mut watch = match store.watch(keys::FEED, from).await {
         Ok(watch) => watch,
         Err(error) => return error,
@@ -272,7 +275,7 @@
         let feed: Vec<FeedEvent> = batch
             .events
             .iter()
-            .filter_map(|event| read_event(event, log))
+            .filter_map(|event| parse_event(event, log))
             .collect();
         if !feed.is_empty() {
             // A holder that is gone ends this task.
@@ -280,17 +283,17 @@
         }
         // Not before it is on its way: who finds the feed current says so in
         // the same channel.
-        heard.note(batch.version);
+        progress.advance(batch.version);
     }
 }
 
 /// Renews the lease, a few times within its length.
-pub(super) async fn renew<K: KeyValue>(
+pub(super) async fn renew_lease<K: KeyValue>(
     store: K,
     held: HeldLease,
     sender: EventSender,
 ) {
-    let pause = Duration::from_millis(held.lease_ms / RENEWALS_A_LEASE);
+    let pause = Duration::from_millis(held.lease_ms / RENEWALS_PER_LEASE);
     loop {
         sleep(pause).await;
         let sent_ms = clock::now_ms();
@@ -309,37 +312,37 @@
 }
 
 /// Reads the directory of workers again and again.
-pub(super) async fn read_directory<F: Fleet>(
+pub(super) async fn poll_directory<F: Fleet>(
     fleet: F,
     cost: PollCost,
     sender: EventSender,
 ) {
     loop {
-        let reading = cost.begin(Purpose::Directory);
+        let poll = cost.begin(Purpose::Directory);
         match fleet.workers().await {
             Ok(listings) => {
-                let asked_ms = reading.asked_ms;
-                let event = Event::DirectoryRead { asked_ms, listings };
+                let requested_ms = poll.requested_ms;
+                let event = Event::DirectoryRead { requested_ms, listings };
                 if sender.send(event).await.is_err() {
                     return;
                 }
             }
             Err(error) => counters::platform_failure(&error),
         }
-        reading.pause(DIRECTORY_PACE).await;
+        poll.pause(DIRECTORY_POLL_PACE).await;
     }
 }
 
 /// Looks a worker up in the directory.
-pub(super) async fn look_up<F: Fleet>(
+pub(super) async fn look_up_worker<F: Fleet>(
     fleet: &F,
     id: &WorkerId,
     sender: &EventSender,
 ) -> LookupOutcome {
-    let asked_ms = clock::now_ms();
+    let requested_ms = clock::now_ms();
     match fleet.worker(id).await {
         Ok(Some(listing)) => {
-            let event = Event::WorkerFound { asked_ms, listing };
+            let event = Event::WorkerFound { requested_ms, listing };
             // A holder that is gone has no use for it.
             let _ = sender.send(event).await;
             LookupOutcome::Done
--- a/crates/dewspard/src/jobs/holder.rs
+++ b/crates/dewspard/src/jobs/holder.rs
@@ -22,7 +22,8 @@
         election::{Candidate, HeldLease},
         event::{self, Event, EventSender, SentEvent},
         feeds::{
-            PollCost, follow_feed, look_up, read_directory, read_vms, renew,
+            PollCost, follow_feed, look_up_worker, poll_directory, poll_vms,
+            renew_lease,
         },
         intake::FeedOrigin,
         keys,
@@ -61,10 +62,10 @@
 };
 
 /// How many events are taken in before the scheduler plans again.
-const EVENTS_A_PLAN: usize = 256;
+const MAX_EVENTS_PER_PLAN: usize = 256;
 
 /// How often the scheduler plans without any event.
-const TICK: Duration = Duration::from_millis(25);
+const PLAN_INTERVAL: Duration = Duration::from_millis(25);
 
 /// How often orders to the VM service are planned, in milliseconds: a quarter
 /// of the interval at which pools' sizes are looked at. Doing so with each plan
@@ -74,18 +75,18 @@
 /// How long an order takes at the median on a node that can't keep up, in
 /// milliseconds: most of what an order may take at all, and more than a burst
 /// of starts takes on a node that does keep up.
-const SLOW_ORDER_MS: u64 = 140;
+const OVERLOADED_ORDER_MS: u64 = 140;
 
 /// How long that must last, in milliseconds: longer than a burst of starts,
 /// and much less than the 3 s after which a job must be seen to wait.
-const SLOW_FOR_MS: u64 = 600;
+const OVERLOAD_AFTER_MS: u64 = 600;
 
 /// How long a new holder isn't judged, in milliseconds: it first has to ask
 /// every worker, and the lease shouldn't go from hand to hand.
-const SETTLE_MS: u64 = 4_000;
+const OVERLOAD_GRACE_MS: u64 = 4_000;
 
 /// How long a holder goes on that can't reach the store, in milliseconds.
-pub(super) const DETACHED_MS: u64 = 8_000;
+pub(super) const MAX_DETACHED_MS: u64 = 8_000;
 
 /// Schedules until the lease is lost or the node stops.
 pub(super) async fn run<K: KeyValue, W: JobWorkers, F: Fleet>(
@@ -102,14 +103,14 @@
         sender.clone(),
         candidate.log.clone(),
     ));
-    tasks.spawn(renew(store(Purpose::Lease), held, sender.clone()));
+    tasks.spawn(renew_lease(store(Purpose::Lease), held, sender.clone()));
     let cost = PollCost {
         machine: candidate.machine.clone(),
         traffic: candidate.traffic.clone(),
     };
     let fleet = || candidate.fleet.clone();
-    tasks.spawn(read_directory(fleet(), cost.clone(), sender.clone()));
-    tasks.spawn(read_vms(fleet(), cost, sender.clone()));
+    tasks.spawn(poll_directory(fleet(), cost.clone(), sender.clone()));
+    tasks.spawn(poll_vms(fleet(), cost, sender.clone()));
     tasks.spawn(takeover::load(
         store(Purpose::Takeover),
         fleet(),
@@ -137,33 +138,33 @@
         held,
         scheduler,
         versions: RecordVersions::default(),
-        restored: BTreeMap::new(),
+        loaded_progress: BTreeMap::new(),
         unreadable: BTreeSet::new(),
-        ends: DeferredEnds::default(),
+        deferred_ends: DeferredEnds::default(),
         start_logs: StartLogWrites::default(),
         sender,
-        look_ups: WorkerLookups::default(),
-        pools: BTreeMap::new(),
-        writes: 0,
-        stored_ms: 0,
-        vms_planned_ms: 0,
-        configured: None,
-        lost: None,
-        claimed: false,
-        begun_ms: clock::now_ms(),
+        worker_lookups: WorkerLookups::default(),
+        pool_vms: BTreeMap::new(),
+        writes_in_flight: 0,
+        last_write_ms: 0,
+        last_vm_plan_ms: 0,
+        applied_version: None,
+        lost_reason: None,
+        is_claimed: false,
+        started_ms: clock::now_ms(),
         // The feed tells all since then, and what was there is loaded.
         feed_current_ms: held.renewed_ms,
-        load: LoadStats::new(candidate.traffic.clone()),
-        round_trips: RoundTrips::new(SLOW_FOR_MS),
+        load_stats: LoadStats::new(candidate.traffic.clone()),
+        round_trips: RoundTrips::new(OVERLOAD_AFTER_MS),
         counts: CountsWriter::default(),
         waves: LoadedWaves::default(),
         wave_writers: BTreeMap::new(),
         vm_orders: RecordWriter::default(),
-        vms_are_on_record: false,
-        completed: Vec::new(),
-        expired_ms: clock::now_ms(),
+        vm_orders_recorded: false,
+        completed_waves: Vec::new(),
+        last_expiry_ms: clock::now_ms(),
         suspensions: Suspensions::new(clock::suspended_ms()),
-        confirm_from_ms: 0,
+        renewal_needed_from_ms: 0,
     };
     holder.run(events).await
 }
@@ -177,30 +178,30 @@
     /// The version of each job's progress in the store.
     pub(super) versions: RecordVersions,
     /// What a former holder stored of the jobs that are being taken over.
-    pub(super) restored: BTreeMap<JobId, dewspar::job::Progress>,
+    pub(super) loaded_progress: BTreeMap<JobId, dewspar::job::Progress>,
     /// Jobs whose stored progress can't be read.
     pub(super) unreadable: BTreeSet<JobId>,
     /// Ends that former holders have set aside.
-    pub(super) ends: DeferredEnds,
+    pub(super) deferred_ends: DeferredEnds,
     pub(super) start_logs: StartLogWrites,
     pub(super) sender: EventSender,
     /// New lives of workers that are being looked up.
-    look_ups: WorkerLookups,
+    worker_lookups: WorkerLookups,
     /// How many VMs each pool has, by what they are doing.
-    pub(super) pools: BTreeMap<String, BTreeMap<&'static str, u32>>,
+    pub(super) pool_vms: BTreeMap<String, BTreeMap<&'static str, u32>>,
     /// How many writes of progress are under way.
-    pub(super) writes: usize,
-    pub(super) stored_ms: u64,
+    pub(super) writes_in_flight: usize,
+    pub(super) last_write_ms: u64,
     /// When orders to the VM service were last planned.
-    vms_planned_ms: u64,
-    configured: Option<u64>,
-    pub(super) lost: Option<&'static str>,
+    last_vm_plan_ms: u64,
+    applied_version: Option<u64>,
+    pub(super) lost_reason: Option<&'static str>,
     /// Whether a stronger node asks for the lease.
-    pub(super) claimed: bool,
-    begun_ms: u64,
+    pub(super) is_claimed: bool,
+    started_ms: u64,
     /// Up to when everything that was accepted is known here.
     pub(super) feed_current_ms: u64,
-    load: LoadStats,
+    load_stats: LoadStats,
     /// How long orders to start took that were answered.
     round_trips: RoundTrips,
     pub(super) counts: CountsWriter,
@@ -209,25 +210,25 @@
     /// The record of the VMs of which changes are ordered.
     vm_orders: RecordWriter,
     /// Whether that record may name VMs.
-    vms_are_on_record: bool,
+    vm_orders_recorded: bool,
     /// What former holders kept of each wave.
     pub(super) waves: LoadedWaves,
     /// The waves that were reported as completed before.
-    completed: Vec<u64>,
-    pub(super) expired_ms: u64,
+    completed_waves: Vec<u64>,
+    pub(super) last_expiry_ms: u64,
     suspensions: Suspensions,
     /// Since when the store must have renewed the lease for it to count.
-    confirm_from_ms: u64,
+    renewal_needed_from_ms: u64,
 }
 
 /// Waits until the node is told to stop.
-pub(super) async fn stopped(stopping: &mut watch::Receiver<bool>) {
+pub(super) async fn wait_for_stop(stopping: &mut watch::Receiver<bool>) {
     // An error means that the node is gone, which is a stop as well.
     let _ = stopping.wait_for(|stopping| *stopping).await;
 }
 
 /// Writes a list or table as JSON, for logs that programs read.
-pub(super) fn json<T: Serialize>(value: &T) -> String {
+pub(super) fn to_json<T: Serialize>(value: &T) -> String {
     // OK because these hold only texts and numbers.
     serde_json::to_string(value).expect("plain JSON")
 }
@@ -242,72 +243,76 @@
         mut events: mpsc::Receiver<SentEvent>,
     ) -> StepDown {
         let mut stopping = self.candidate.stopping.clone();
-        let mut tick = interval(TICK);
+        let mut tick = interval(PLAN_INTERVAL);
         tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
                 // OK to skip `None`: this struct keeps a sender.
-                Some(event) = events.recv() => self.take(event),
+                Some(event) = events.recv() => self.handle_event(event),
                 _ = tick.tick() => {}
-                () = stopped(&mut stopping) => {
-                    self.store_last().await;
+                () = wait_for_stop(&mut stopping) => {
+                    self.flush_changes().await;
                     return StepDown::Stopping;
                 }
             }
-            for _ in 0..EVENTS_A_PLAN {
+            for _ in 0..MAX_EVENTS_PER_PLAN {
                 let Ok(event) = events.try_recv() else { break };
-                self.take(event);
+                self.handle_event(event);
             }
-            if let Some(outcome) = self.act() {
-                if outcome.still_holds() {
-                    self.store_last().await;
+            if let Some(outcome) = self.plan_and_dispatch() {
+                if outcome.releases_lease() {
+                    self.flush_changes().await;
                 }
                 return outcome;
             }
         }
     }
 
-    fn take(&mut self, sent: SentEvent) {
+    fn handle_event(&mut self, sent: SentEvent) {
         let now = now();
         let SentEvent { event, sent_ms } = sent;
         let waited_ms = now.steady_ms.saturating_sub(sent_ms);
-        self.load.heard(waited_ms);
+        self.load_stats.event_received(waited_ms);
         let scheduler = &mut self.scheduler;
         scheduler.event_waited(waited_ms, now);
         match event {
-            Event::Feed(feed) => self.take_feed(feed, FeedOrigin::Feed),
-            Event::JobsLoaded(jobs) => self.take_loaded(jobs),
-            Event::FleetStateLoaded(duties) => self.take_duties(duties, now),
+            Event::Feed(feed) => self.apply_feed(feed, FeedOrigin::Feed),
+            Event::JobsLoaded(jobs) => self.apply_loaded_jobs(jobs),
+            Event::FleetStateLoaded(fleet_state) => {
+                self.apply_fleet_state(fleet_state, now)
+            }
             Event::AllLoaded => {
                 scheduler.finish_loading(now);
-                self.delete_useless_ends();
+                self.delete_orphaned_ends();
+            }
+            Event::DeferredEndsLoaded(ends) => {
+                self.deferred_ends.add_loaded(ends)
             }
-            Event::DeferredEndsLoaded(ends) => self.ends.take_loaded(ends),
-            Event::StartLogsLoaded(starts) => self.take_loaded_starts(starts),
+            Event::StartLogsLoaded(starts) => self.apply_start_logs(starts),
             Event::StartLogWritten { log, written } => {
                 self.start_log_written(&log, written, now);
             }
             Event::DeferredEndsWritten { ends, written } => {
-                self.ends_written(&ends, written, now);
+                self.deferred_ends_written(&ends, written, now);
             }
-            Event::FeedCurrent { asked_ms } => {
-                self.feed_current_ms = self.feed_current_ms.max(asked_ms);
+            Event::FeedCurrent { requested_ms } => {
+                self.feed_current_ms = self.feed_current_ms.max(requested_ms);
             }
-            Event::DirectoryRead { asked_ms, listings } => {
-                scheduler.list_workers_as_of(asked_ms, now, listings);
+            Event::DirectoryRead { requested_ms, listings } => {
+                scheduler.list_workers_as_of(requested_ms, now, listings);
             }
-            Event::WorkerFound { asked_ms, listing } => {
-                scheduler.list_worker_as_of(asked_ms, now, listing);
+            Event::WorkerFound { requested_ms, listing } => {
+                scheduler.list_worker_as_of(requested_ms, now, listing);
             }
-            Event::VmsRead { asked_ms, vms } => {
-                scheduler.list_vms(now, asked_ms, &vms);
-                self.look_up_lives();
-                self.note_pools(&vms);
+            Event::VmsRead { requested_ms, vms } => {
+                scheduler.list_vms(now, requested_ms, &vms);
+                self.look_up_unlisted_workers();
+                self.log_pool_changes(&vms);
             }
             Event::MaintenanceAnswered { vm, wave, result } => {
                 scheduler.maintenance_answered(&vm, wave, result, now);
                 if result.is_ok() {
-                    self.owe_wave(wave);
+                    self.mark_wave_changed(wave);
                 }
             }
             Event::MoveAnswered { vm, pool, result } => {
@@ -319,7 +324,8 @@
                 scheduler.lease_renewed(sent_ms);
             }
             Event::LeaseLost => {
-                self.lost = Some("the store says that the lease is over");
+                self.lost_reason =
+                    Some("the store says that the lease is over");
             }
             Event::StartAnswered { worker, task, run, took_ms, result } => {
                 if result != Err(OrderError::Unknown) {
@@ -351,50 +357,56 @@
                 scheduler
                     .advice_answered(&step, &workers, asked_ms, answer, now);
             }
-            Event::CountsWritten(written) => self.counts.answered(written),
+            Event::CountsWritten(written) => {
+                self.counts.write_answered(written)
+            }
             Event::WaveWritten { wave, written } => {
                 self.wave_written(wave, written, now);
             }
             Event::VmOrdersWritten(written) => {
-                self.vms_are_on_record |=
+                self.vm_orders_recorded |=
                     !matches!(written, RecordWritten::Done(_));
                 self.vm_orders.answered(written, now.steady_ms);
             }
             Event::RetryWrite(changes) => scheduler.changes_failed(&changes),
-            Event::ProgressWritten { changes, stored } => {
-                self.changes_stored(changes, stored, now);
+            Event::ProgressWritten { changes, outcome } => {
+                self.changes_stored(changes, outcome, now);
             }
         }
     }
 
-    fn take_duties(&mut self, duties: LoadedFleetState, now: Now) {
+    fn apply_fleet_state(&mut self, fleet_state: LoadedFleetState, now: Now) {
         let orderer = self.candidate.orderer();
-        self.vm_orders.found(duties.ordered.version);
-        let ordered = duties.ordered.vms.as_ref();
-        self.vms_are_on_record = ordered.is_some_and(|vms| !vms.is_empty());
-        self.scheduler.leave_vms_alone(now, &orderer, duties.ordered.vms);
-        self.counts.found(duties.counts_version);
-        for (wave, version) in &duties.waves.versions {
+        self.vm_orders.found(fleet_state.vm_orders.version);
+        let ordered = fleet_state.vm_orders.vms.as_ref();
+        self.vm_orders_recorded = ordered.is_some_and(|vms| !vms.is_empty());
+        self.scheduler.leave_vms_alone(
+            now,
+            &orderer,
+            fleet_state.vm_orders.vms,
+        );
+        self.counts.set_version(fleet_state.counts_version);
+        for (wave, version) in &fleet_state.waves.versions {
             self.wave_writers.entry(*wave).or_default().found(*version);
         }
-        self.waves = duties.waves;
-        self.completed = duties.completed;
+        self.waves = fleet_state.waves;
+        self.completed_waves = fleet_state.completed_waves;
     }
 
     /// Looks up the workers that the list of VMs names and the directory, as
     /// it was last read, doesn't.
-    fn look_up_lives(&self) {
-        let lives = self.scheduler.unlisted_lives();
-        if lives.is_empty() {
+    fn look_up_unlisted_workers(&self) {
+        let unlisted = self.scheduler.unlisted_lives();
+        if unlisted.is_empty() {
             return;
         }
-        for id in lives {
+        for id in unlisted {
             let fleet = self.candidate.fleet.clone();
-            let (life, sender) = (id.clone(), self.sender.clone());
-            self.look_ups.start(&id, move || {
-                let (fleet, life) = (fleet.clone(), life.clone());
+            let (worker, sender) = (id.clone(), self.sender.clone());
+            self.worker_lookups.start(&id, move || {
+                let (fleet, worker) = (fleet.clone(), worker.clone());
                 let sender = sender.clone();
-                async move { look_up(&fleet, &life, &sender).await }
+                async move { look_up_worker(&fleet, &worker, &sender).await }
             });
         }
     }
@@ -402,7 +414,7 @@
     /// Returns whether the store has renewed the lease since this VM was last
     /// suspended: another node may have taken over meanwhile, and the workers'
     /// answers that are still to be read may be long out of date.
-    fn is_confirmed(&mut self, now: Now) -> bool {
+    fn is_lease_confirmed(&mut self, now: Now) -> bool {
         let suspended_ms = clock::suspended_ms();
         if let Some(for_ms) = self.suspensions.noticed_ms(suspended_ms) {
             warn!(self.candidate.log, "holder: was suspended";
@@ -411,32 +423,32 @@
                     now.steady_ms.saturating_sub(self.held.renewed_ms),
                 "outcome" => "nothing is ordered before the lease is renewed");
             counters::count(counters::SUSPENSIONS);
-            self.confirm_from_ms = now.steady_ms;
+            self.renewal_needed_from_ms = now.steady_ms;
         }
-        self.held.renewed_ms >= self.confirm_from_ms
+        self.held.renewed_ms >= self.renewal_needed_from_ms
     }
 
     /// Plans once and sets going what is wanted.
-    fn act(&mut self) -> Option<StepDown> {
+    fn plan_and_dispatch(&mut self) -> Option<StepDown> {
         let now = now();
         let lease_over_ms = self.held.renewed_ms + self.held.lease_ms;
-        if now.steady_ms > lease_over_ms + DETACHED_MS {
+        if now.steady_ms > lease_over_ms + MAX_DETACHED_MS {
             return Some(StepDown::Lost("the lease couldn't be renewed"));
         }
         self.workers.set_relaying_paused(now.steady_ms >= lease_over_ms);
-        if !self.is_confirmed(now) {
-            return self.lost.map(StepDown::Lost);
+        if !self.is_lease_confirmed(now) {
+            return self.lost_reason.map(StepDown::Lost);
         }
-        self.configure(now);
+        self.apply_configuration(now);
         self.scheduler.set_relayed(self.workers.open_relays() > 0);
         let began = Instant::now();
         let actions = self.scheduler.plan(now);
-        self.load.planned(began, &actions);
+        self.load_stats.plan_finished(began, &actions);
         let decisions = self.scheduler.take_decisions();
         for decision in &decisions {
-            decisions::record(&self.candidate.log, decision);
+            decisions::log_and_count(&self.candidate.log, decision);
         }
-        if let Some(reason) = self.lost {
+        if let Some(reason) = self.lost_reason {
             return Some(StepDown::Lost(reason));
         }
         // Before that the store may still say that the worker is wrong.
@@ -447,55 +459,64 @@
         if self.scheduler.is_out_of_tokens() {
             return Some(StepDown::OutOfTokens);
         }
-        if self.claimed {
+        if self.is_claimed {
             return Some(StepDown::Yielding);
         }
-        let settled = now.steady_ms >= self.begun_ms + SETTLE_MS;
-        let slow_ms = self.scheduler.window().overloaded_ms(SLOW_ORDER_MS);
-        let slow = self.round_trips.are_slow(now.steady_ms, slow_ms);
+        let settled = now.steady_ms >= self.started_ms + OVERLOAD_GRACE_MS;
+        let window_overloaded_ms =
+            self.scheduler.window().overloaded_ms(OVERLOADED_ORDER_MS);
+        let slow =
+            self.round_trips.are_slow(now.steady_ms, window_overloaded_ms);
         if settled && slow && !self.scheduler.link().is_short(now.steady_ms) {
             return Some(StepDown::Overloaded);
         }
         for action in actions {
             let (workers, fleet) = (&self.workers, &self.candidate.fleet);
-            let decided = self.suspensions;
-            orders::send(workers, fleet, action, decided, &self.sender);
+            let suspensions = self.suspensions;
+            orders::send(workers, fleet, action, suspensions, &self.sender);
         }
-        self.store_start_logs(now);
-        self.store_changes(now);
-        self.store_ends(now);
+        self.write_start_logs(now);
+        self.write_changes(now);
+        self.write_deferred_ends(now);
         self.write_counts(now);
         self.write_waves(now);
         self.order_vms(now);
         self.delete_expired(now);
-        self.delete_settled(now);
+        self.delete_settled_cancellations(now);
         let window = self.scheduler.window();
         let behind_ms = now.steady_ms.saturating_sub(self.feed_current_ms);
         let link = self.scheduler.link();
         let log = &self.candidate.log;
         let relays = self.workers.open_relays();
-        self.load.log(log, now.steady_ms, window, link, behind_ms, relays);
+        self.load_stats.log(
+            log,
+            now.steady_ms,
+            window,
+            link,
+            behind_ms,
+            relays,
+        );
         None
     }
 
-    fn configure(&mut self, now: Now) {
+    fn apply_configuration(&mut self, now: Now) {
         let reading = self.candidate.reader.borrow();
         // What former holders kept of the waves is known once all is loaded.
         if !self.scheduler.is_loading() {
             let waves = &reading.intent.waves;
             let records = &self.waves.records;
-            let completed = &self.completed;
+            let completed = &self.completed_waves;
             let unseen =
                 self.scheduler.request_waves(now, waves, records, completed);
             for wave in unseen {
-                self.owe_wave(wave);
+                self.mark_wave_changed(wave);
             }
         }
         let Some(queues) = &reading.intent.queues else { return };
-        if self.configured == Some(queues.version()) {
+        if self.applied_version == Some(queues.version()) {
             return;
         }
-        self.configured = Some(queues.version());
+        self.applied_version = Some(queues.version());
         let serving = queues.queues().iter().map(|q| q.terms.pool.clone());
         let free = queues.free_pools().iter().cloned();
         self.scheduler.configure_pools(serving.collect(), free.collect());
@@ -508,7 +529,7 @@
     /// Orders what the VM service is to do, while the lease is certain.
     fn order_vms(&mut self, now: Now) {
         let lease_over_ms = self.held.renewed_ms + self.held.lease_ms;
-        let due_ms = self.vms_planned_ms + VM_PLAN_INTERVAL_MS;
+        let due_ms = self.last_vm_plan_ms + VM_PLAN_INTERVAL_MS;
         if now.steady_ms >= lease_over_ms || now.steady_ms < due_ms {
             return;
         }
@@ -516,9 +537,9 @@
         if self.vm_orders.is_writing() {
             return;
         }
-        self.vms_planned_ms = now.steady_ms;
+        self.last_vm_plan_ms = now.steady_ms;
         let orders = self.scheduler.plan_vms(now);
-        if orders.is_empty() && !self.vms_are_on_record {
+        if orders.is_empty() && !self.vm_orders_recorded {
             return;
         }
         let vms = self.scheduler.ordered_vms(now, &self.candidate.orderer());
@@ -527,17 +548,17 @@
         if orders.is_empty() && !vms.is_empty() {
             return;
         }
-        self.vms_are_on_record = !vms.is_empty();
-        let burst = VmOrderBatch {
+        self.vm_orders_recorded = !vms.is_empty();
+        let order_batch = VmOrderBatch {
             holder: self.candidate.node.clone(),
             fence: self.held.revision,
             orders,
-            planned: self.suspensions,
+            suspensions: self.suspensions,
             vms,
             record_version: self.vm_orders.begin(),
         };
         let Candidate { store, fleet, log, .. } = self.candidate;
         let store = store.with_purpose(Purpose::Vms);
-        vm_orders::send(&store, fleet, burst, &self.sender, log);
+        vm_orders::send(&store, fleet, order_batch, &self.sender, log);
     }
 }
--- a/crates/dewspard/src/jobs/intake.rs
+++ b/crates/dewspard/src/jobs/intake.rs
@@ -5,7 +5,7 @@
 
 use {
     super::{
-        holder::{Holder, json, now},
+        holder::{Holder, now, to_json},
         progress::FeedEvent,
         takeover::LoadedJobs,
     },
@@ -30,7 +30,7 @@
 
 impl<K: KeyValue, W: JobWorkers, F: Fleet> Holder<'_, K, W, F> {
     /// Takes in what the feed tells, or what was loaded of it.
-    pub(super) fn take_feed(
+    pub(super) fn apply_feed(
         &mut self,
         feed: Vec<FeedEvent>,
         origin: FeedOrigin,
@@ -49,20 +49,21 @@
                     {
                         continue;
                     }
-                    self.note_taken_in(id, &job, revision);
-                    let progress = self.restored.remove(&id);
+                    self.log_accepted_job(id, &job, revision);
+                    let progress = self.loaded_progress.remove(&id);
                     let progress = progress.as_ref();
                     self.scheduler.submit(id, *job, revision, progress);
-                    self.take_in_ends(id);
+                    self.apply_deferred_ends(id);
                 }
-                FeedEvent::Unreadable(id) => self.leave_unread(id),
+                FeedEvent::Unreadable(id) => self.skip_unreadable(id),
                 FeedEvent::Cancelled(id) => self.scheduler.cancel(id, now()),
                 FeedEvent::Claimed(claim) => {
-                    self.claimed |= self.candidate.is_much_weaker_than(&claim);
+                    self.is_claimed |=
+                        self.candidate.is_much_weaker_than(&claim);
                 }
                 FeedEvent::LeaseChanged { revision } => {
                     if revision > self.held.revision {
-                        self.lost = Some("the lease's key has changed");
+                        self.lost_reason = Some("the lease's key has changed");
                     }
                 }
             }
@@ -70,17 +71,17 @@
     }
 
     /// Takes in jobs that former holders left.
-    pub(super) fn take_loaded(&mut self, jobs: LoadedJobs) {
+    pub(super) fn apply_loaded_jobs(&mut self, jobs: LoadedJobs) {
         for (id, version) in &jobs.versions {
             self.versions.note_loaded(*id, *version);
         }
         for id in jobs.unreadable {
-            self.leave_unread(id);
+            self.skip_unreadable(id);
         }
-        self.restored = jobs.progress;
-        self.take_feed(jobs.feed, FeedOrigin::Loaded);
+        self.loaded_progress = jobs.progress;
+        self.apply_feed(jobs.feed, FeedOrigin::Loaded);
         // Jobs that are over have no entry in the feed any more.
-        let left = std::mem::take(&mut self.restored);
+        let left = std::mem::take(&mut self.loaded_progress);
         let over = left.iter().filter(|(_, p)| p.phase.is_final());
         for (id, progress) in over {
             let job = AcceptedJob::default();
@@ -89,7 +90,7 @@
     }
 
     /// Logs what a job asks for, and how old the news of it is.
-    fn note_taken_in(&self, id: JobId, job: &AcceptedJob, revision: u64) {
+    fn log_accepted_job(&self, id: JobId, job: &AcceptedJob, revision: u64) {
         let age_ms = clock::unix_ms().saturating_sub(job.accepted_at_ms);
         let steps = &job.spec.steps;
         let tasks: u32 = steps.iter().map(|step| step.count).sum();
@@ -105,21 +106,21 @@
     }
 
     /// Logs how many VMs each pool has, when that has changed.
-    pub(super) fn note_pools(&mut self, vms: &[ManagedVm]) {
+    pub(super) fn log_pool_changes(&mut self, vms: &[ManagedVm]) {
         let mut pools: BTreeMap<String, BTreeMap<&'static str, u32>> =
             BTreeMap::new();
         for vm in vms {
             let pool = pools.entry(vm.pool.clone()).or_default();
             *pool.entry(vm.life.name()).or_default() += 1;
         }
-        if pools != self.pools {
+        if pools != self.pool_vms {
             let capacities = vms.iter().map(|vm| vm.capacity.cpu_millis);
             let reading = self.candidate.reader.borrow();
             let free = reading.intent.queues.as_ref().map(|q| q.free_pools());
-            info!(self.candidate.log, "vms: listed"; "pools" => json(&pools),
-                "free_pools" => json(&free),
+            info!(self.candidate.log, "vms: listed"; "pools" => to_json(&pools),
+                "free_pools" => to_json(&free),
                 "vm_cpu_millis" => capacities.max());
-            self.pools = pools;
+            self.pool_vms = pools;
         }
     }
 }
--- a/crates/dewspard/src/jobs/load_stats.rs
+++ b/crates/dewspard/src/jobs/load_stats.rs
@@ -5,7 +5,7 @@
 */
 
 use {
-    super::holder::json,
+    super::holder::to_json,
     crate::counters,
     dewspar::{link::LinkBudget, schedule::Action, window::CallWindow},
     dewspar_platform::{Purpose, Tallies, Traffic},
@@ -17,18 +17,18 @@
 
 /// How often what was done is logged, in milliseconds: often enough to see a
 /// takeover go by, and few lines beside those of the tasks.
-const INTERVAL_MS: u64 = 1_000;
+const LOG_INTERVAL_MS: u64 = 1_000;
 
 /// What a holder did since the last line.
 #[derive(Debug)]
 pub(super) struct LoadStats {
-    logged_ms: u64,
+    last_log_ms: u64,
     events: u64,
     /// How long events waited to be taken in, all together and at most.
-    waited_ms: u64,
+    total_wait_ms: u64,
     longest_wait_ms: u64,
     plans: u64,
-    planning: Duration,
+    planning_time: Duration,
     starts: u64,
     holds: u64,
     traffic: Traffic,
@@ -40,12 +40,12 @@
     pub(super) fn new(traffic: Traffic) -> LoadStats {
         let tallies = traffic.tallies();
         LoadStats {
-            logged_ms: 0,
+            last_log_ms: 0,
             events: 0,
-            waited_ms: 0,
+            total_wait_ms: 0,
             longest_wait_ms: 0,
             plans: 0,
-            planning: Duration::ZERO,
+            planning_time: Duration::ZERO,
             starts: 0,
             holds: 0,
             traffic,
@@ -54,16 +54,20 @@
     }
 
     /// Notes an event that was taken in after such a wait.
-    pub(super) fn heard(&mut self, waited_ms: u64) {
+    pub(super) fn event_received(&mut self, waited_ms: u64) {
         self.events += 1;
-        self.waited_ms += waited_ms;
+        self.total_wait_ms += waited_ms;
         self.longest_wait_ms = self.longest_wait_ms.max(waited_ms);
     }
 
     /// Notes a plan that was begun at this time, and what it orders.
-    pub(super) fn planned(&mut self, began: Instant, actions: &[Action]) {
+    pub(super) fn plan_finished(
+        &mut self,
+        began: Instant,
+        actions: &[Action],
+    ) {
         self.plans += 1;
-        self.planning += began.elapsed();
+        self.planning_time += began.elapsed();
         for action in actions {
             match action {
                 Action::Start { .. } => self.starts += 1,
@@ -83,7 +87,7 @@
         feed_behind_ms: u64,
         relays: usize,
     ) {
-        if now_ms < self.logged_ms + INTERVAL_MS {
+        if now_ms < self.last_log_ms + LOG_INTERVAL_MS {
             return;
         }
         gauge!(counters::ORDERS_WINDOW).set(window.size() as f64);
@@ -93,20 +97,20 @@
         let traffic = tallies.since(&self.tallies);
         count_traffic(&traffic);
         info!(log, "holder: load"; "events" => self.events,
-            "event_wait_ms" => self.waited_ms / self.events.max(1),
+            "event_wait_ms" => self.total_wait_ms / self.events.max(1),
             "longest_event_wait_ms" => self.longest_wait_ms,
             "plans" => self.plans,
-            "planning_ms" => self.planning.as_millis() as u64,
+            "planning_ms" => self.planning_time.as_millis() as u64,
             "starts" => self.starts, "holds" => self.holds,
             "window" => window.size(), "under_way" => window.under_way(),
             "relays" => relays, "link_bytes_per_s" => link.rate(),
             "feed_behind_ms" => feed_behind_ms,
             "sent_bytes" => traffic.total().sent_bytes,
             "received_bytes" => traffic.total().received_bytes,
-            "traffic" => json(&rows(&traffic)));
+            "traffic" => to_json(&rows(&traffic)));
         let mut next = LoadStats::new(self.traffic.clone());
         next.tallies = tallies;
-        next.logged_ms = now_ms;
+        next.last_log_ms = now_ms;
         *self = next;
     }
 }
--- a/crates/dewspard/src/jobs/lookup.rs
+++ b/crates/dewspard/src/jobs/lookup.rs
@@ -10,7 +10,7 @@
         backoff::Backoff,
         counts::{CountsReader, CountsRecord, WaitingJobs},
         front::{Frontend, RETRY_AFTER_MS},
-        holder::json,
+        holder::to_json,
         keys::{self, FeedKey},
     },
     crate::{clock, counters, passed_over},
@@ -81,7 +81,7 @@
             // Somebody else's read is taking that long.
             return JobReply::NotDone { retry_after_ms: RETRY_AFTER_MS };
         };
-        if let Some(count) = reader.known(queue, clock::now_ms()) {
+        if let Some(count) = reader.cached_count(queue, clock::now_ms()) {
             return JobReply::Pending(count);
         }
         match self.read_counts(&mut reader, deadline).await {
@@ -99,14 +99,14 @@
     ) -> Result<(), JobReply> {
         let found = self.read_versioned(keys::PENDING, deadline).await?;
         let now_ms = clock::now_ms();
-        let record = reader.judge(found.as_ref(), now_ms);
+        let record = reader.evaluate(found.as_ref(), now_ms);
         info!(self.log, "call: counts of waiting jobs read";
-            "counts" => json(&record.counts()), "unfit" => record.unfit(),
+            "counts" => to_json(&record.counts()), "unfit" => record.unusable_reason(),
             "store_version" => found.map_or(0, |found| found.version),
             "unchanged_ms" => reader.unchanged_ms(now_ms));
         let reason = match record {
             CountsRecord::Fresh(counts) => {
-                reader.take_record(counts, now_ms);
+                reader.use_record(counts, now_ms);
                 return Ok(());
             }
             CountsRecord::Unusable(reason) => reason,
--- a/crates/dewspard/src/jobs/node.rs
+++ b/crates/dewspard/src/jobs/node.rs
@@ -157,7 +157,7 @@
                 .kept_ms(timing.kept_ms)
                 .duty_gap_ms(timing.duty_gap_ms)
                 .stop_timeout_ms(timing.stop_timeout_ms)
-                .detached_ms(holder::DETACHED_MS)
+                .detached_ms(holder::MAX_DETACHED_MS)
                 .link(LinkLimits::of_link(settings.machine.link_mbps))
                 .policy(settings.policy.clone()),
             log: logs::part(&log, "scheduler"),
--- a/crates/dewspard/src/jobs/orders.rs
+++ b/crates/dewspard/src/jobs/orders.rs
@@ -25,45 +25,45 @@
     workers: &W,
     fleet: &F,
     action: Action,
-    decided: Suspensions,
+    suspensions: Suspensions,
     events: &EventSender,
 ) {
     let (workers, fleet) = (workers.clone(), fleet.clone());
     let events = events.clone();
     tokio::spawn(async move {
-        let event = carry_out(&workers, &fleet, action, decided).await;
+        let event = execute(&workers, &fleet, action, suspensions).await;
         // A holder that is gone has no use for it.
         let _ = events.send(event).await;
     });
 }
 
-async fn carry_out<W: JobWorkers, F: Fleet>(
+async fn execute<W: JobWorkers, F: Fleet>(
     workers: &W,
     fleet: &F,
     action: Action,
-    decided: Suspensions,
+    suspensions: Suspensions,
 ) -> Event {
-    let reading = clock::read();
-    let outdated = is_outdated(decided, reading);
+    let time = clock::read();
+    let outdated = is_outdated(suspensions, time);
     match action {
         Action::Start { worker, address, order } => {
             let sending = workers.start(&address, &worker, &order);
-            let result = unless(outdated, sending).await;
-            let took_ms = clock::now_ms().saturating_sub(reading.now_ms);
-            count("start", result.as_ref().err());
+            let result = send_unless(outdated, sending).await;
+            let took_ms = clock::now_ms().saturating_sub(time.now_ms);
+            count_order("start", result.as_ref().err());
             let (task, run) = (order.task, order.run);
             Event::StartAnswered { worker, task, run, took_ms, result }
         }
         Action::Stop { worker, address, order } => {
             let sending = workers.stop(&address, &worker, &order);
-            let result = unless(outdated, sending).await;
-            count("stop", result.as_ref().err());
+            let result = send_unless(outdated, sending).await;
+            count_order("stop", result.as_ref().err());
             Event::StopAnswered { worker, task: order.task, result }
         }
         Action::Hold { worker, address, held } => {
             let sending = workers.hold(&address, &worker, held.order());
-            let result = unless(outdated, sending).await;
-            count("hold", result.as_ref().err());
+            let result = send_unless(outdated, sending).await;
+            count_order("hold", result.as_ref().err());
             Event::HoldAnswered { worker, held, result }
         }
         // It orders nothing, and its answer counts from when it was decided on.
@@ -76,8 +76,8 @@
         }
         Action::Pace { worker, address, order } => {
             let sending = workers.pace(&address, &worker, &order);
-            let result = unless(outdated, sending).await;
-            count("pace", result.as_ref().err());
+            let result = send_unless(outdated, sending).await;
+            count_order("pace", result.as_ref().err());
             Event::PaceAnswered { worker, order, result }
         }
     }
@@ -86,12 +86,12 @@
 /// Returns whether this VM was suspended since an order was decided on.
 ///
 /// Workers refuse such an order by its token only where another holder has been.
-fn is_outdated(mut decided: Suspensions, reading: Reading) -> bool {
-    decided.noticed_ms(reading.suspended_ms).is_some()
+fn is_outdated(mut suspensions: Suspensions, time: Reading) -> bool {
+    suspensions.noticed_ms(time.suspended_ms).is_some()
 }
 
 /// Sends an order, unless it is outdated.
-async fn unless<T>(
+async fn send_unless<T>(
     outdated: bool,
     sending: impl Future<Output = Result<T, OrderError>>,
 ) -> Result<T, OrderError> {
@@ -101,7 +101,7 @@
     sending.await
 }
 
-fn count(order: &'static str, error: Option<&OrderError>) {
+fn count_order(order: &'static str, error: Option<&OrderError>) {
     let result = error.map_or("done", |error| error.name());
     metrics::counter!(
         counters::ORDERS, "order" => order, "result" => result
--- a/crates/dewspard/src/jobs/progress.rs
+++ b/crates/dewspard/src/jobs/progress.rs
@@ -28,21 +28,21 @@
 
 /// How many entries of a write jobs may take: the store takes 32, and one is the
 /// lease's condition.
-const ENTRIES_A_WRITE: usize = 31;
+const MAX_ENTRIES_PER_WRITE: usize = 31;
 
 /// Returns how many entries of a write a job takes: a condition and a put, and
 /// once it is over a deletion and a second put.
-fn entries_of(phase: Phase) -> usize {
+fn entries_per_job(phase: Phase) -> usize {
     if phase.is_final() { 4 } else { 2 }
 }
 
 /// Takes the changes that ride on the next write.
-pub(super) fn take_write(scheduler: &mut Scheduler) -> Changes {
-    scheduler.take_changes_within(ENTRIES_A_WRITE, entries_of)
+pub(super) fn take_next_write(scheduler: &mut Scheduler) -> Changes {
+    scheduler.take_changes_within(MAX_ENTRIES_PER_WRITE, entries_per_job)
 }
 
 /// The pause before a write without result is tried again.
-const RETRY: Duration = Duration::from_millis(60);
+const RETRY_DELAY: Duration = Duration::from_millis(60);
 
 /// What happened to a job, in the order of the store.
 #[derive(Debug)]
@@ -65,18 +65,18 @@
     log: &Logger,
 ) -> Result<(u64, Vec<FeedEvent>), Error> {
     let (version, stored) = store.list(keys::FEED).await?;
-    Ok((version, read_feed(&stored, log)))
+    Ok((version, parse_feed(&stored, log)))
 }
 
 /// Reads what a list of the feed says.
-pub(super) fn read_feed(items: &[Versioned], log: &Logger) -> Vec<FeedEvent> {
-    items.iter().filter_map(|item| read_put(item, log)).collect()
+pub(super) fn parse_feed(items: &[Versioned], log: &Logger) -> Vec<FeedEvent> {
+    items.iter().filter_map(|item| parse_put(item, log)).collect()
 }
 
 /// Reads a change of the feed.
-pub(super) fn read_event(event: &Event, log: &Logger) -> Option<FeedEvent> {
+pub(super) fn parse_event(event: &Event, log: &Logger) -> Option<FeedEvent> {
     match event {
-        Event::Put(item) => read_put(item, log),
+        Event::Put(item) => parse_put(item, log),
         // The holder itself deletes what is over; only the lease matters.
         Event::Deleted { key, version } => match FeedKey::parse(key)? {
             FeedKey::Owner => {
@@ -89,7 +89,7 @@
     }
 }
 
-fn read_put(item: &Versioned, log: &Logger) -> Option<FeedEvent> {
+fn parse_put(item: &Versioned, log: &Logger) -> Option<FeedEvent> {
     let revision = item.version;
     match FeedKey::parse(&item.key)? {
         FeedKey::Owner => Some(FeedEvent::LeaseChanged { revision }),
@@ -160,7 +160,7 @@
     }
 
     /// Returns what stood in the way of changes to these jobs.
-    pub(super) fn by(&self, changes: &Changes) -> ConflictCause {
+    pub(super) fn cause_for(&self, changes: &Changes) -> ConflictCause {
         if self.differs(keys::OWNER) {
             return ConflictCause::Lease;
         }
@@ -174,8 +174,8 @@
     }
 
     /// Returns a job's record as it was found.
-    pub(super) fn record(&self, id: JobId) -> FoundRecord {
-        let Some(item) = self.found(&keys::progress(id)) else {
+    pub(super) fn found_record(&self, id: JobId) -> FoundRecord {
+        let Some(item) = self.find(&keys::progress(id)) else {
             return FoundRecord::Absent;
         };
         match serde_json::from_slice(&item.value) {
@@ -186,12 +186,12 @@
     }
 
     /// Returns the version of a key as it was found; 0 for absent.
-    pub(super) fn version(&self, key: &str) -> u64 {
-        self.found(key).map_or(0, |item| item.version)
+    pub(super) fn found_version(&self, key: &str) -> u64 {
+        self.find(key).map_or(0, |item| item.version)
     }
 
     /// Returns the version that a key had to be at; 0 for absent.
-    pub(super) fn expected(&self, key: &str) -> u64 {
+    pub(super) fn expected_version(&self, key: &str) -> u64 {
         let condition = self.conditions.iter().find(|c| c.key == key);
         match condition.map(|condition| condition.expected) {
             Some(Expected::Version(version)) => version,
@@ -200,16 +200,16 @@
     }
 
     fn differs(&self, key: &str) -> bool {
-        self.version(key) != self.expected(key)
+        self.found_version(key) != self.expected_version(key)
     }
 
-    fn found(&self, key: &str) -> Option<&Versioned> {
+    fn find(&self, key: &str) -> Option<&Versioned> {
         self.current.iter().find(|item| item.key == key)
     }
 }
 
 /// The write that carries changes.
-pub(super) fn batch_of(
+pub(super) fn progress_batch(
     lease_revision: u64,
     changes: &Changes,
     versions: &RecordVersions,
@@ -238,37 +238,37 @@
 
 /// Stores changes; a write without an answer is tried until its outcome is
 /// known, since it may still be done later.
-pub(super) async fn store_changes<K: KeyValue>(
+pub(super) async fn commit_changes<K: KeyValue>(
     store: &K,
     batch: &Batch,
 ) -> WriteOutcome {
-    let mut maybe_done = false;
+    let mut may_be_applied = false;
     loop {
         match store.commit(batch).await {
             Ok(Commit::Done(version)) => return WriteOutcome::Done(version),
             Ok(Commit::Conflict(current)) => {
-                return judge_conflict(batch, current, maybe_done);
+                return classify_conflict(batch, current, may_be_applied);
             }
             Err(error) => {
                 counters::platform_failure(&error);
-                maybe_done |= error.may_have_taken_effect();
-                if !maybe_done {
+                may_be_applied |= error.may_have_taken_effect();
+                if !may_be_applied {
                     return WriteOutcome::Failed;
                 }
-                sleep(RETRY).await;
+                sleep(RETRY_DELAY).await;
             }
         }
     }
 }
 
 /// Tells a write that was done on an earlier try from one that can't be.
-fn judge_conflict(
+fn classify_conflict(
     batch: &Batch,
     current: Vec<Versioned>,
-    maybe_done: bool,
+    may_be_applied: bool,
 ) -> WriteOutcome {
-    if let Some(version) = version_if_done(batch, &current)
-        && maybe_done
+    if let Some(version) = version_if_applied(batch, &current)
+        && may_be_applied
     {
         return WriteOutcome::Done(version);
     }
@@ -277,11 +277,11 @@
 
 /// Returns the version at which all that a batch puts under a condition is
 /// there, if it is: all of it was written at once, so it is one version.
-fn version_if_done(batch: &Batch, current: &[Versioned]) -> Option<u64> {
+fn version_if_applied(batch: &Batch, current: &[Versioned]) -> Option<u64> {
     // Only of these the store says what it has found.
-    let is_told =
+    let is_reported =
         |put: &&Put| batch.conditions.iter().any(|c| c.key == put.key);
-    let mut versions = batch.puts.iter().filter(is_told).map(|put| {
+    let mut versions = batch.puts.iter().filter(is_reported).map(|put| {
         let item = current.iter().find(|item| item.key == put.key)?;
         (item.value == put.value).then_some(item.version)
     });
--- a/crates/dewspard/src/jobs/progress_writes.rs
+++ b/crates/dewspard/src/jobs/progress_writes.rs
@@ -15,10 +15,10 @@
 use {
     super::{
         event::Event,
-        holder::{Holder, json},
+        holder::{Holder, to_json},
         keys,
         progress::{
-            self, ConflictCause, WriteConflict, WriteOutcome, batch_of,
+            self, ConflictCause, WriteConflict, WriteOutcome, progress_batch,
         },
         versions::VersionSource,
     },
@@ -39,18 +39,18 @@
 
 /// How many writes of progress may be under way at once: a slow store still
 /// takes what some 50 jobs a second change.
-const MAX_WRITES: usize = 8;
+const MAX_WRITES_IN_FLIGHT: usize = 8;
 
 /// How long changes of jobs that go on are gathered, in milliseconds; those
 /// of jobs that are over are written at once.
-const GATHER_MS: u64 = 20;
+const BATCH_DELAY_MS: u64 = 20;
 
 /// The same while work waits for this node's link: a job's record is written
 /// again with each change, so fewer writes carry the same.
-const SHORT_LINK_GATHER_MS: u64 = 150;
+const BUSY_LINK_BATCH_DELAY_MS: u64 = 150;
 
 /// The pause after a write that wasn't done.
-const RETRY: Duration = Duration::from_millis(100);
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// A job's record that wasn't as a refused write expected; versions are 0
 /// where there is no record.
@@ -67,33 +67,35 @@
 
 impl<K: KeyValue, W: JobWorkers, F: Fleet> Holder<'_, K, W, F> {
     /// Sets going what is to be stored by now.
-    pub(super) fn store_changes(&mut self, now: Now) {
-        let short = self.scheduler.link().is_short(now.steady_ms);
-        let gather_ms = if short { SHORT_LINK_GATHER_MS } else { GATHER_MS };
-        let gathered = now.steady_ms >= self.stored_ms + gather_ms;
-        while self.writes < MAX_WRITES
+    pub(super) fn write_changes(&mut self, now: Now) {
+        let link_busy = self.scheduler.link().is_short(now.steady_ms);
+        let batch_delay_ms =
+            if link_busy { BUSY_LINK_BATCH_DELAY_MS } else { BATCH_DELAY_MS };
+        let delay_over = now.steady_ms >= self.last_write_ms + batch_delay_ms;
+        while self.writes_in_flight < MAX_WRITES_IN_FLIGHT
             && (self.scheduler.has_final_changes()
-                || gathered && self.scheduler.has_changes())
+                || delay_over && self.scheduler.has_changes())
         {
-            self.stored_ms = now.steady_ms;
-            let changes = progress::take_write(&mut self.scheduler);
-            self.store(changes);
+            self.last_write_ms = now.steady_ms;
+            let changes = progress::take_next_write(&mut self.scheduler);
+            self.spawn_progress_write(changes);
         }
     }
 
-    fn store(&mut self, changes: Changes) {
-        self.writes += 1;
-        let batch = batch_of(self.held.revision, &changes, &self.versions);
+    fn spawn_progress_write(&mut self, changes: Changes) {
+        self.writes_in_flight += 1;
+        let batch =
+            progress_batch(self.held.revision, &changes, &self.versions);
         let store = self.candidate.store.with_purpose(Purpose::Progress);
         let sender = self.sender.clone();
         tokio::spawn(async move {
-            let stored = progress::store_changes(&store, &batch).await;
-            if matches!(stored, WriteOutcome::Failed) {
-                sleep(RETRY).await;
+            let outcome = progress::commit_changes(&store, &batch).await;
+            if matches!(outcome, WriteOutcome::Failed) {
+                sleep(RETRY_DELAY).await;
             }
             // A holder that is gone has no use for it.
             let _ =
-                sender.send(Event::ProgressWritten { changes, stored }).await;
+                sender.send(Event::ProgressWritten { changes, outcome }).await;
         });
     }
 
@@ -101,46 +103,47 @@
     pub(super) fn changes_stored(
         &mut self,
         changes: Changes,
-        stored: WriteOutcome,
+        outcome: WriteOutcome,
         now: Now,
     ) {
-        self.writes -= 1;
-        match stored {
+        self.writes_in_flight -= 1;
+        match outcome {
             WriteOutcome::Done(version) => {
                 for (id, _) in &changes.progress {
                     self.versions.note_written(*id, version);
                 }
                 self.scheduler.changes_stored(&changes, now);
-                self.delete_stored_ends(&changes);
+                self.delete_recorded_ends(&changes);
             }
             WriteOutcome::Failed => self.scheduler.changes_failed(&changes),
-            WriteOutcome::Conflict(refusal) => {
-                self.changes_refused(changes, &refusal, now);
+            WriteOutcome::Conflict(conflict) => {
+                self.changes_conflicted(changes, &conflict, now);
             }
         }
     }
 
-    fn changes_refused(
+    fn changes_conflicted(
         &mut self,
         mut changes: Changes,
-        refusal: &WriteConflict,
+        conflict: &WriteConflict,
         now: Now,
     ) {
-        match refusal.by(&changes) {
+        match conflict.cause_for(&changes) {
             ConflictCause::Lease => {
-                self.log_refusal(refusal, &[]);
-                self.lost = Some("the store refused this holder's write");
+                self.log_conflict(conflict, &[]);
+                self.lost_reason =
+                    Some("the store refused this holder's write");
             }
             ConflictCause::Resolved => {
-                self.log_refusal(refusal, &[]);
-                self.write_again(changes, RETRY);
+                self.log_conflict(conflict, &[]);
+                self.retry_write(changes, RETRY_DELAY);
             }
             ConflictCause::Records(ids) => {
-                let refused = changes.take(&ids);
+                let conflicted = changes.take(&ids);
                 if !changes.progress.is_empty() {
-                    self.store(changes);
+                    self.spawn_progress_write(changes);
                 }
-                self.resolve_each(refused, refusal, now);
+                self.resolve_conflicts(conflicted, conflict, now);
             }
         }
     }
@@ -148,40 +151,41 @@
     /// Decides of each job whose record was found changed how it goes on: one
     /// such record must not cost the lease, since the next holder would meet
     /// the same.
-    fn resolve_each(
+    fn resolve_conflicts(
         &mut self,
-        mut refused: Changes,
-        refusal: &WriteConflict,
+        mut conflicted: Changes,
+        conflict: &WriteConflict,
         now: Now,
     ) {
         let mut rows = Vec::new();
         let ids: Vec<JobId> =
-            refused.progress.iter().map(|(id, _)| *id).collect();
+            conflicted.progress.iter().map(|(id, _)| *id).collect();
         for id in ids {
-            let change = refused.take(&BTreeSet::from([id]));
+            let change = conflicted.take(&BTreeSet::from([id]));
             let [(_, ours)] = &change.progress[..] else { continue };
             let key = keys::progress(id);
-            let expected = refusal.expected(&key);
-            let found = refusal.version(&key);
+            let expected = conflict.expected_version(&key);
+            let found = conflict.found_version(&key);
             let source = self.versions.source(id);
-            let resolution = resolve(expected, ours, refusal.record(id));
+            let resolution =
+                resolve(expected, ours, conflict.found_record(id));
             let times_in_a_row = self.versions.note_found(id, found);
-            let resolved = resolution.name();
+            let resolution_name = resolution.name();
             rows.push(ConflictRow {
                 job: id,
                 expected,
                 found,
                 source,
-                resolution: resolved,
+                resolution: resolution_name,
                 times_in_a_row,
             });
-            self.go_on(change, resolution, times_in_a_row, now);
+            self.apply_resolution(change, resolution, times_in_a_row, now);
         }
-        self.log_refusal(refusal, &rows);
+        self.log_conflict(conflict, &rows);
     }
 
     /// Goes on with one job as was decided.
-    fn go_on(
+    fn apply_resolution(
         &mut self,
         change: Changes,
         resolution: Resolution,
@@ -192,10 +196,10 @@
         match resolution {
             Resolution::Stored => self.scheduler.changes_stored(&change, now),
             Resolution::Over(record) | Resolution::GoOnFrom(record) => {
-                self.take_in_record(&change, &record, now);
-                self.write_again(change, pause);
+                self.adopt_record(&change, &record, now);
+                self.retry_write(change, pause);
             }
-            Resolution::WriteAgain => self.write_again(change, pause),
+            Resolution::WriteAgain => self.retry_write(change, pause),
             Resolution::LeaveAlone => {
                 for (id, _) in &change.progress {
                     self.unreadable.insert(*id);
@@ -205,19 +209,14 @@
         }
     }
 
-    fn take_in_record(
-        &mut self,
-        change: &Changes,
-        record: &Progress,
-        now: Now,
-    ) {
+    fn adopt_record(&mut self, change: &Changes, record: &Progress, now: Now) {
         for (id, _) in &change.progress {
             self.scheduler.go_on_from(*id, record, now);
         }
     }
 
     /// Has changes written again after a pause, with what has changed by then.
-    fn write_again(&mut self, changes: Changes, pause: Duration) {
+    fn retry_write(&mut self, changes: Changes, pause: Duration) {
         if pause.is_zero() {
             self.scheduler.changes_failed(&changes);
             return;
@@ -232,18 +231,18 @@
 
     /// Logs a refused write, with the records that stood in the way; at most
     /// as many as a write carries.
-    fn log_refusal(&self, refusal: &WriteConflict, rows: &[ConflictRow]) {
+    fn log_conflict(&self, conflict: &WriteConflict, rows: &[ConflictRow]) {
         warn!(self.candidate.log, "holder: write refused";
             "lease_revision" => self.held.revision,
-            "lease_found" => refusal.version(keys::OWNER),
-            "records" => json(&rows));
+            "lease_found" => conflict.found_version(keys::OWNER),
+            "records" => to_json(&rows));
     }
 
     /// Stores what isn't stored yet, before the lease is given up.
-    pub(super) async fn store_last(&mut self) {
+    pub(super) async fn flush_changes(&mut self) {
         while self.scheduler.has_changes() {
-            let changes = progress::take_write(&mut self.scheduler);
-            if !self.store_before_leaving(changes).await {
+            let changes = progress::take_next_write(&mut self.scheduler);
+            if !self.flush_write(changes).await {
                 return;
             }
         }
@@ -251,9 +250,10 @@
 
     /// Stores changes but those that are refused for their jobs' records;
     /// returns whether there is any use in storing more.
-    async fn store_before_leaving(&self, mut changes: Changes) -> bool {
+    async fn flush_write(&self, mut changes: Changes) -> bool {
         while !changes.progress.is_empty() {
-            let batch = batch_of(self.held.revision, &changes, &self.versions);
+            let batch =
+                progress_batch(self.held.revision, &changes, &self.versions);
             let current = match self.candidate.store.commit(&batch).await {
                 Ok(Commit::Done(_)) => return true,
                 Ok(Commit::Conflict(current)) => current,
@@ -265,9 +265,9 @@
                     return false;
                 }
             };
-            let refusal = WriteConflict::new(&batch, current);
-            self.log_refusal(&refusal, &[]);
-            match refusal.by(&changes) {
+            let conflict = WriteConflict::new(&batch, current);
+            self.log_conflict(&conflict, &[]);
+            match conflict.cause_for(&changes) {
                 ConflictCause::Lease => return false,
                 ConflictCause::Resolved => return true,
                 // Left to the next holder, which reads these records anew.
--- a/crates/dewspard/src/jobs/records.rs
+++ b/crates/dewspard/src/jobs/records.rs
@@ -6,7 +6,7 @@
 use {
     super::{
         event::Event,
-        holder::{Holder, json},
+        holder::{Holder, to_json},
         keys, vm_orders,
     },
     crate::counters,
@@ -21,7 +21,7 @@
 /// How far behind the feed a holder may be and still count, in milliseconds.
 /// With what readers allow, a count is then some 4 s old at most; jobs must be
 /// among those counted that were accepted 5 s ago.
-const FEED_AGE_MS: u64 = 2_000;
+const MAX_FEED_AGE_MS: u64 = 2_000;
 
 /// How often keys of jobs that are over for long are deleted, in
 /// milliseconds.
@@ -29,18 +29,18 @@
 
 /// How soon more of them are deleted where a write was full, in milliseconds:
 /// 150 jobs a second.
-const EXPIRY_GOES_ON_MS: u64 = 100;
+const EXPIRY_BACKLOG_INTERVAL_MS: u64 = 100;
 
 /// How many jobs' keys are deleted at once: the store takes 32 entries, one
 /// is the lease's condition, and each job has two keys.
-const EXPIRED_A_WRITE: usize = 15;
+const MAX_EXPIRED_PER_WRITE: usize = 15;
 
 /// How many keys of cancellings are deleted at once, one for each job.
-const CANCELLINGS_A_WRITE: usize = 31;
+const MAX_CANCELLATIONS_PER_WRITE: usize = 31;
 
 impl<K: KeyValue, W: JobWorkers, F: Fleet> Holder<'_, K, W, F> {
     /// Notes that the state of a wave has changed.
-    pub(super) fn owe_wave(&mut self, wave: u64) {
+    pub(super) fn mark_wave_changed(&mut self, wave: u64) {
         self.wave_writers.entry(wave).or_default().owe();
     }
 
@@ -93,16 +93,17 @@
     /// themselves.
     pub(super) fn write_counts(&mut self, now: Now) {
         let behind_ms = now.steady_ms.saturating_sub(self.feed_current_ms);
-        let unheard = behind_ms >= FEED_AGE_MS || self.scheduler.is_loading();
-        if unheard || !self.counts.is_due(now.steady_ms) {
+        let may_be_incomplete =
+            behind_ms >= MAX_FEED_AGE_MS || self.scheduler.is_loading();
+        if may_be_incomplete || !self.counts.is_due(now.steady_ms) {
             return;
         }
         let counts = self.scheduler.pending(now.unix_ms);
-        let batch = self.counts.write(counts, &self.held, now.steady_ms);
+        let batch = self.counts.begin_write(counts, &self.held, now.steady_ms);
         let Some(batch) = batch else { return };
         info!(self.candidate.log, "holder: waiting jobs counted";
-            "counts" => json(self.counts.written()),
-            "unconfirmed" => json(&self.scheduler.unconfirmed()),
+            "counts" => to_json(self.counts.last_written()),
+            "unconfirmed" => to_json(&self.scheduler.unconfirmed()),
             "lease_revision" => self.held.revision,
             "feed_behind_ms" => behind_ms);
         let store = self.candidate.store.with_purpose(Purpose::Counts);
@@ -123,16 +124,16 @@
     }
 
     pub(super) fn delete_expired(&mut self, now: Now) {
-        if now.steady_ms < self.expired_ms + EXPIRY_INTERVAL_MS {
+        if now.steady_ms < self.last_expiry_ms + EXPIRY_INTERVAL_MS {
             return;
         }
-        let expired = self.scheduler.take_expired(now, EXPIRED_A_WRITE);
+        let expired = self.scheduler.take_expired(now, MAX_EXPIRED_PER_WRITE);
         // After a full write there is more: at 15 jobs each 5 s the keys of a
         // busy fleet would only ever become more.
-        if expired.len() < EXPIRED_A_WRITE {
-            self.expired_ms = now.steady_ms;
+        if expired.len() < MAX_EXPIRED_PER_WRITE {
+            self.last_expiry_ms = now.steady_ms;
         } else {
-            self.expired_ms += EXPIRY_GOES_ON_MS;
+            self.last_expiry_ms += EXPIRY_BACKLOG_INTERVAL_MS;
         }
         if expired.is_empty() {
             return;
@@ -144,13 +145,14 @@
             batch =
                 batch.delete(&keys::progress(id)).delete(&keys::cancelled(id));
         }
-        self.write(batch, "deletion of expired jobs");
+        self.spawn_write(batch, "deletion of expired jobs");
     }
 
     /// Deletes cancellings of which nothing runs any more.
-    pub(super) fn delete_settled(&mut self, now: Now) {
-        let settled =
-            self.scheduler.take_settled_cancellings(now, CANCELLINGS_A_WRITE);
+    pub(super) fn delete_settled_cancellations(&mut self, now: Now) {
+        let settled = self
+            .scheduler
+            .take_settled_cancellings(now, MAX_CANCELLATIONS_PER_WRITE);
         if settled.is_empty() {
             return;
         }
@@ -159,11 +161,11 @@
         for id in &settled {
             batch = batch.delete(&keys::cancelled(*id));
         }
-        self.write(batch, "deletion of settled cancellings");
+        self.spawn_write(batch, "deletion of settled cancellings");
     }
 
     /// Writes what needn't be written at any one time.
-    pub(super) fn write(&self, batch: Batch, what: &'static str) {
+    pub(super) fn spawn_write(&self, batch: Batch, what: &'static str) {
         let store = self.candidate.store.with_purpose(Purpose::Progress);
         let log = self.candidate.log.clone();
         tokio::spawn(async move {
@@ -184,7 +186,7 @@
     match answer {
         Ok(Commit::Done(version)) => RecordWritten::Done(*version),
         Ok(Commit::Conflict(current)) => {
-            let version = version_among(current, key);
+            let version = find_version(current, key);
             RecordWritten::Conflict { version }
         }
         Err(_) => RecordWritten::Failed,
@@ -192,7 +194,7 @@
 }
 
 /// Returns the version of a key among those that were found; 0 for absent.
-pub(super) fn version_among(found: &[Versioned], key: &str) -> u64 {
+pub(super) fn find_version(found: &[Versioned], key: &str) -> u64 {
     let item = found.iter().find(|item| item.key == key);
     item.map_or(0, |item| item.version)
 }
--- a/crates/dewspard/src/jobs/recount.rs
+++ b/crates/dewspard/src/jobs/recount.rs
@@ -14,7 +14,7 @@
     super::{
         counts::{CountsReader, WaitingJobs},
         front::{Frontend, RETRY_AFTER_MS},
-        holder::json,
+        holder::to_json,
         keys,
     },
     crate::{clock, counters, passed_over},
@@ -61,7 +61,7 @@
             let source = timeout_at(deadline, self.find_or_lock()).await;
             match source {
                 Ok(Ok(CountSource::Published(counts))) => {
-                    reader.take_record(counts, clock::now_ms());
+                    reader.use_record(counts, clock::now_ms());
                     return Ok(());
                 }
                 Ok(Ok(CountSource::LockTaken(lock))) => {
@@ -126,8 +126,8 @@
         }
         let counts = counted?;
         info!(self.log, "call: waiting jobs counted here";
-            "lock" => lock, "counts" => json(&counts));
-        reader.take_own(counts, clock::now_ms());
+            "lock" => lock, "counts" => to_json(&counts));
+        reader.use_own_count(counts, clock::now_ms());
         Ok(())
     }
 
--- a/crates/dewspard/src/jobs/relay/server.rs
+++ b/crates/dewspard/src/jobs/relay/server.rs
@@ -4,7 +4,7 @@
 */
 
 use {
-    super::super::holder::stopped,
+    super::super::holder::wait_for_stop,
     super::wire::{
         self, Answer, Answered, FrameSink, FromRelay, Order, OrderKind, Start,
         TARGET_MESSAGE_BYTES, ToRelay, VERSION,
@@ -283,7 +283,7 @@
     loop {
         let first = tokio::select! {
             answer = answered.recv() => answer,
-            () = stopped(&mut stopping), if !leaving_sent => {
+            () = wait_for_stop(&mut stopping), if !leaving_sent => {
                 leaving_sent = true;
                 let leaving = wire::encode(&FromRelay::Leaving);
                 if sink.send(leaving).await.is_err() {
--- a/crates/dewspard/src/jobs/start_logs.rs
+++ b/crates/dewspard/src/jobs/start_logs.rs
@@ -25,14 +25,14 @@
 
 /// How many logs may be written at once: a store whose answers take 50 ms still
 /// takes what is planned every 15 ms.
-const MAX_WRITES: usize = 4;
+const MAX_WRITES_IN_FLIGHT: usize = 4;
 
 /// The pause after a write that wasn't done, in milliseconds.
-const RETRY_MS: u64 = 50;
+const RETRY_DELAY_MS: u64 = 50;
 
 /// How many logs are deleted at once: the store takes 32 entries, and one is the
 /// lease's condition.
-const DELETED_A_WRITE: usize = 31;
+const MAX_DELETIONS_PER_WRITE: usize = 31;
 
 /// What former holders have logged.
 #[derive(Debug, Default)]
@@ -45,10 +45,10 @@
 /// The writes of this holder's logs, and which of former holders are left.
 #[derive(Debug, Default)]
 pub(super) struct StartLogWrites {
-    under_way: usize,
+    in_flight: usize,
     /// From when the next write may begin.
-    write_from_ms: u64,
-    former: Vec<String>,
+    next_write_ms: u64,
+    former_keys: Vec<String>,
 }
 
 /// Reads what former holders have logged; a start that can't be read is passed
@@ -67,7 +67,7 @@
 }
 
 fn read_starts(item: &Versioned, log: &Logger) -> Vec<LoggedStart> {
-    let pass_over = |error: &serde_json::Error| {
+    let log_skipped = |error: &serde_json::Error| {
         passed_over::record(
             log,
             "logged start",
@@ -79,31 +79,31 @@
     let rows: Vec<Value> = match serde_json::from_slice(&item.value) {
         Ok(rows) => rows,
         Err(error) => {
-            pass_over(&error);
+            log_skipped(&error);
             return Vec::new();
         }
     };
-    let read = |row| serde_json::from_value(row).inspect_err(pass_over).ok();
+    let read = |row| serde_json::from_value(row).inspect_err(log_skipped).ok();
     rows.into_iter().filter_map(read).collect()
 }
 
 impl<K: KeyValue, W: JobWorkers, F: Fleet> Holder<'_, K, W, F> {
     /// Takes in what former holders have logged.
-    pub(super) fn take_loaded_starts(&mut self, loaded: LoadedStartLogs) {
+    pub(super) fn apply_start_logs(&mut self, loaded: LoadedStartLogs) {
         let LoadedStartLogs { starts, keys } = loaded;
         if !keys.is_empty() {
             info!(self.candidate.log, "holder: logged starts loaded";
                 "logs" => keys.len(), "starts" => starts.len());
         }
-        self.start_logs.former = keys;
+        self.start_logs.former_keys = keys;
         self.scheduler.take_logged_starts(starts);
     }
 
     /// Writes the starts that wait to be on record, and deletes the logs that
     /// nobody needs.
-    pub(super) fn store_start_logs(&mut self, now: Now) {
-        while self.start_logs.under_way < MAX_WRITES
-            && now.steady_ms >= self.start_logs.write_from_ms
+    pub(super) fn write_start_logs(&mut self, now: Now) {
+        while self.start_logs.in_flight < MAX_WRITES_IN_FLIGHT
+            && now.steady_ms >= self.start_logs.next_write_ms
         {
             let Some(log) = self.scheduler.take_start_log() else { break };
             self.write_start_log(log);
@@ -112,21 +112,21 @@
         let revision = self.held.revision;
         let keys = settled.iter().map(|n| keys::start_log(revision, *n));
         let mut keys: Vec<String> = keys.collect();
-        if !self.start_logs.former.is_empty()
+        if !self.start_logs.former_keys.is_empty()
             && self.scheduler.are_logged_starts_stored()
         {
-            keys.append(&mut self.start_logs.former);
+            keys.append(&mut self.start_logs.former_keys);
         }
-        for some in keys.chunks(DELETED_A_WRITE) {
+        for chunk in keys.chunks(MAX_DELETIONS_PER_WRITE) {
             let lease = Expected::Version(revision);
             let batch = Batch::default().when(keys::OWNER, lease);
-            let batch = some.iter().fold(batch, |b, key| b.delete(key));
-            self.write(batch, "deletion of logs of starts");
+            let batch = chunk.iter().fold(batch, |b, key| b.delete(key));
+            self.spawn_write(batch, "deletion of logs of starts");
         }
     }
 
     fn write_start_log(&mut self, log: StartLog) {
-        self.start_logs.under_way += 1;
+        self.start_logs.in_flight += 1;
         // OK because it holds only what JSON can write.
         let value = serde_json::to_vec(log.starts()).expect("plain JSON");
         let revision = self.held.revision;
@@ -157,16 +157,17 @@
         written: RecordWritten,
         now: Now,
     ) {
-        self.start_logs.under_way -= 1;
+        self.start_logs.in_flight -= 1;
         match written {
             RecordWritten::Done(_) => self.scheduler.start_log_stored(log),
             RecordWritten::Failed => {
-                self.start_logs.write_from_ms = now.steady_ms + RETRY_MS;
+                self.start_logs.next_write_ms = now.steady_ms + RETRY_DELAY_MS;
                 self.scheduler.start_log_failed(log);
             }
             // Nothing but the lease's key has to be as it was.
             RecordWritten::Conflict { .. } => {
-                self.lost = Some("the store refused this holder's write");
+                self.lost_reason =
+                    Some("the store refused this holder's write");
             }
         }
     }
--- a/crates/dewspard/src/jobs/step_down.rs
+++ b/crates/dewspard/src/jobs/step_down.rs
@@ -19,7 +19,7 @@
 
 impl StepDown {
     /// Returns whether the node gives up a lease that it holds.
-    pub(super) fn still_holds(self) -> bool {
+    pub(super) fn releases_lease(self) -> bool {
         match self {
             StepDown::Lost(_) => false,
             StepDown::Yielding
--- a/crates/dewspard/src/jobs/takeover.rs
+++ b/crates/dewspard/src/jobs/takeover.rs
@@ -18,9 +18,9 @@
         deferred_ends::load_ends,
         event::{Event, EventSender, HolderGone},
         keys,
-        progress::{FeedEvent, read_feed},
+        progress::{FeedEvent, parse_feed},
         start_logs::load_starts,
-        vm_orders::{LoadedVmOrders, LoadedWaves, load_ordered, load_waves},
+        vm_orders::{LoadedVmOrders, LoadedWaves, load_vm_orders, load_waves},
     },
     crate::{clock, counters, passed_over},
     dewspar::{
@@ -44,14 +44,14 @@
 
 /// How long all the rest may take to be read at once, in milliseconds: less
 /// than a lease lasts without renewal, and not much more than orders may take.
-const AT_ONCE_MS: u64 = 600;
+const MAX_FULL_READ_MS: u64 = 600;
 
 /// How slices follow each other: half of the link is left for orders.
 const SLICE_PACE: PollPace =
     PollPace { least_ms: 0, most_ms: 1_000, share_percent: 50 };
 
 /// The pause after a reading that failed.
-const RETRY: Duration = Duration::from_millis(100);
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Jobs that were loaded, with all that is stored of them.
 #[derive(Debug, Default)]
@@ -70,9 +70,9 @@
     /// What they kept of each wave.
     pub(super) waves: LoadedWaves,
     /// The waves that were reported as completed.
-    pub(super) completed: Vec<u64>,
+    pub(super) completed_waves: Vec<u64>,
     /// The VMs of which the former holder ordered changes of late.
-    pub(super) ordered: LoadedVmOrders,
+    pub(super) vm_orders: LoadedVmOrders,
     /// The version of the counts of waiting jobs; 0 for none.
     pub(super) counts_version: u64,
 }
@@ -85,40 +85,41 @@
     log: Logger,
 ) {
     let began_ms = clock::now_ms();
-    let duties = load_duties(&store, &fleet, &sender, &log);
+    let fleet_state = load_fleet_state(&store, &fleet, &sender, &log);
     let jobs = load_jobs(&store, &sender, &log);
-    let (duties, jobs) = tokio::join!(duties, jobs);
+    let (fleet_state, jobs) = tokio::join!(fleet_state, jobs);
     // A holder that is gone has no use for the rest.
-    let (Ok(()), Ok(loaded)) = (duties, jobs) else { return };
+    let (Ok(()), Ok(loaded)) = (fleet_state, jobs) else { return };
     info!(log, "holder: jobs loaded"; "jobs" => loaded.jobs,
-        "bytes" => loaded.bytes, "readings" => loaded.readings,
+        "bytes" => loaded.bytes, "readings" => loaded.reads,
         "took_ms" => clock::now_ms().saturating_sub(began_ms));
     let _ = sender.send(Event::AllLoaded).await;
 }
 
-async fn load_duties<K: KeyValue, F: Fleet>(
+async fn load_fleet_state<K: KeyValue, F: Fleet>(
     store: &K,
     fleet: &F,
     sender: &EventSender,
     log: &Logger,
 ) -> Result<(), HolderGone> {
-    let duties = until_read(|| read_duties(store, fleet, log)).await;
-    sender.send(Event::FleetStateLoaded(duties)).await
+    let fleet_state =
+        retry_until_read(|| read_fleet_state(store, fleet, log)).await;
+    sender.send(Event::FleetStateLoaded(fleet_state)).await
 }
 
-async fn read_duties<K: KeyValue, F: Fleet>(
+async fn read_fleet_state<K: KeyValue, F: Fleet>(
     store: &K,
     fleet: &F,
     log: &Logger,
 ) -> Result<LoadedFleetState, Error> {
     // All at once: one after the other they take a slow store seconds.
-    let (waves, completed, ordered, counts_version) = tokio::try_join!(
+    let (waves, completed_waves, vm_orders, counts_version) = tokio::try_join!(
         load_waves(store, log),
         fleet.completed_waves(),
-        load_ordered(store, log),
+        load_vm_orders(store, log),
         store.version(keys::PENDING),
     )?;
-    Ok(LoadedFleetState { waves, completed, ordered, counts_version })
+    Ok(LoadedFleetState { waves, completed_waves, vm_orders, counts_version })
 }
 
 /// How much was loaded.
@@ -126,7 +127,7 @@
 struct LoadTotals {
     jobs: usize,
     bytes: usize,
-    readings: usize,
+    reads: usize,
 }
 
 /// How what is left is read.
@@ -141,21 +142,21 @@
     log: &Logger,
 ) -> Result<LoadTotals, HolderGone> {
     let mut loaded = LoadTotals::default();
-    let asked_ms = clock::now_ms();
+    let requested_ms = clock::now_ms();
     let ((_, cancelled), ends, starts) = tokio::join!(
-        until_read(|| store.list(keys::CANCELLED)),
-        until_read(|| load_ends(store, log)),
-        until_read(|| load_starts(store, log)),
+        retry_until_read(|| store.list(keys::CANCELLED)),
+        retry_until_read(|| load_ends(store, log)),
+        retry_until_read(|| load_starts(store, log)),
     );
-    let call_ms = clock::now_ms().saturating_sub(asked_ms);
-    sender.send(Event::Feed(read_feed(&cancelled, log))).await?;
+    let call_ms = clock::now_ms().saturating_sub(requested_ms);
+    sender.send(Event::Feed(parse_feed(&cancelled, log))).await?;
     sender.send(Event::DeferredEndsLoaded(ends)).await?;
     // Before any job of which they tell.
     sender.send(Event::StartLogsLoaded(starts)).await?;
 
     let [first, rest @ ..] = &SLICES;
     let took_ms = load_slice(store, first, sender, log, &mut loaded).await?;
-    match how_to_read_on(took_ms, call_ms, rest.len() as u64) {
+    match choose_remaining_read(took_ms, call_ms, rest.len() as u64) {
         RemainingRead::AtOnce => {
             load_slice(store, "", sender, log, &mut loaded).await?;
         }
@@ -173,13 +174,13 @@
 
 /// Decides by how much longer the first slice took than a call that brings
 /// hardly anything, all in milliseconds.
-fn how_to_read_on(
+fn choose_remaining_read(
     took_ms: u64,
     call_ms: u64,
     slices_left: u64,
 ) -> RemainingRead {
-    let more_ms = took_ms.saturating_sub(call_ms) * slices_left;
-    if more_ms <= AT_ONCE_MS {
+    let extra_ms = took_ms.saturating_sub(call_ms) * slices_left;
+    if extra_ms <= MAX_FULL_READ_MS {
         RemainingRead::AtOnce
     } else {
         RemainingRead::BySlices
@@ -197,31 +198,31 @@
 ) -> Result<u64, HolderGone> {
     let accepted = format!("{}{slice}", keys::ACCEPTED);
     let progress = format!("{}{slice}", keys::PROGRESS);
-    let asked_ms = clock::now_ms();
+    let requested_ms = clock::now_ms();
     let read = || async {
         tokio::try_join!(store.list(&accepted), store.list(&progress))
     };
-    let ((_, accepted), (_, progress)) = until_read(read).await;
-    let took_ms = clock::now_ms().saturating_sub(asked_ms);
+    let ((_, accepted), (_, progress)) = retry_until_read(read).await;
+    let took_ms = clock::now_ms().saturating_sub(requested_ms);
     let size = |items: &[Versioned]| -> usize {
         items.iter().map(|item| item.key.len() + item.value.len()).sum()
     };
     loaded.jobs += accepted.len();
     loaded.bytes += size(&accepted) + size(&progress);
-    loaded.readings += 1;
+    loaded.reads += 1;
     let mut jobs = LoadedJobs {
-        feed: read_feed(&accepted, log),
+        feed: parse_feed(&accepted, log),
         ..LoadedJobs::default()
     };
     for item in &progress {
-        jobs.note_progress(item, log);
+        jobs.add_progress(item, log);
     }
     sender.send(Event::JobsLoaded(jobs)).await?;
     Ok(took_ms)
 }
 
 impl LoadedJobs {
-    fn note_progress(&mut self, item: &Versioned, log: &Logger) {
+    fn add_progress(&mut self, item: &Versioned, log: &Logger) {
         let Some(id) = keys::job_of_progress(&item.key) else { return };
         match serde_json::from_slice::<Progress>(&item.value) {
             Ok(found) => {
@@ -238,7 +239,7 @@
 }
 
 /// Reads until there is a result.
-async fn until_read<T, R>(mut read: impl FnMut() -> R) -> T
+async fn retry_until_read<T, R>(mut read: impl FnMut() -> R) -> T
 where
     R: Future<Output = Result<T, Error>>,
 {
@@ -247,6 +248,6 @@
             Ok(result) => return result,
             Err(error) => counters::platform_failure(&error),
         }
-        sleep(RETRY).await;
+        sleep(RETRY_DELAY).await;
     }
 }
--- a/crates/dewspard/src/jobs/versions.rs
+++ b/crates/dewspard/src/jobs/versions.rs
@@ -38,7 +38,7 @@
 pub(super) struct RecordVersions {
     known: BTreeMap<JobId, KnownVersion>,
     /// How often in a row a record was found otherwise than expected.
-    changed: BTreeMap<JobId, u32>,
+    conflicts: BTreeMap<JobId, u32>,
 }
 
 impl RecordVersions {
@@ -61,7 +61,7 @@
 
     /// Notes the version at which this holder wrote a record.
     pub(super) fn note_written(&mut self, id: JobId, version: u64) {
-        self.changed.remove(&id);
+        self.conflicts.remove(&id);
         self.note(id, version, VersionSource::Written);
     }
 
@@ -72,7 +72,7 @@
         // no other write of the record is under way.
         let source = VersionSource::Found;
         self.known.insert(id, KnownVersion { version, source });
-        let times = self.changed.entry(id).or_default();
+        let times = self.conflicts.entry(id).or_default();
         *times = times.saturating_add(1);
         *times
     }
@@ -80,7 +80,7 @@
     /// Forgets a record that this holder deletes.
     pub(super) fn forget(&mut self, id: JobId) {
         self.known.remove(&id);
-        self.changed.remove(&id);
+        self.conflicts.remove(&id);
     }
 
     fn note(&mut self, id: JobId, version: u64, source: VersionSource) {
--- a/crates/dewspard/src/jobs/vm_orders.rs
+++ b/crates/dewspard/src/jobs/vm_orders.rs
@@ -6,7 +6,7 @@
     super::{
         event::{Event, EventSender},
         keys,
-        records::{record_written, version_among},
+        records::{find_version, record_written},
     },
     crate::{
         clock::{self, Suspensions},
@@ -32,7 +32,7 @@
     pub(super) fence: u64,
     pub(super) orders: Vec<VmOrder>,
     /// What was known of suspensions when they were planned.
-    pub(super) planned: Suspensions,
+    pub(super) suspensions: Suspensions,
     /// Of which VMs changes are ordered by now.
     pub(super) vms: OrderedVms,
     /// The version of the last such record; 0 for none.
@@ -46,14 +46,14 @@
 pub(super) fn send<K: KeyValue, F: Fleet>(
     store: &K,
     fleet: &F,
-    burst: VmOrderBatch,
+    order_batch: VmOrderBatch,
     events: &EventSender,
     log: &Logger,
 ) {
     let (store, fleet) = (store.clone(), fleet.clone());
     let (events, log) = (events.clone(), log.clone());
     tokio::spawn(async move {
-        let event = match record_orders(&store, &burst, &log).await {
+        let event = match record_orders(&store, &order_batch, &log).await {
             RecordResult::Answered(written) => Event::VmOrdersWritten(written),
             RecordResult::LeaseLost => Event::LeaseLost,
         };
@@ -64,14 +64,15 @@
         if events.send(event).await.is_err() || lease_gone {
             return;
         }
-        for order in burst.orders {
-            let change = OrderContext {
-                holder: burst.holder.clone(),
-                fence: burst.fence,
+        for order in order_batch.orders {
+            let context = OrderContext {
+                holder: order_batch.holder.clone(),
+                fence: order_batch.fence,
                 recorded,
-                planned: burst.planned,
+                suspensions: order_batch.suspensions,
             };
-            let sending = send_one(fleet.clone(), change, order, log.clone());
+            let sending =
+                send_order(fleet.clone(), context, order, log.clone());
             let events = events.clone();
             tokio::spawn(async move {
                 if let Some(event) = sending.await {
@@ -86,7 +87,7 @@
 /// How often a record of orders is written anew that was found changed: once
 /// for a write of this holder whose answer was lost, and once more in case
 /// that is done just then.
-const RECORD_TRIES: u32 = 3;
+const MAX_RECORD_ATTEMPTS: u32 = 3;
 
 /// What became of recording orders.
 enum RecordResult {
@@ -101,29 +102,30 @@
 /// that is done late must not replace this one.
 async fn record_orders<K: KeyValue>(
     store: &K,
-    burst: &VmOrderBatch,
+    order_batch: &VmOrderBatch,
     log: &Logger,
 ) -> RecordResult {
     let mut written =
-        RecordWritten::Conflict { version: burst.record_version };
-    for _ in 0..RECORD_TRIES {
+        RecordWritten::Conflict { version: order_batch.record_version };
+    for _ in 0..MAX_RECORD_ATTEMPTS {
         let RecordWritten::Conflict { version } = written else { break };
-        let batch = ordered_batch(burst.fence, version, &burst.vms);
+        let batch =
+            vm_orders_batch(order_batch.fence, version, &order_batch.vms);
         let answer = store.commit(&batch).await;
         match &answer {
             Ok(Commit::Done(_)) => {}
             Ok(Commit::Conflict(found)) => {
-                if version_among(found, keys::OWNER) != burst.fence {
+                if find_version(found, keys::OWNER) != order_batch.fence {
                     return RecordResult::LeaseLost;
                 }
                 info!(log, "vm: record of orders was another";
                     "expected" => version,
-                    "found" => version_among(found, keys::VM_ORDERS));
+                    "found" => find_version(found, keys::VM_ORDERS));
             }
             Err(error) => {
                 counters::platform_failure(error);
                 warn!(log, "vm: orders not recorded, and so not sent";
-                    "orders" => burst.orders.len(), "error" => %error);
+                    "orders" => order_batch.orders.len(), "error" => %error);
             }
         }
         written = record_written(&answer, keys::VM_ORDERS);
@@ -136,7 +138,7 @@
     holder: String,
     fence: u64,
     recorded: bool,
-    planned: Suspensions,
+    suspensions: Suspensions,
 }
 
 impl OrderContext {
@@ -144,13 +146,13 @@
     /// wasn't suspended since it was planned. After that another node may hold
     /// the lease, and the VM service refuses the order only where it has heard
     /// of that one.
-    fn may_go(&self) -> bool {
-        let mut planned = self.planned;
+    fn may_be_sent(&self) -> bool {
+        let mut suspensions = self.suspensions;
         let suspended_ms = clock::suspended_ms();
-        self.recorded && planned.noticed_ms(suspended_ms).is_none()
+        self.recorded && suspensions.noticed_ms(suspended_ms).is_none()
     }
 
-    fn of(&self, vm: &str) -> VmChange {
+    fn vm_change(&self, vm: &str) -> VmChange {
         VmChange {
             vm: vm.to_owned(),
             holder: self.holder.clone(),
@@ -159,29 +161,29 @@
     }
 }
 
-async fn send_one<F: Fleet>(
+async fn send_order<F: Fleet>(
     fleet: F,
-    change: OrderContext,
+    context: OrderContext,
     order: VmOrder,
     log: Logger,
 ) -> Option<Event> {
     match order {
         VmOrder::Maintain { vm, wave } => {
-            let result = if change.may_go() {
-                fleet.maintain(&change.of(&vm), wave).await
+            let result = if context.may_be_sent() {
+                fleet.maintain(&context.vm_change(&vm), wave).await
             } else {
                 Err(VmOrderError::NotDone)
             };
-            record(&log, "maintain", &vm, &wave.to_string(), &result);
+            log_result(&log, "maintain", &vm, &wave.to_string(), &result);
             Some(Event::MaintenanceAnswered { vm, wave, result })
         }
         VmOrder::Move { vm, pool } => {
-            let result = if change.may_go() {
-                fleet.move_to(&change.of(&vm), &pool).await
+            let result = if context.may_be_sent() {
+                fleet.move_to(&context.vm_change(&vm), &pool).await
             } else {
                 Err(VmOrderError::NotDone)
             };
-            record(&log, "move", &vm, &pool, &result);
+            log_result(&log, "move", &vm, &pool, &result);
             Some(Event::MoveAnswered { vm, pool, result })
         }
         VmOrder::ReportRunning { wave } => {
@@ -211,7 +213,7 @@
     }
 }
 
-fn record(
+fn log_result(
     log: &Logger,
     order: &'static str,
     vm: &str,
@@ -277,7 +279,7 @@
 }
 
 /// Reads of which VMs the former holder had ordered changes when it last did.
-pub(super) async fn load_ordered<K: KeyValue>(
+pub(super) async fn load_vm_orders<K: KeyValue>(
     store: &K,
     log: &Logger,
 ) -> Result<LoadedVmOrders, Error> {
@@ -297,7 +299,7 @@
 }
 
 /// The write that records of which VMs changes are ordered.
-fn ordered_batch(
+fn vm_orders_batch(
     lease_revision: u64,
     version: u64,
     vms: &OrderedVms,
--- a/crates/dewspard/src/jobs/worker_lookups.rs
+++ b/crates/dewspard/src/jobs/worker_lookups.rs
@@ -56,24 +56,24 @@
 
 /// How many lives are looked up at once: 300 of them take ten ways to the
 /// store and back then, and a reply is some 400 bytes.
-const AT_ONCE: usize = 32;
+const MAX_CONCURRENT: usize = 32;
 
 /// The pause after a look-up that found nothing: entries appear up to a second
 /// after their workers.
-const AGAIN: Duration = Duration::from_millis(200);
+const RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
 /// How often a life is looked up at most: the whole directory is read before
 /// that, and tells which lives there are.
-const MOST_TRIES: usize = 12;
+const MAX_ATTEMPTS: usize = 12;
 
 /// How long a life that wasn't found isn't looked up again, and how long at
 /// most: twice as long each time, from the time in which the whole directory is
 /// surely read to one in which a look costs nothing.
-const FIRST_REST: Duration = Duration::from_secs(10);
-const LONGEST_REST: Duration = Duration::from_secs(160);
+const MIN_BACKOFF: Duration = Duration::from_secs(10);
+const MAX_BACKOFF: Duration = Duration::from_secs(160);
 
 /// For how long after its rest a life is remembered that is named no more.
-const REMEMBERED: Duration = Duration::from_secs(600);
+const BACKOFF_RETENTION: Duration = Duration::from_secs(600);
 
 /// A life that wasn't found.
 #[derive(Clone, Copy, Debug)]
@@ -94,35 +94,37 @@
 /// Look-ups under way; clones share them.
 #[derive(Clone, Debug)]
 pub struct WorkerLookups {
-    lives: Arc<Mutex<LookupState>>,
-    at_once: Arc<Semaphore>,
+    state: Arc<Mutex<LookupState>>,
+    concurrency: Arc<Semaphore>,
 }
 
 #[derive(Debug, Default)]
 struct LookupState {
-    under_way: BTreeSet<WorkerId>,
+    in_flight: BTreeSet<WorkerId>,
     /// Those that weren't found.
-    resting: BTreeMap<WorkerId, Backoff>,
+    backoffs: BTreeMap<WorkerId, Backoff>,
 }
 
 impl LookupState {
     /// Notes that a life is looked up, if it is to be.
     fn begin(&mut self, id: &WorkerId) -> bool {
         let now = Instant::now();
-        let rests = self.resting.get(id).is_some_and(|r| now < r.until);
-        !rests && self.under_way.insert(id.clone())
+        let backing_off = self.backoffs.get(id).is_some_and(|r| now < r.until);
+        !backing_off && self.in_flight.insert(id.clone())
     }
 
-    fn end(&mut self, id: &WorkerId, looked: LookupOutcome) {
-        self.under_way.remove(id);
+    fn end(&mut self, id: &WorkerId, outcome: LookupOutcome) {
+        self.in_flight.remove(id);
         let now = Instant::now();
-        self.resting.retain(|_, rest| now < rest.until + REMEMBERED);
-        let rested = self.resting.remove(id);
-        if looked == LookupOutcome::Retry {
-            let duration = rested.map_or(FIRST_REST, |rest| rest.duration * 2);
-            let duration = duration.min(LONGEST_REST);
-            let rest = Backoff { until: now + duration, duration };
-            self.resting.insert(id.clone(), rest);
+        self.backoffs
+            .retain(|_, backoff| now < backoff.until + BACKOFF_RETENTION);
+        let previous = self.backoffs.remove(id);
+        if outcome == LookupOutcome::Retry {
+            let duration =
+                previous.map_or(MIN_BACKOFF, |backoff| backoff.duration * 2);
+            let duration = duration.min(MAX_BACKOFF);
+            let backoff = Backoff { until: now + duration, duration };
+            self.backoffs.insert(id.clone(), backoff);
         }
     }
 }
@@ -130,8 +132,8 @@
 impl Default for WorkerLookups {
     fn default() -> WorkerLookups {
         WorkerLookups {
-            lives: Arc::default(),
-            at_once: Arc::new(Semaphore::new(AT_ONCE)),
+            state: Arc::default(),
+            concurrency: Arc::new(Semaphore::new(MAX_CONCURRENT)),
         }
     }
 }
@@ -147,10 +149,10 @@
         if !self.lock().begin(id) {
             return;
         }
-        let (look_ups, id) = (self.clone(), id.clone());
+        let (lookups, id) = (self.clone(), id.clone());
         tokio::spawn(async move {
-            let looked = look_ups.look(look).await;
-            look_ups.lock().end(&id, looked);
+            let outcome = lookups.look(look).await;
+            lookups.lock().end(&id, outcome);
         });
     }
 
@@ -159,21 +161,21 @@
         L: Fn() -> R,
         R: Future<Output = LookupOutcome>,
     {
-        for _ in 0..MOST_TRIES {
+        for _ in 0..MAX_ATTEMPTS {
             // OK because nobody closes it.
-            let permit = self.at_once.acquire().await.expect("open");
-            let looked = look().await;
+            let permit = self.concurrency.acquire().await.expect("open");
+            let outcome = look().await;
             drop(permit);
-            if looked == LookupOutcome::Done {
-                return looked;
+            if outcome == LookupOutcome::Done {
+                return outcome;
             }
-            sleep(AGAIN).await;
+            sleep(RETRY_INTERVAL).await;
         }
         LookupOutcome::Retry
     }
 
     fn lock(&self) -> MutexGuard<'_, LookupState> {
         // OK after a panic: a life is looked up once more or less.
-        self.lives.lock().unwrap_or_else(PoisonError::into_inner)
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/dewspard/tests/worker_lookups.rs
+++ b/crates/dewspard/tests/worker_lookups.rs
@@ -23,19 +23,14 @@
 
 type Tries = Arc<Mutex<BTreeMap<WorkerId, u32>>>;
 
-fn life(number: u32) -> WorkerId {
+fn worker(number: u32) -> WorkerId {
     WorkerId::new(&format!("life-{number}"))
 }
 
 /// Looks a life up that is there at its `found_at`th look-up.
-fn start(
-    look_ups: &WorkerLookups,
-    id: WorkerId,
-    found_at: u32,
-    tries: &Tries,
-) {
+fn start(lookups: &WorkerLookups, id: WorkerId, found_at: u32, tries: &Tries) {
     let tries = tries.clone();
-    look_ups.start(&id.clone(), move || {
+    lookups.start(&id.clone(), move || {
         let (tries, id) = (tries.clone(), id.clone());
         async move {
             sleep(ANSWER).await;
@@ -57,10 +52,10 @@
 
 #[tokio::test(start_paused = true)]
 async fn hundreds_of_lives_are_found_within_a_few_answers() {
-    let (look_ups, tries) = (WorkerLookups::default(), Tries::default());
+    let (lookups, tries) = (WorkerLookups::default(), Tries::default());
     let began = Instant::now();
     for number in 0..408 {
-        start(&look_ups, life(number), 1, &tries);
+        start(&lookups, worker(number), 1, &tries);
     }
     while tried(&tries).len() < 408 {
         sleep(Duration::from_millis(1)).await;
@@ -70,14 +65,14 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_life_that_is_named_again_is_looked_up_once() {
-    let (look_ups, tries) = (WorkerLookups::default(), Tries::default());
+    let (lookups, tries) = (WorkerLookups::default(), Tries::default());
     for _ in 0..3 {
-        start(&look_ups, life(1), 1, &tries);
+        start(&lookups, worker(1), 1, &tries);
     }
     sleep(Duration::from_secs(5)).await;
     assert_eq!(tried(&tries), [1]);
     // Once that is over it may be looked up anew.
-    start(&look_ups, life(1), 1, &tries);
+    start(&lookups, worker(1), 1, &tries);
     sleep(Duration::from_secs(5)).await;
     assert_eq!(tried(&tries), [2]);
 }
@@ -86,11 +81,11 @@
 /// enters itself was looked up 5 times a second, without end.
 #[tokio::test(start_paused = true)]
 async fn a_life_that_never_enters_itself_is_looked_up_less_and_less() {
-    let (look_ups, tries) = (WorkerLookups::default(), Tries::default());
+    let (lookups, tries) = (WorkerLookups::default(), Tries::default());
     let mut tried_by = Vec::new();
     for _ in 0..4 {
         for _ in 0..600 {
-            start(&look_ups, life(1), u32::MAX, &tries);
+            start(&lookups, worker(1), u32::MAX, &tries);
             sleep(Duration::from_millis(100)).await;
         }
         tried_by.push(tried(&tries)[0]);
@@ -103,9 +98,9 @@
 #[tokio::test(start_paused = true)]
 async fn a_life_that_enters_itself_late_is_found_and_one_that_never_does_ends()
 {
-    let (look_ups, tries) = (WorkerLookups::default(), Tries::default());
-    start(&look_ups, life(1), 4, &tries);
-    start(&look_ups, life(2), u32::MAX, &tries);
+    let (lookups, tries) = (WorkerLookups::default(), Tries::default());
+    start(&lookups, worker(1), 4, &tries);
+    start(&lookups, worker(2), u32::MAX, &tries);
     sleep(Duration::from_secs(60)).await;
     let tried = tried(&tries);
     assert_eq!(tried[0], 4);
