--- a/crates/dewspard/src/jobs/mod.rs
+++ b/crates/dewspard/src/jobs/mod.rs
@@ -1,36 +1,37 @@
 /*!
-Jobs: the part of the daemon that accepts them and has them run.
+Jobs: the part of the daemon that accepts jobs and has them run.
 
-Every node runs the same tasks, and none is set aside:
+Every node runs the same tasks:
 
 | task | owns |
 |---|---|
-| `front` | the callers' connections; any node accepts and answers |
-| `intent` | the newest reading of what the operator wants |
-| `election` | this node's try for the scheduler lease |
+| `front` | the callers' connections; any node accepts jobs and answers queries |
+| `intent` | the latest snapshot of the operator's configuration |
+| `election` | this node's attempts to take the scheduler lease |
 | `holder` | the [`Scheduler`](dewspar::schedule::Scheduler), on the one node that holds the lease |
-| `relay` | the connections over which nodes carry the holder's orders |
-| `readiness` | the address at which the entry asks whether to send callers |
+| `relay` | the connections over which nodes forward the holder's orders to workers |
+| `readiness` | the health-check address that the load balancer polls |
 
-Nodes talk to each other only where one carries orders to workers for another.
-What they share lies in the store:
+The node that holds the scheduler lease is called the holder. Nodes talk to
+each other only where one relays orders to workers for the holder. All shared
+state lies in the store:
 
 | key | value | written by |
 |---|---|---|
-| `q/owner` | who holds the scheduler lease | whoever takes it, under its own store lease |
-| `q/in/JOB` | a job that isn't over | the node that accepts it |
-| `q/stop/JOB` | that the job is cancelled | the node that is asked to |
-| `run/JOB` | how far the job has come | the holder |
-| `relay/NODE` | where a node offers to carry orders | that node, when it starts |
-| `node/NODE` | how much a node can schedule | that node, when it starts |
+| `q/owner` | who holds the scheduler lease | the node that takes it, under its own store lease |
+| `q/in/JOB` | an unfinished job | the node that accepts it |
+| `q/stop/JOB` | that the job is cancelled | the node that receives the request |
+| `run/JOB` | the job's progress | the holder |
+| `relay/NODE` | the address at which a node relays orders | that node, when it starts |
+| `node/NODE` | the scheduling capacity of a node | that node, when it starts |
 | `pending` | each queue's waiting jobs, under the holder's lease | the holder |
-| `counting`, `counted` | a lock, and what its holder counted, under short leases | a node that finds no fresh `pending` |
-| `vm-orders` | the VMs of which changes were ordered of late | the holder |
-| `wave/N` | the VMs that a wave has maintained | the holder |
+| `counting`, `counted` | a lock, and the counts made under it, under short leases | a node that finds no fresh `pending` |
+| `vm-orders` | the VMs for which changes were ordered recently | the holder |
+| `wave/N` | the VMs that a maintenance wave has maintained | the holder |
 
-The first three share a prefix, so that one watch tells them in the order of
-their writes: a holder that was superseded hears of that before it hears of
-any job that came later.
+The first three share a prefix, so that one watch delivers them in the order in
+which they were written: a superseded holder learns of its successor before it
+sees any job that was accepted later.
 */
 
 pub use self::{
--- a/crates/dewspard/src/jobs/relay/link.rs
+++ b/crates/dewspard/src/jobs/relay/link.rs
@@ -1,12 +1,12 @@
 /*!
 The holder's connection to one relay.
 
-Orders that are given to a link while it writes go out in the next message
-together, each with its age: what lies in the connection while the relay stands
-still is over when it wakes. Each waits for its own answer, and not for long: a relay answers each
-order once its own call has ended, so an order without an answer from a relay
-that has said nothing else since means that the relay or the way to it is
-silent. The link is then given up as a whole.
+Orders that arrive while the link is writing go out together in the next
+message, each with its age, so that a relay that was suspended can tell which
+of them have expired when it resumes. Each order waits for its own answer for a
+limited time: a relay answers each order once its own call has ended. If an
+order gets no answer and the relay has sent nothing else since, the relay or
+the network path to it is silent, and the link as a whole is abandoned.
 */
 
 use {
@@ -35,44 +35,47 @@
     },
 };
 
-/// How long a connection to a relay may take to open, and the relay to say that
-/// it carries: several times the way there and back within a region.
+/// How long a connection to a relay may take to open: several times the
+/// round-trip time within a region.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// How long a relay may take to answer the first message: as for the connection
-/// itself, which is opened by its system even while it stands still.
+/// How long a relay may take to answer the first message, in milliseconds. The
+/// same as for opening the connection, because the relay's kernel accepts
+/// connections even while the relay itself is suspended.
 const WELCOME_TIMEOUT_MS: u64 = 300;
 
-/// How long sent bytes may stay unacknowledged by the relay's kernel, as for
-/// workers: three transmissions on a near link.
+/// How long sent bytes may stay unacknowledged by the relay's kernel: three
+/// transmissions on a nearby link, as for workers.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// How long a link that is no longer used stays open for answers: longer than
 /// any order takes.
 const RETIRE_DELAY: Duration = Duration::from_secs(3);
 
-/// How far apart two orders without an answer must be to say that a relay is
-/// silent, in milliseconds: longer than it takes to read what has come.
+/// How far apart two unanswered orders must be for the relay to count as
+/// silent, in milliseconds: longer than it takes to read answers that have
+/// already arrived.
 const MIN_SILENCE_MS: u64 = 50;
 
-/// How many workers in a row a relay must fail to reach that the holder reaches
-/// itself to forward no longer: one or two may have been away for a moment.
+/// How many workers in a row, all reachable by the holder, a relay must fail
+/// to reach before it is no longer used: one or two may have been briefly
+/// away.
 const MAX_UNREACHED: u32 = 3;
 
-/// How many orders go into one message at most.
+/// The largest number of orders in one message.
 const MAX_ORDERS_PER_MESSAGE: usize = 512;
 
-/// An order on its way into a message.
+/// An order that waits to be put into a message.
 #[derive(Debug)]
 pub(super) struct OutgoingOrder {
     pub(super) order: Order,
-    /// When it was given to the link, on the steady clock.
+    /// When it was queued on the link, on the steady clock.
     pub(super) queued_ms: u64,
-    /// What a start gives its task.
+    /// The task's payload, for a start.
     pub(super) payload: Option<Arc<str>>,
 }
 
-/// Why a relay gave no answer.
+/// The relay gave no answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) struct NoAnswer;
 
@@ -85,10 +88,10 @@
     next_id: AtomicU64,
     /// When the relay last sent anything, on the steady clock.
     last_heard_ms: AtomicU64,
-    /// When an order first had no answer since then; 0 for none.
+    /// When an order first went unanswered since then; 0 for none.
     first_unanswered_ms: AtomicU64,
-    /// How many workers it failed to reach since it last reached one, though
-    /// this node does.
+    /// How many workers the relay failed to reach since it last reached one,
+    /// though this node reaches them.
     unreached: AtomicU32,
     is_open: AtomicBool,
     given_up: Notify,
@@ -146,18 +149,18 @@
         self.is_open.load(Ordering::Relaxed)
     }
 
-    /// Sends nothing new; what is under way may still be answered.
+    /// Stops sending new orders; in-flight orders may still be answered.
     pub(super) fn close(&self) {
         self.is_open.store(false, Ordering::Relaxed);
     }
 
-    /// Notes that it has reached a worker.
+    /// Records that the relay reached a worker.
     pub(super) fn note_reached(&self) {
         self.unreached.store(0, Ordering::Relaxed);
     }
 
-    /// Notes that it didn't reach a worker that this node does; a relay of which
-    /// that holds for all is of no use.
+    /// Records that the relay didn't reach a worker that this node reaches.
+    /// After [`MAX_UNREACHED`] in a row, the link is closed.
     pub(super) fn note_unreached(&self) {
         let before = self.unreached.fetch_add(1, Ordering::Relaxed);
         if before + 1 >= MAX_UNREACHED {
@@ -165,7 +168,8 @@
         }
     }
 
-    /// Sends nothing new, and ends the link once what is under way is over.
+    /// Stops sending new orders, and ends the link once in-flight orders have
+    /// had time to be answered.
     pub(super) fn retire(self: &Arc<RelayLink>) {
         self.close();
         let link = self.clone();
@@ -175,7 +179,7 @@
         });
     }
 
-    /// Ends the link: whatever is under way has no answer.
+    /// Ends the link; all in-flight orders stay unanswered.
     pub(super) fn give_up(&self) {
         self.close();
         self.lock().clear();
@@ -183,7 +187,8 @@
         self.given_up.notify_one();
     }
 
-    /// Has an order carried, and waits for its answer for so long.
+    /// Sends an order to the relay, and waits for its answer for at most
+    /// `limit`.
     pub(super) async fn forward(
         &self,
         worker: &str,
@@ -221,11 +226,11 @@
         }
     }
 
-    /// Notes an order without an answer; returns whether the relay is silent.
+    /// Records an unanswered order; returns whether the relay is silent.
     ///
-    /// It takes two, some time apart: a single answer may be late, and after
-    /// this node itself stood still, every order's time is over before any of
-    /// the answers that have come is read.
+    /// It takes two such orders, some time apart: a single answer may be late,
+    /// and after this node itself was suspended, every order times out before
+    /// any of the answers that have arrived is read.
     fn note_unanswered(&self, sent_ms: u64) -> bool {
         if self.last_heard_ms.load(Ordering::Relaxed) >= sent_ms {
             return false;
@@ -246,8 +251,8 @@
     }
 }
 
-/// Waits until a relay shows that it is awake: what is sent before it wakes
-/// would lie there, and it couldn't tell for how long.
+/// Waits until a relay shows that it is running. Orders sent to a suspended
+/// relay would wait in the connection, and it couldn't tell for how long.
 async fn wait_for_welcome(
     frames: &mut Frames,
     hello_sent_ms: u64,
@@ -258,14 +263,14 @@
     let FromRelay::Welcome = wire::decode(&frame)? else {
         return Err(io::ErrorKind::InvalidData.into());
     };
-    // This node may have been suspended itself meanwhile.
+    // This node itself may have been suspended meanwhile.
     if clock::now_ms() > hello_sent_ms + WELCOME_TIMEOUT_MS {
         return Err(io::ErrorKind::TimedOut.into());
     }
     Ok(())
 }
 
-/// Writes orders, those that came meanwhile in one message.
+/// Writes queued orders, batching those that are ready into one message.
 async fn write_orders(
     mut sink: FrameSink,
     mut orders: mpsc::UnboundedReceiver<OutgoingOrder>,
@@ -293,7 +298,7 @@
     }
 }
 
-/// Orders that go out together.
+/// A message of orders under construction.
 struct MessageBuilder {
     at_ms: u64,
     payloads: Vec<Arc<str>>,
@@ -328,9 +333,11 @@
         self.orders.push(order);
     }
 
-    /// Returns the payload's position; tasks of a job share one.
+    /// Returns the index of the payload in the message; tasks of a job share
+    /// one.
     fn payload_index(&mut self, payload: Arc<str>) -> u32 {
-        // The tasks of a job are ordered one after the other.
+        // The tasks of a job are ordered one after the other, so a match is
+        // near the end.
         let known =
             self.payloads.iter().rposition(|p| Arc::ptr_eq(p, &payload));
         let position = known.unwrap_or_else(|| {
@@ -338,7 +345,7 @@
             self.payloads.push(payload);
             self.payloads.len() - 1
         });
-        // OK to convert: a message has some hundred orders.
+        // OK to convert: a message has at most some hundred orders.
         position as u32
     }
 
@@ -349,7 +356,7 @@
     }
 }
 
-/// Hands answers to those who wait for them, until the link ends.
+/// Passes answers to the calls that wait for them, until the link ends.
 async fn read_answers(
     mut frames: Frames,
     link: Arc<RelayLink>,
@@ -369,13 +376,13 @@
                 let mut in_flight = link.lock();
                 for answered in answers {
                     if let Some(sender) = in_flight.remove(&answered.id) {
-                        // Whoever no longer waits has taken it for lost.
+                        // The call may have timed out meanwhile.
                         let _ = sender.send(answered.answer);
                     }
                 }
             }
             Ok(FromRelay::Leaving) => link.close(),
-            // It says so once, before the link is used.
+            // Sent only once, before the link is used.
             Ok(FromRelay::Welcome) => {}
             Err(_) => break,
         }
--- a/crates/dewspard/src/jobs/relay/manager.rs
+++ b/crates/dewspard/src/jobs/relay/manager.rs
@@ -1,7 +1,7 @@
 /*!
-The holder's choice of relays, kept up to date: how much is sent says how many
-are wanted, the store says which nodes offer to carry, and their links say
-which of them do.
+The holder's choice of relays, kept up to date. The rate of orders determines
+how many relays are wanted, the store lists the nodes that offer to relay, and
+the links show which of them work.
 */
 
 use {
@@ -15,41 +15,40 @@
     tokio::{task::JoinSet, time::sleep},
 };
 
-/// How often it is looked at what was sent and which links are open: the calls
-/// of a moment aren't taken for those of a peak, and a lost relay is replaced
-/// soon.
+/// How often the order rate and the open links are checked, in milliseconds:
+/// long enough that a short burst doesn't count as a peak, and short enough to
+/// replace a lost relay soon.
 const CHECK_INTERVAL_MS: u64 = 250;
 
-/// How long a reading of the nodes that offer to carry is used, in
-/// milliseconds: nodes come and go in minutes, and each names itself in some
-/// hundred bytes.
+/// How long the list of nodes that offer to relay is reused, in milliseconds:
+/// nodes come and go over minutes, and each entry takes some hundred bytes.
 const OFFERS_TTL_MS: u64 = 5_000;
 
-/// For how long a node isn't asked again that couldn't be reached or was lost,
-/// in milliseconds: a process is started again in about that time.
+/// How long a node that was unreachable or lost isn't tried again, in
+/// milliseconds: about the time that a process takes to restart.
 const RECONNECT_DELAY_MS: u64 = 3_000;
 
-/// What the task that keeps relays needs.
+/// The parameters of the task that manages relays.
 pub(in super::super) struct RelayManager<K, W> {
-    /// The store, and the prefix of the keys under which nodes offer to carry.
+    /// The store, and the prefix of the keys under which nodes offer to relay.
     pub(in super::super) store: K,
     pub(in super::super) offers_prefix: &'static str,
-    /// This node.
+    /// This node's name.
     pub(in super::super) node: String,
     pub(in super::super) strength: u64,
     pub(in super::super) lease_revision: u64,
     pub(in super::super) workers: RelayedWorkers<W>,
-    /// What this node's calls cost.
+    /// Counts the traffic of this node's calls.
     pub(in super::super) traffic: Traffic,
     pub(in super::super) log: Logger,
 }
 
-/// What is known of nodes that offer to carry.
+/// The nodes that offer to relay.
 #[derive(Debug, Default)]
 struct Offers {
     nodes: Vec<RelayNode>,
     read_ms: Option<u64>,
-    /// Until when a node isn't asked.
+    /// When each node may be tried again, for those that can't be tried now.
     avoided: HashMap<String, u64>,
 }
 
@@ -62,7 +61,7 @@
         self.avoided.insert(node.to_owned(), now_ms + RECONNECT_DELAY_MS);
     }
 
-    /// Returns the nodes that may be asked now.
+    /// Returns the nodes that may be tried now.
     fn usable(&mut self, now_ms: u64) -> Vec<RelayNode> {
         self.avoided.retain(|_, until_ms| now_ms < *until_ms);
         let usable = |n: &&RelayNode| !self.avoided.contains_key(&n.name);
@@ -70,7 +69,7 @@
     }
 }
 
-/// Keeps relays as long as the lease is held.
+/// Manages the relays for as long as the lease is held.
 pub(in super::super) async fn manage<K: KeyValue, W>(
     manager: RelayManager<K, W>,
 ) {
@@ -91,7 +90,7 @@
     }
 }
 
-/// Ends every link with the lease, however it ends.
+/// Closes every link when the lease ends, in whatever way it ends.
 struct CloseLinksOnDrop<'a, W>(&'a RelayedWorkers<W>);
 
 impl<W> Drop for CloseLinksOnDrop<'_, W> {
@@ -138,7 +137,8 @@
         self.connect_wanted(wanted, open, offers, now_ms).await;
     }
 
-    /// Stands in for any other node, to see whether one is wanted at all.
+    /// Returns this node as a placeholder candidate, to check whether any
+    /// relay is wanted at all.
     fn own_node(&self) -> RelayNode {
         RelayNode {
             name: self.node.clone(),
@@ -148,7 +148,7 @@
     }
 
     async fn read_offers(&self, offers: &mut Offers, now_ms: u64) {
-        // A reading that fails is tried again with the next update_links.
+        // The next round retries a failed read.
         match self.store.list(self.offers_prefix).await {
             Ok((_, found)) => {
                 offers.nodes = self.parse_offers(&found);
@@ -158,7 +158,7 @@
         }
     }
 
-    /// Reads what others offer; what can't be read is passed over.
+    /// Parses the offers of other nodes, and skips and logs unreadable ones.
     fn parse_offers(&self, found: &[Versioned]) -> Vec<RelayNode> {
         let read = |item: &Versioned| -> Option<RelayNode> {
             passed_over::read(&self.log, "offer to carry", item)
@@ -167,7 +167,7 @@
         nodes.filter(|node| node.name != self.node).collect()
     }
 
-    /// Has the wanted relays carry, those that can be reached.
+    /// Connects to the wanted relays and uses those that can be reached.
     async fn connect_wanted(
         &self,
         wanted: Vec<RelayNode>,
@@ -189,7 +189,8 @@
                 let name = node.name.clone();
                 let link =
                     RelayLink::open(node, &holder, revision, traffic).await;
-                // Else one that is opened as the lease ends stays open.
+                // Without this, a link that opens as the lease ends would stay
+                // open.
                 if let Ok(link) = &link {
                     opened.note(link);
                 }
@@ -208,15 +209,15 @@
                     warn!(self.log, "relay: not reached"; "relay" => name,
                         "error" => %error);
                 }
-                // OK to pass over: a task that panicked has opened nothing.
+                // OK to ignore: a task that panicked has opened nothing.
                 Err(_) => {}
             }
         }
         self.switch_links(links, &open);
     }
 
-    /// Has these links carry; those that no longer do end once they are
-    /// answered.
+    /// Switches to these links; links that are no longer used close once their
+    /// in-flight orders are answered.
     fn switch_links(
         &self,
         links: Vec<Arc<RelayLink>>,
--- a/crates/dewspard/src/jobs/relay/mod.rs
+++ b/crates/dewspard/src/jobs/relay/mod.rs
@@ -1,31 +1,31 @@
 /*!
-Relays: nodes that carry the holder's orders to workers.
+Relays: nodes that forward the holder's orders to workers.
 
-What a relay is, how many are wanted and which one carries for which worker is
-decided in [`dewspar::relay`]; here are the sockets.
+[`dewspar::relay`] decides how many relays are wanted and which one serves
+which worker; this module holds the connections.
 
-| module | job |
+| module | contents |
 |---|---|
 | `wire` | the messages between a holder and its relays |
-| `server` | the node that carries: takes orders, makes the calls, answers |
+| `server` | the relay's side: receives orders, calls the workers, sends the answers back |
 | `link` | the holder's connection to one relay |
-| `workers` | the workers, reached over relays or directly |
+| `workers` | the worker calls as the holder makes them, over relays or directly |
 | `route_overrides` | the workers that their relay doesn't reach |
 | `manager` | the holder's choice of relays, kept up to date |
 
-# What goes wrong
+# Failures
 
-| what | so |
+| failure | reaction |
 |---|---|
-| no relay, or none that is reachable | orders go out directly, as without relays |
-| an address doesn't say that a relay of this version is there | it gets nothing to carry |
-| a relay is lost, frozen, cut off or silent | its orders count as without an answer; its workers go to others at once |
-| a relay doesn't reach a worker that the holder reaches | the worker is asked directly for a while; a relay that reaches none counts as lost |
-| a relay stops as planned | it says so, carries what it has, and gets nothing new |
-| a relay wakes with old orders | the workers have seen a later token, and refuse them |
-| a relay wakes, and its holder still has the lease | it passes over what the holder gave up a second ago or more, by its age on both steady clocks |
-| a relay has too much under way | it sends back what is more, as not sent |
-| two holders | a relay keeps the latest lease that it has seen, and ends connections of earlier ones |
+| there is no relay, or none that is reachable | orders go out directly, as without relays |
+| an address doesn't answer as a relay of this version | it gets no orders |
+| a relay is lost, suspended, cut off or silent | its orders count as unanswered; its workers move to other relays at once |
+| a relay doesn't reach a worker that the holder reaches | the worker is called directly for a while; a relay that reaches none counts as lost |
+| a relay stops as planned | it announces that, finishes its in-flight orders, and gets no new ones |
+| a relay resumes with old orders | the workers have seen a later fencing token and refuse them |
+| a relay resumes while its holder still has the lease | it drops orders that the holder gave up a second ago or more, by their age on both steady clocks |
+| a relay has too many orders in flight | it returns the excess as not sent |
+| there are two holders | a relay keeps the latest lease that it has seen, and closes connections of earlier ones |
 */
 
 pub(super) use self::{
--- a/crates/dewspard/src/jobs/relay/route_overrides.rs
+++ b/crates/dewspard/src/jobs/relay/route_overrides.rs
@@ -1,13 +1,14 @@
 /*!
 Workers that their relay doesn't reach.
 
-A relay may say that it carries and be cut off from workers that the holder
-reaches itself. It answers each order at once with that, so it isn't silent; but
-its workers would be, and what runs there would be started elsewhere. So a worker
-whose relay has no answer to a question is asked directly the next time. If that
-answers, the relay was at fault: the worker is reached directly for a while, and
-a relay that reaches none carries no longer. If not, the worker was, and it is
-asked over its relay again.
+A relay may be connected to the holder and yet be cut off from workers that the
+holder reaches itself. It answers each order at once with an error, so it isn't
+silent; but its workers would count as silent, and their tasks would be started
+elsewhere. So when a relay gets no answer from a worker to a `hold` order, the
+next call goes to the worker directly. If that succeeds, the relay was at
+fault: the worker is called directly for a while, and a relay that reaches no
+worker is no longer used. If it fails, the worker was at fault, and calls go
+over the relay again.
 */
 
 use {
@@ -23,19 +24,19 @@
     },
 };
 
-/// How long what was found out of a worker counts, in milliseconds: most of a
-/// worker's lease, so that it doesn't end while the route over the relay is tried
-/// again and again, and a worker that is gone costs one direct call in that time.
+/// How long an override stays in force, in milliseconds: most of a worker's
+/// lease. The worker's lease doesn't run out over repeated attempts to use the
+/// relay, and a worker that is gone costs one direct call per interval.
 const OVERRIDE_TTL_MS: u64 = 5_000;
 
-/// Which route a worker is reached.
+/// How a worker is reached.
 #[derive(Debug)]
 enum Route {
-    /// Direct once, since this relay had no answer of it.
+    /// Directly for one call, because this relay got no answer from it.
     ProbeDirectly(Arc<RelayLink>),
-    /// Direct: its relay doesn't reach it.
+    /// Directly, because its relay doesn't reach it.
     Direct,
-    /// Over its relay, though that doesn't reach it: nor does this node.
+    /// Over its relay: neither the relay nor this node reaches it.
     Relayed,
 }
 
@@ -45,20 +46,20 @@
     until_ms: u64,
 }
 
-/// The workers whose relay had no answer of them of late.
+/// The workers from which their relay recently got no answer.
 #[derive(Debug, Default)]
 pub(super) struct RouteOverrides {
     overrides: Mutex<Overrides>,
-    /// Whether there are any: nearly always none, and to look for one and to
-    /// read the clock at each of thousands of orders a second takes time that a
-    /// busy holder doesn't have.
+    /// Whether there are any overrides. Nearly always there are none, and a
+    /// busy holder can't afford a lookup and a clock reading for each of
+    /// thousands of orders a second.
     any_active: AtomicBool,
 }
 
 #[derive(Debug, Default)]
 struct Overrides {
     by_worker: HashMap<WorkerId, RouteOverride>,
-    /// Until when some of them counts.
+    /// When the last override expires.
     until_ms: u64,
 }
 
@@ -72,7 +73,7 @@
 }
 
 impl RouteOverrides {
-    /// Returns whether a worker is to be reached directly.
+    /// Returns whether a worker is to be called directly.
     pub(super) fn is_direct(&self, worker: &WorkerId) -> bool {
         if !self.any_active.load(Ordering::Relaxed) {
             return false;
@@ -91,7 +92,7 @@
         })
     }
 
-    /// Notes that a relay had no answer to a question to a worker.
+    /// Records that a relay got no answer from a worker to a `hold` order.
     pub(super) fn note_relay_failure(
         &self,
         worker: &WorkerId,
@@ -107,7 +108,8 @@
         self.any_active.store(true, Ordering::Relaxed);
     }
 
-    /// Notes what became of a question that was asked directly.
+    /// Records whether a worker answered a `hold` order that was sent
+    /// directly.
     pub(super) fn note_direct_result(
         &self,
         worker: &WorkerId,
--- a/crates/dewspard/src/jobs/relay/server.rs
+++ b/crates/dewspard/src/jobs/relay/server.rs
@@ -1,6 +1,6 @@
 /*!
-The node that carries: it takes orders, makes the calls, and sends the answers
-back, many in one message while there are many.
+The relay: it receives orders, calls the workers, and sends the answers back,
+batched while there are many.
 */
 
 use {
@@ -32,35 +32,37 @@
     },
 };
 
-/// How many orders of one holder may be under way: eight times the largest
-/// window of a holder that has one relay only.
+/// The largest number of in-flight orders of one holder: eight times the
+/// largest order window of a holder with a single relay.
 const MAX_IN_FLIGHT: usize = 8_192;
 
-/// How long answers are gathered after a message went out: a message costs the
-/// holder a wake-up and a system call, and 200 of them a second from each of a
-/// dozen relays are a tenth of its time.
+/// The shortest interval between two messages of answers, which batches the
+/// answers of that interval: each message costs the holder a wake-up and a
+/// system call, and 200 a second from each of a dozen relays take a tenth of
+/// its time.
 const ANSWER_BATCH_INTERVAL: Duration = Duration::from_millis(5);
 
-/// How long an order is carried after its holder has given it up, in
-/// milliseconds: a full link of 2 Mbit/s holds 250 kB for that long, and what it
-/// brings so late is still the holder's plan. Suspensions dispatch seconds.
+/// How long after the holder stopped waiting for it an order is still
+/// executed, in milliseconds. A saturated link of 2 Mbit/s buffers 250 kB for
+/// that long, and the orders that it delivers this late are still part of the
+/// holder's plan. Suspensions last seconds.
 const LATE_ORDER_GRACE_MS: u64 = 1_000;
 
-/// The pause after a connection that couldn't be accepted.
+/// The delay after a connection that couldn't be accepted.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// The latest lease that any holder has shown.
+/// The revision of the latest lease that any holder has presented.
 #[derive(Clone, Debug, Default)]
 struct LatestLease(Arc<AtomicU64>);
 
 impl LatestLease {
-    /// Notes a lease; returns whether there is no later one.
+    /// Records a lease's revision; returns whether there is no later one.
     fn note(&self, revision: u64) -> bool {
         self.0.fetch_max(revision, Ordering::Relaxed) <= revision
     }
 }
 
-/// Carries orders for whoever holds the scheduler lease, until the node stops.
+/// Relays orders for whoever holds the scheduler lease, until the node stops.
 pub(in super::super) async fn serve<W: JobWorkers>(
     listener: TcpListener,
     workers: W,
@@ -72,7 +74,7 @@
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(error) => {
-                warn!(log, "relay: a connection wasn't accepted";
+                warn!(log, "relay: accepting a connection failed";
                     "error" => %error);
                 sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
@@ -109,7 +111,8 @@
         info!(log, "relay: carries no longer"; "reason" => reason);
     }
 
-    /// Carries until the connection ends; returns why.
+    /// Serves orders until the connection ends; returns the reason for the
+    /// end.
     async fn serve_orders(
         mut self,
         stream: TcpStream,
@@ -118,18 +121,18 @@
         let (read, write) = stream.into_split();
         let mut frames = wire::frames(read);
         let Some(hello) = frames.next().await else {
-            return Ok("nothing came");
+            return Ok("the connection closed before the first message");
         };
         let ToRelay::Hello { version, node, lease_revision, at_ms } =
             wire::decode(&hello?)?
         else {
-            return Ok("it didn't say whose orders they are");
+            return Ok("the first message is no hello");
         };
         if version != VERSION {
-            return Ok("it speaks another version");
+            return Ok("the holder uses another protocol version");
         }
         if !self.latest.note(lease_revision) {
-            return Ok("a later holder was here");
+            return Ok("a later holder connected before");
         }
         info!(self.log, "relay: carries for a holder"; "holder" => node,
             "lease_revision" => lease_revision);
@@ -143,14 +146,16 @@
                 frame = frames.next() => frame,
                 () = answers.closed() => return Ok("answers can't be sent"),
             };
-            let Some(frame) = frame else { return Ok("the holder is done") };
+            let Some(frame) = frame else {
+                return Ok("the holder closed the connection");
+            };
             let message = wire::decode(&frame?)?;
-            // What an earlier holder sends is refused by workers in any case.
+            // Workers refuse a former holder's orders in any case.
             if !self.latest.note(lease_revision) {
-                return Ok("a later holder is here");
+                return Ok("a later holder has connected");
             }
             let ToRelay::Orders { at_ms, payloads, orders } = message else {
-                return Ok("it began anew");
+                return Ok("the holder sent a second hello");
             };
             let now_ms = clock::now_ms();
             let late_ms = lateness.of(at_ms, now_ms);
@@ -160,10 +165,10 @@
                     order.limit_ms.saturating_add(LATE_ORDER_GRACE_MS);
                 limit_ms.saturating_sub(age_ms)
             };
-            // Nothing that was sent before this one is of use either, and the
-            // holder's clock may not be what it was.
+            // Everything sent before this message has expired as well, and the
+            // estimate of the holder's clock may no longer be right.
             if orders.iter().all(|order| remaining_ms(order) == 0) {
-                return Ok("all that came is over");
+                return Ok("all orders of the message have expired");
             }
             let payloads: Vec<Arc<str>> =
                 payloads.into_iter().map(Arc::from).collect();
@@ -174,8 +179,8 @@
         }
     }
 
-    /// Makes an order's call, beside all others, unless its holder has long
-    /// given it up.
+    /// Executes an order concurrently with all others, unless the holder gave
+    /// it up long ago.
     fn dispatch(
         &mut self,
         order: Order,
@@ -188,7 +193,7 @@
         if self.in_flight.load(Ordering::Relaxed) >= MAX_IN_FLIGHT {
             counters::count(counters::RELAY_REFUSALS);
             let answer = Answer::Error(OrderError::NotSent);
-            // A holder that is gone has no use for it.
+            // The holder may be gone.
             let _ = answers.send(Answered { id, answer });
             return;
         }
@@ -204,7 +209,7 @@
                 call.execute(&workers).await
             };
             in_flight.fetch_sub(1, Ordering::Relaxed);
-            // As above.
+            // The holder may be gone.
             let _ = answers.send(Answered { id, answer });
         });
     }
@@ -271,8 +276,8 @@
     }
 }
 
-/// Sends answers as they come, the first at once and what follows it together;
-/// says so when the node stops.
+/// Sends answers as they come: the first at once, and those that follow within
+/// the interval together. Announces when the node stops.
 async fn send_answers(
     mut sink: FrameSink,
     mut answered: mpsc::UnboundedReceiver<Answered>,
--- a/crates/dewspard/src/jobs/relay/wire.rs
+++ b/crates/dewspard/src/jobs/relay/wire.rs
@@ -1,9 +1,8 @@
 /*!
 The messages between a holder and its relays.
 
-Frames with their length before them, written with `postcard`. What several
-orders of a message have in common, the text that the tasks of a job are given,
-stands in it once.
+Messages are length-prefixed frames, encoded with `postcard`. The payload that
+tasks of a job share is written once per message.
 */
 
 use {
@@ -18,20 +17,21 @@
     tokio_util::codec::{FramedRead, FramedWrite, LengthDelimitedCodec},
 };
 
-/// The version of these messages; relays carry only for holders with the same.
+/// The version of these messages; relays serve only holders with the same
+/// version.
 pub(super) const VERSION: u32 = 3;
 
-/// The longest message, in bytes: some thousands of orders with a payload of
-/// 4 kB each.
+/// The longest message, in bytes: some thousands of orders with a payload of 4
+/// kB each.
 const MAX_FRAME_BYTES: usize = 16 * 1024 * 1024;
 
-/// How much a message holds before what follows goes into another, in bytes: a
-/// sixteenth of the longest, so that what is left out of account and one large
-/// order more find room.
+/// The size at which a message is sent and a new one begun, in bytes: a
+/// sixteenth of the longest, which leaves room for one more large order and
+/// for what the size estimate leaves out.
 pub(super) const TARGET_MESSAGE_BYTES: usize = 1024 * 1024;
 
-/// What an order or a run in an answer takes beside its texts, in bytes: a dozen
-/// numbers.
+/// The estimated size of an order, an answer or a reported run beside its
+/// strings, in bytes: a dozen numbers.
 const ITEM_OVERHEAD_BYTES: usize = 64;
 
 /// Incoming frames.
@@ -40,7 +40,7 @@
 /// Outgoing frames.
 pub(super) type FrameSink = FramedWrite<OwnedWriteHalf, LengthDelimitedCodec>;
 
-/// What a holder sends.
+/// The messages that a holder sends.
 #[derive(Debug, Deserialize, Serialize)]
 pub(super) enum ToRelay {
     /// The first message.
@@ -52,34 +52,34 @@
         /// When it was sent, on the holder's steady clock.
         at_ms: u64,
     },
-    /// Orders to carry.
+    /// Orders to relay.
     Orders {
         /// When it was sent, on the holder's steady clock.
         at_ms: u64,
-        /// What tasks are given, as starts refer to it.
+        /// The payloads of tasks, to which starts refer by index.
         payloads: Vec<String>,
         orders: Vec<Order>,
     },
 }
 
-/// An order to carry.
+/// An order to relay.
 #[derive(Debug, Deserialize, Serialize)]
 pub(super) struct Order {
-    /// Chosen by the holder, to be given back with the answer.
+    /// Chosen by the holder and returned with the answer.
     pub(super) id: u64,
-    /// The worker's life.
+    /// The identifier of the worker's process.
     pub(super) worker: String,
-    /// Where it takes orders.
+    /// The worker's address.
     pub(super) address: String,
-    /// How old it was when its message was sent.
+    /// Its age when its message was sent, in milliseconds.
     pub(super) age_ms: u64,
-    /// For how long the holder waits for its answer.
+    /// How long the holder waits for its answer, in milliseconds.
     pub(super) limit_ms: u64,
     pub(super) what: OrderKind,
 }
 
 impl Order {
-    /// Returns about how long it is in a message, without a payload, in bytes.
+    /// Returns the estimated size in a message without the payload, in bytes.
     pub(super) fn estimated_bytes(&self) -> usize {
         let texts = self.worker.len() + self.address.len();
         let more = match &self.what {
@@ -90,7 +90,7 @@
     }
 }
 
-/// What an order is.
+/// The kinds of orders.
 #[derive(Debug, Deserialize, Serialize)]
 pub(super) enum OrderKind {
     Start(Start),
@@ -99,12 +99,12 @@
     Hold(HoldOrder),
 }
 
-/// An order to start, with its payload apart.
+/// An order to start a task; the payload is stored separately in the message.
 #[derive(Debug, Deserialize, Serialize)]
 pub(super) struct Start {
     pub(super) task: TaskId,
     pub(super) run: u64,
-    /// The payload's position in the message.
+    /// The payload's index in the message.
     pub(super) payload: u32,
     pub(super) lease_until_ms: u64,
     pub(super) fence: u64,
@@ -112,14 +112,14 @@
     pub(super) ticket: String,
 }
 
-/// What a relay sends.
+/// The messages that a relay sends.
 #[derive(Debug, Deserialize, Serialize)]
 pub(super) enum FromRelay {
-    /// The answer to the first message: the relay is awake, and takes orders.
+    /// The answer to the first message: the relay is running and takes orders.
     Welcome,
-    /// Answers to orders, in any order.
+    /// Answers to orders, in any sequence.
     Answers(Vec<Answered>),
-    /// The relay stops: nothing new is to be sent.
+    /// The relay stops and takes no new orders.
     Leaving,
 }
 
@@ -130,19 +130,19 @@
     pub(super) answer: Answer,
 }
 
-/// What became of an order.
+/// The result of an order.
 #[derive(Debug, Deserialize, Serialize)]
 pub(super) enum Answer {
-    /// It was carried out; the worker's clock, in milliseconds.
+    /// It was executed; the worker's clock, in milliseconds.
     Done(u64),
-    /// What a question found.
+    /// The worker's report in answer to a `hold` order.
     Report(HoldReport),
-    /// It has no result.
+    /// It failed, or its result is unknown.
     Error(OrderError),
 }
 
 impl Answered {
-    /// Returns about how long it is in a message, in bytes.
+    /// Returns the estimated size in a message, in bytes.
     pub(super) fn estimated_bytes(&self) -> usize {
         let Answer::Report(report) = &self.answer else {
             return ITEM_OVERHEAD_BYTES;
@@ -154,12 +154,12 @@
     }
 }
 
-/// Reads frames.
+/// Returns a stream of incoming frames.
 pub(super) fn frames(half: OwnedReadHalf) -> Frames {
     FramedRead::new(half, codec())
 }
 
-/// Writes frames.
+/// Returns a sink for outgoing frames.
 pub(super) fn sink(half: OwnedWriteHalf) -> FrameSink {
     FramedWrite::new(half, codec())
 }
@@ -170,14 +170,18 @@
         .new_codec()
 }
 
-/// Writes a message.
+/// Encodes a message.
 pub(super) fn encode<T: Serialize>(message: &T) -> Bytes {
     // OK because these messages hold only what postcard can write.
     let bytes = postcard::to_stdvec(message).expect("plain data");
     Bytes::from(bytes)
 }
 
-/// Reads a message.
+/// Decodes a message.
+///
+/// # Errors
+///
+/// Returns an [`io::ErrorKind::InvalidData`] error for a malformed message.
 pub(super) fn decode<T: DeserializeOwned>(frame: &BytesMut) -> io::Result<T> {
     postcard::from_bytes(frame).map_err(|error| {
         io::Error::new(io::ErrorKind::InvalidData, error.to_string())
--- a/crates/dewspard/src/jobs/relay/workers.rs
+++ b/crates/dewspard/src/jobs/relay/workers.rs
@@ -1,5 +1,5 @@
 /*!
-The workers, as a holder reaches them: over its relays, or directly while it
+The worker calls as a holder makes them: over its relays, or directly while it
 has none.
 */
 
@@ -26,14 +26,15 @@
     },
 };
 
-/// How much longer an order may take over a relay than directly: the way to
-/// it and back, and the time that its answers are gathered.
+/// How much longer an order may take over a relay than directly, in
+/// milliseconds: the round trip to the relay and the time for which it batches
+/// answers.
 const RELAY_OVERHEAD_MS: u64 = 100;
 
-/// Workers that are reached over relays where there are any.
+/// Workers that are called over relays where there are any.
 #[derive(Clone, Debug)]
 pub(in super::super) struct RelayedWorkers<W> {
-    /// Shared, because a clone goes with each order.
+    /// Shared, because each order clones this struct.
     direct: Arc<W>,
     shared: Arc<Shared>,
 }
@@ -41,12 +42,12 @@
 #[derive(Debug, Default)]
 struct Shared {
     links: RwLock<Vec<Arc<RelayLink>>>,
-    /// Every link that was opened under this lease and may not be in use yet.
+    /// The links that were opened under this lease and may not be in use yet.
     pending: PendingLinks,
-    /// Whether orders go out directly for now.
+    /// Whether orders bypass the relays.
     paused: AtomicBool,
     overrides: RouteOverrides,
-    /// How many orders were sent, by whatever way.
+    /// How many orders were sent, directly or over relays.
     orders_sent: AtomicU64,
 }
 
@@ -55,12 +56,11 @@
 pub(super) struct PendingLinks(Arc<Mutex<Vec<Arc<RelayLink>>>>);
 
 impl PendingLinks {
-    /// Adds a link.
     pub(super) fn note(&self, link: &Arc<RelayLink>) {
         self.lock().push(link.clone());
     }
 
-    /// Takes all of them.
+    /// Removes and returns all links.
     pub(super) fn take_all(&self) -> Vec<Arc<RelayLink>> {
         std::mem::take(&mut *self.lock())
     }
@@ -72,15 +72,15 @@
 }
 
 impl<W> RelayedWorkers<W> {
-    /// Makes workers that are reached directly at first.
+    /// Creates workers that are called directly at first.
     pub(in super::super) fn new(direct: W) -> RelayedWorkers<W> {
         RelayedWorkers { direct: Arc::new(direct), shared: Arc::default() }
     }
 
-    /// Sets whether orders go out directly for now.
+    /// Sets whether orders bypass the relays.
     ///
-    /// A holder that can't renew its lease may have been superseded, and so has
-    /// others do nothing for it that they know better by then.
+    /// A holder that can't renew its lease may have been superseded. It then
+    /// stops using relays, which may already serve its successor.
     pub(in super::super) fn set_relaying_paused(&self, paused: bool) {
         self.shared.paused.store(paused, Ordering::Relaxed);
     }
@@ -89,7 +89,7 @@
         self.shared.paused.load(Ordering::Relaxed)
     }
 
-    /// Returns how many relays forward now.
+    /// Returns the number of relays in use.
     pub(in super::super) fn open_relays(&self) -> usize {
         if self.is_paused() {
             return 0;
@@ -97,7 +97,7 @@
         self.links().iter().filter(|link| link.is_open()).count()
     }
 
-    /// Returns how many orders were sent so far.
+    /// Returns how many orders were sent so far, directly or over relays.
     pub(super) fn orders_sent(&self) -> u64 {
         self.shared.orders_sent.load(Ordering::Relaxed)
     }
@@ -114,14 +114,14 @@
         links.unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Has these links forward from now on.
+    /// Replaces the links in use.
     pub(super) fn set_links(&self, links: Vec<Arc<RelayLink>>) {
         // OK after a panic, as above.
         let current = self.shared.links.write();
         *current.unwrap_or_else(PoisonError::into_inner) = links;
     }
 
-    /// Returns the relay that carries a worker's orders, if one does.
+    /// Returns the relay for a worker's orders, if there is one.
     fn route(&self, worker: &WorkerId) -> Option<Arc<RelayLink>> {
         self.shared.orders_sent.fetch_add(1, Ordering::Relaxed);
         let overrides = &self.shared.overrides;
@@ -160,7 +160,7 @@
     match answer {
         Answer::Done(clock_ms) => Ok(clock_ms),
         Answer::Error(error) => Err(error),
-        // A relay that mixes orders up isn't believed.
+        // A relay that answers with the wrong kind counts as without a result.
         Answer::Report(_) => Err(OrderError::Unknown),
     }
 }
@@ -255,7 +255,8 @@
                 Err(error)
             }
             Answer::Error(error) => Err(error),
-            // A relay that mixes orders up isn't believed.
+            // A relay that answers with the wrong kind counts as without a
+            // result.
             Answer::Done(_) => Err(OrderError::Unknown),
         }
     }
