--- a/crates/dewspard/src/jobs/decisions.rs
+++ b/crates/dewspard/src/jobs/decisions.rs
@@ -9,7 +9,7 @@
 };
 
 /// Logs and counts a decision.
-pub(super) fn record(log: &Logger, decision: &Decision) {
+pub(super) fn log_and_count(log: &Logger, decision: &Decision) {
     match decision {
         Decision::Started { task, run, worker, waited_ms, cpu_millis } => {
             info!(log, "task: start ordered"; "job" => %task.job, "task" => %task,
@@ -143,8 +143,8 @@
                 "vms" => vms, "used_cpu" => used_cpu,
                 "forecast_cpu" => forecast_cpu, "waiting_cpu" => waiting_cpu);
         }
-        Decision::WaveProgress { wave, progress: account } => {
-            record_wave(log, *wave, account);
+        Decision::WaveProgress { wave, progress } => {
+            log_wave(log, *wave, progress);
         }
         Decision::WorkerGone { worker, reason } => {
             warn!(log, "worker: gone"; "worker" => %worker,
@@ -172,21 +172,21 @@
 }
 
 /// Logs what keeps the VMs of a wave, and counts those that are late.
-fn record_wave(log: &Logger, wave: u64, account: &WaveProgress) {
-    let WaveProgress { vms, begun, down, room, pace, left, .. } = account;
-    let line = match account.time {
+fn log_wave(log: &Logger, wave: u64, progress: &WaveProgress) {
+    let WaveProgress { vms, begun, down, room, pace, left, .. } = progress;
+    let message = match progress.time {
         WaveDeadline::Ahead => "wave: goes on",
         WaveDeadline::Passed => "wave: its time is over",
         WaveDeadline::LongPassed => "wave: late",
     };
-    info!(log, "{}", line; "wave" => wave, "vms" => vms, "begun" => begun,
+    info!(log, "{}", message; "wave" => wave, "vms" => vms, "begun" => begun,
         "left" => left.total(), "down" => down, "room" => room,
-        "looks" => account.looks, "hindrance" => account.hindrance,
+        "looks" => progress.looks, "hindrance" => progress.hindrance,
         "left_ms" => pace.left_ms,
         "needed_ms" => pace.needed_ms, "parallel" => pace.parallel,
         "under_way" => pace.under_way, "due" => pace.due, "may_wait" => pace.may_wait,
-        "kept_by" => kept_by(left));
-    if account.time != WaveDeadline::Passed {
+        "kept_by" => format_reasons(left));
+    if progress.time != WaveDeadline::Passed {
         return;
     }
     for (reason, vms) in left.by_reason() {
@@ -195,7 +195,7 @@
 }
 
 /// Names what keeps VMs, each with how many.
-fn kept_by(left: &RemainingVms) -> String {
+fn format_reasons(left: &RemainingVms) -> String {
     let kept = left.by_reason();
     let kept = kept.iter().filter(|(_, vms)| *vms > 0);
     let kept: Vec<String> =
