--- a/crates/dewspar/src/schedule/board.rs
+++ b/crates/dewspar/src/schedule/board.rs
@@ -300,7 +300,7 @@
     /// Returns the worker that was told to start a run of which a later holder
     /// must know, empty while none was told; `None` if there is no such run.
     fn told_on_record(&self) -> Option<String> {
-        let wanted = !self.done && self.crashes.have_a_run_on_record();
+        let wanted = !self.done && self.crashes.have_recorded_run();
         let told = || self.on.last().map_or("", WorkerId::as_str);
         wanted.then(|| told().to_owned())
     }
@@ -308,7 +308,7 @@
     /// Returns when the process of that worker was started, in milliseconds of
     /// the Unix epoch, if it says so.
     fn told_process_on_record(&self) -> Option<u64> {
-        let told = !self.done && self.crashes.have_a_run_on_record();
+        let told = !self.done && self.crashes.have_recorded_run();
         let process = self.told_process.born_unix_ms();
         process.filter(|_| told && !self.on.is_empty())
     }
--- a/crates/dewspar/src/schedule/cancelled.rs
+++ b/crates/dewspar/src/schedule/cancelled.rs
@@ -24,13 +24,13 @@
 
 /// How often it is looked whether runs of cancelled jobs are gone, in
 /// milliseconds: each look goes over all runs, and a stop takes up to 900 ms.
-const LOOK_INTERVAL_MS: u64 = 250;
+const CHECK_INTERVAL_MS: u64 = 250;
 
 /// The jobs whose cancelling is on record.
 #[derive(Debug, Default)]
 pub(super) struct Cancelled {
     on_record: BTreeSet<JobId>,
-    looked_ms: u64,
+    checked_ms: u64,
 }
 
 impl Cancelled {
@@ -50,16 +50,16 @@
     ///
     /// One that couldn't be deleted there is told to the next holder, which
     /// takes it again.
-    pub fn take_settled_cancellings(
+    pub fn take_settled_cancellations(
         &mut self,
         now: Now,
         most: usize,
     ) -> Vec<JobId> {
-        let due_ms = self.cancelled.looked_ms + LOOK_INTERVAL_MS;
+        let due_ms = self.cancelled.checked_ms + CHECK_INTERVAL_MS;
         if self.cancelled.on_record.is_empty() || now.steady_ms < due_ms {
             return Vec::new();
         }
-        self.cancelled.looked_ms = now.steady_ms;
+        self.cancelled.checked_ms = now.steady_ms;
         if !self.knows_every_run(now) {
             return Vec::new();
         }
--- a/crates/dewspar/src/schedule/crash_series.rs
+++ b/crates/dewspar/src/schedule/crash_bursts.rs
@@ -42,7 +42,7 @@
 /// For how long a series is on after a task was likely the cause of a crash
 /// twice in a row, in milliseconds: a crash is known after half a second, and
 /// the task's next start may have to wait for some others.
-const SERIES_MS: u64 = 5_000;
+const BURST_MS: u64 = 5_000;
 
 /// How much earlier than the last start before the end of its worker a likely
 /// run was ordered, in milliseconds: an order's way, and how unevenly a worker
@@ -51,47 +51,47 @@
 
 /// Which part of a pool's workers is kept free for single tasks, as a divisor:
 /// the others must carry all that is sound.
-const KEPT_FREE_DIVISOR: usize = 4;
+const RESERVED_DIVISOR: usize = 4;
 
 /// How many workers of a pool are kept free for tasks that are most likely bad.
-const MOST_FOR_BAD: usize = 1;
+const MAX_RESERVED_FOR_BAD: usize = 1;
 
 /// For whom a worker is kept free.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(super) enum KeptFor {
+pub(super) enum ReservedFor {
     /// Any task that is being found out about.
     Tested,
     /// This task.
     Only(TaskId),
 }
 
-impl KeptFor {
+impl ReservedFor {
     /// Returns whether a task may start there.
     pub(super) fn allows(self, task: &TaskId, tested: bool) -> bool {
         match self {
-            KeptFor::Tested => tested,
-            KeptFor::Only(only) => only == *task,
+            ReservedFor::Tested => tested,
+            ReservedFor::Only(only) => only == *task,
         }
     }
 }
 
 /// The series of crashes of each pool.
 #[derive(Debug, Default)]
-pub(super) struct CrashSeries {
+pub(super) struct CrashBursts {
     /// When a task was last likely the cause twice in a row, by its pool.
     last_ms: BTreeMap<String, u64>,
 }
 
-impl CrashSeries {
+impl CrashBursts {
     /// Notes that a task of a pool was likely the cause twice in a row.
     pub(super) fn note(&mut self, pool: &str, now: Now) {
         self.last_ms.insert(pool.to_owned(), now.steady_ms);
     }
 
     /// Returns whether a series is on in a pool.
-    pub(super) fn is_on(&self, pool: &str, now: Now) -> bool {
+    pub(super) fn is_active(&self, pool: &str, now: Now) -> bool {
         let last_ms = self.last_ms.get(pool);
-        last_ms.is_some_and(|at_ms| now.steady_ms < at_ms + SERIES_MS)
+        last_ms.is_some_and(|at_ms| now.steady_ms < at_ms + BURST_MS)
     }
 }
 
@@ -102,7 +102,7 @@
 }
 
 /// A task that waits for a worker that is kept free for it.
-pub(super) struct Guest<'a> {
+pub(super) struct ReservationRequest<'a> {
     pub(super) task: TaskId,
     pub(super) pool: &'a str,
     /// Whether it was likely the cause of a second crash, so that it is most
@@ -111,14 +111,14 @@
 }
 
 /// How many more workers of a pool may be kept free.
-struct Left {
+struct RemainingReservations {
     /// In all.
     any: usize,
     /// For tasks that are most likely bad.
     bad: usize,
 }
 
-impl Left {
+impl RemainingReservations {
     /// Takes a worker for a task; returns whether there was one left.
     fn take(&mut self, is_bad: bool) -> bool {
         if self.any == 0 || (is_bad && self.bad == 0) {
@@ -133,27 +133,29 @@
 impl Scheduler {
     /// Returns the workers of the pools with a series that are kept free, each
     /// for one of the tasks that wait for that.
-    pub(super) fn keep_apart_workers<'a>(
+    pub(super) fn reserve_burst_workers<'a>(
         &'a self,
-        mut guests: Vec<Guest<'a>>,
-        suits: impl Fn(&Guest, &Worker) -> bool,
-    ) -> BTreeMap<WorkerId, KeptFor> {
-        guests.sort_by_key(|guest| guest.is_bad);
+        mut requests: Vec<ReservationRequest<'a>>,
+        suits: impl Fn(&ReservationRequest, &Worker) -> bool,
+    ) -> BTreeMap<WorkerId, ReservedFor> {
+        requests.sort_by_key(|request| request.is_bad);
         let mut kept = BTreeMap::new();
-        let mut left: BTreeMap<&str, Left> = BTreeMap::new();
-        for guest in &guests {
-            let left = left.entry(guest.pool).or_insert_with(|| Left {
-                any: self.most_kept_free(guest.pool),
-                bad: MOST_FOR_BAD,
+        let mut left: BTreeMap<&str, RemainingReservations> = BTreeMap::new();
+        for request in &requests {
+            let left = left.entry(request.pool).or_insert_with(|| {
+                RemainingReservations {
+                    any: self.max_reserved(request.pool),
+                    bad: MAX_RESERVED_FOR_BAD,
+                }
             });
-            if !left.take(guest.is_bad) {
+            if !left.take(request.is_bad) {
                 continue;
             }
-            let wanted = KeptFor::Only(guest.task);
+            let wanted = ReservedFor::Only(request.task);
             let suitable = self.workers.values().filter(|worker| {
-                worker.listing.pool == guest.pool
+                worker.listing.pool == request.pool
                     && !kept.contains_key(worker.id())
-                    && suits(guest, worker)
+                    && suits(request, worker)
             });
             // The one that is kept for it already has fewer unproven runs by
             // now than any other.
@@ -168,10 +170,10 @@
         kept
     }
 
-    fn most_kept_free(&self, pool: &str) -> usize {
+    fn max_reserved(&self, pool: &str) -> usize {
         let usable = self.workers.values().filter(|worker| {
             worker.listing.pool == pool && worker.is_usable()
         });
-        (usable.count() / KEPT_FREE_DIVISOR).max(1)
+        (usable.count() / RESERVED_DIVISOR).max(1)
     }
 }
--- a/crates/dewspar/src/schedule/directory.rs
+++ b/crates/dewspar/src/schedule/directory.rs
@@ -11,7 +11,7 @@
         job::TaskId,
         schedule::{
             Decision, Now, Room, Scheduler, WorkerId, WorkerListing,
-            processes::Succession,
+            processes::IncarnationOrder,
             suspects::LostRuns,
             worker::{Run, Worker},
         },
@@ -54,8 +54,8 @@
             self.entered_by_ms = now.steady_ms + ENTERED_WITHIN_MS;
         }
         self.directory_ms = now.steady_ms;
-        self.unlist_missing(asked_ms, &listings, now);
-        let replaced = self.replaced_by(asked_ms, &listings);
+        self.mark_missing_unlisted(asked_ms, &listings, now);
+        let replaced = self.replaced_workers(asked_ms, &listings);
         for listing in listings {
             self.list_worker_as_of(asked_ms, now, listing);
         }
@@ -63,7 +63,7 @@
         for id in replaced {
             self.worker_gone(&id, "its VM runs a new worker", now);
         }
-        self.forget_void_starts(now);
+        self.drop_expired_in_doubt(now);
     }
 
     /// Takes in one worker's entry in the directory as it is now.
@@ -82,7 +82,7 @@
         listing: WorkerListing,
     ) {
         if !self.workers.contains_key(&listing.id) {
-            if !self.former.is_of_ended(&listing, asked_ms) {
+            if !self.former.is_from_ended(&listing, asked_ms) {
                 let id = listing.id.clone();
                 let mut worker = self.listed_worker(listing, now);
                 worker.reported_at_ms = asked_ms;
@@ -91,13 +91,13 @@
             return;
         }
         let told = listing.incarnation;
-        match self.judge_process(&listing.id, told, "the directory") {
-            Succession::Same => {}
-            Succession::Newer => {
-                self.go_on_with_next(listing, asked_ms, now);
+        match self.check_incarnation(&listing.id, told, "the directory") {
+            IncarnationOrder::Same => {}
+            IncarnationOrder::Newer => {
+                self.replace_process(listing, asked_ms, now);
                 return;
             }
-            Succession::Former => return,
+            IncarnationOrder::Older => return,
         }
         let worker = self.workers.get(&listing.id);
         // A worker that drains since would be given work again.
@@ -113,7 +113,7 @@
     /// Returns lives that the list of VMs shows and whose entries in the
     /// directory aren't known, so that they needn't wait until it is read as
     /// a whole: a VM on which a new worker has begun is wanted at once.
-    pub fn unlisted_lives(&self) -> Vec<WorkerId> {
+    pub fn unlisted_workers(&self) -> Vec<WorkerId> {
         if self.directory_ms == 0 {
             return Vec::new();
         }
@@ -130,7 +130,7 @@
 
     /// Notes which workers the directory no longer lists, unless it couldn't
     /// be read for a while and workers are still entering themselves again.
-    fn unlist_missing(
+    fn mark_missing_unlisted(
         &mut self,
         asked_ms: u64,
         listings: &[WorkerListing],
@@ -159,7 +159,7 @@
     /// Returns the workers on whose VMs the directory lists another life,
     /// and not them. One that was looked up since the directory was asked for
     /// isn't among these: there its VM's former worker may still be listed.
-    fn replaced_by(
+    fn replaced_workers(
         &self,
         asked_ms: u64,
         listings: &[WorkerListing],
@@ -169,7 +169,7 @@
         let vms: BTreeSet<&str> = listings
             .iter()
             .filter(|listing| !listing.vm.is_empty())
-            .filter(|listing| !self.former.is_of_ended(listing, asked_ms))
+            .filter(|listing| !self.former.is_from_ended(listing, asked_ms))
             .map(|listing| listing.vm.as_str())
             .collect();
         self.workers
@@ -224,25 +224,20 @@
     }
 
     /// Returns whether the VM service should be asked which workers live.
-    pub fn wants_lives(&self) -> bool {
+    pub fn needs_live_workers(&self) -> bool {
         !self.lives_known
     }
 
     /// Makes a worker that is listed and wasn't known, or no longer.
     fn listed_worker(&mut self, listing: WorkerListing, now: Now) -> Worker {
         // A partition may last longer than a lease; the process goes on.
-        let Some(tokens_used) = self.former.take_tokens(&listing.id) else {
+        let Some(tokens_used) = self.former.take_tokens_used(&listing.id)
+        else {
             return self.new_worker(listing, now);
         };
         let revision = self.lease_revision;
         let now_ms = now.steady_ms;
-        Worker::listed_again(
-            listing,
-            revision,
-            tokens_used,
-            now_ms,
-            &self.options,
-        )
+        Worker::relisted(listing, revision, tokens_used, now_ms, &self.options)
     }
 
     fn new_worker(&self, listing: WorkerListing, now: Now) -> Worker {
@@ -301,7 +296,7 @@
 
     /// Drops workers whose lease is over for certain, and those that left
     /// the directory with nothing on them.
-    pub(super) fn drop_lapsed(&mut self, now: Now) {
+    pub(super) fn drop_lapsed_workers(&mut self, now: Now) {
         let mut gone = Vec::new();
         for number in self.due_workers(now) {
             let Some(worker) = self.workers.at(number) else { continue };
@@ -319,7 +314,7 @@
             let Some(worker) = self.workers.at(number) else { continue };
             let id = worker.id().clone();
             self.worker_gone(&id, reason, now);
-            self.former.may_be_back(&id);
+            self.former.mark_lapsed(&id);
         }
     }
 }
--- a/crates/dewspar/src/schedule/duty.rs
+++ b/crates/dewspar/src/schedule/duty.rs
@@ -140,7 +140,7 @@
         if hindrance.is_some() {
             // What leaves workers that are about to end needs no order to the
             // VM service.
-            if self.knows_what_runs() && !self.may_be_superseded() {
+            if self.knows_all_runs() && !self.may_be_superseded() {
                 self.empty_workers(now);
             }
             return orders;
@@ -169,7 +169,7 @@
         if now.steady_ms > newest {
             return Some("the list of VMs is outdated");
         }
-        if !self.knows_what_runs() {
+        if !self.knows_all_runs() {
             return Some("what runs isn't known");
         }
         None
--- a/crates/dewspar/src/schedule/report.rs
+++ b/crates/dewspar/src/schedule/hold_answers.rs
@@ -9,9 +9,9 @@
             ActiveRun, Decision, EndCause, EndedRun, Held, HoldReport,
             Incarnation, Now, OrderError, Refusal, Room, Scheduler, WorkerId,
             WorkerListing,
-            answers::call_end,
             board::{Job, demand},
-            processes::Succession,
+            order_answers::call_end,
+            processes::IncarnationOrder,
             worker::{OwedHold, Run, RunState},
         },
     },
@@ -54,13 +54,13 @@
     ) {
         self.hold_ended(held, None, now);
         let told = report.incarnation;
-        match self.judge_process(worker_id, told, "an answer") {
-            Succession::Same => {}
-            Succession::Newer => {
+        match self.check_incarnation(worker_id, told, "an answer") {
+            IncarnationOrder::Same => {}
+            IncarnationOrder::Newer => {
                 self.next_process_answered(worker_id, told, now);
                 return;
             }
-            Succession::Former => {
+            IncarnationOrder::Older => {
                 self.former_process_answered(worker_id, held, now);
                 return;
             }
@@ -108,7 +108,7 @@
                 self.run_active(worker_id, active, now);
             }
             if !report.is_partial {
-                self.drop_missing(worker_id, held, report, now);
+                self.drop_missing_runs(worker_id, held, report, now);
             }
         }
         let synced = self.workers.get(worker_id).is_some_and(|w| w.synced);
@@ -133,7 +133,7 @@
     ) {
         let Some(worker) = self.workers.get(worker_id) else { return };
         let listing = WorkerListing { incarnation, ..worker.listing.clone() };
-        self.go_on_with_next(listing, 0, now);
+        self.replace_process(listing, 0, now);
     }
 
     /// Passes an answer over that a worker's known process hasn't given.
@@ -221,7 +221,7 @@
         });
         let Some(failures) = failures else {
             // Of a job that is over and stored there is nothing more to store.
-            let sequence = self.set_end_aside(worker_id, end);
+            let sequence = self.quarantine_end(worker_id, end);
             self.acknowledge(worker_id, end, sequence, now);
             return;
         };
@@ -239,7 +239,7 @@
             | EndCause::GangIncomplete => {
                 // Its worker has survived it; another run may be under way.
                 if here {
-                    self.note_suspect_over(&task);
+                    self.note_suspect_ended(&task);
                 }
             }
         }
@@ -259,11 +259,11 @@
         sequence: u64,
         now: Now,
     ) {
-        let (jobs, set_aside) = (&self.jobs, &self.set_aside);
+        let (jobs, quarantine) = (&self.jobs, &self.quarantine);
         if let Some(worker) = self.workers.get_mut(worker_id) {
             worker.end_changes(end.number, end.task.job, sequence);
             worker.store_ends(now.steady_ms, |job, sequence| {
-                set_aside.is_stored(jobs, job, sequence)
+                quarantine.is_stored(jobs, job, sequence)
             });
         }
     }
@@ -371,7 +371,7 @@
     ) {
         self.note_progress(active);
         self.note_begun(active.task.job, now);
-        let found = self.judge(worker_id, active);
+        let found = self.classify_run(worker_id, active);
         // A former holder may have slowed it down: it is let go step by step.
         let spec = self.step_spec(&active.task);
         let best_effort = spec.is_some_and(|spec| spec.best_effort);
@@ -402,7 +402,7 @@
         };
         match found {
             Found::Expected => {
-                // OK because `judge` has just found it.
+                // OK because `classify_run` has just found it.
                 let run = worker.runs.get_mut(&active.task).expect("known");
                 let was_starting = run.state == RunState::Starting;
                 run.update(active, now.steady_ms);
@@ -456,7 +456,7 @@
         }
     }
 
-    fn judge(&self, worker_id: &WorkerId, active: &ActiveRun) -> Found {
+    fn classify_run(&self, worker_id: &WorkerId, active: &ActiveRun) -> Found {
         let worker = self.workers.get(worker_id);
         let here = worker.and_then(|w| w.runs.get(&active.task));
         if here.is_some_and(|run| run.run == active.run) {
@@ -495,7 +495,7 @@
     }
 
     /// Drops the runs that a worker doesn't list though it would have to.
-    fn drop_missing(
+    fn drop_missing_runs(
         &mut self,
         worker_id: &WorkerId,
         held: &Held,
@@ -536,7 +536,7 @@
                 missing;
             // It may have ended the process that it was ordered of.
             if !begun && !is_outlived {
-                self.note_suspect_over(&task);
+                self.note_suspect_ended(&task);
             }
             if !begun {
                 self.note_in_doubt(&task, worker_id, run, missing.ordered_ms);
--- a/crates/dewspar/src/schedule/in_doubt.rs
+++ b/crates/dewspar/src/schedule/in_doubt.rs
@@ -46,7 +46,7 @@
 
 /// For how long an order without an answer may still be carried out, in
 /// milliseconds.
-const MAY_ARRIVE_MS: u64 = 12_000;
+const MAX_DELIVERY_MS: u64 = 12_000;
 
 /// The number of a run that a former holder has on record as ordered.
 const UNKNOWN_RUN: u64 = 0;
@@ -67,7 +67,7 @@
     /// Returns whether it may still be carried out.
     fn may_arrive(&self, now: Now, taken_over_ms: u64) -> bool {
         let from_ms = self.ordered_ms.unwrap_or(taken_over_ms);
-        now.steady_ms < from_ms + MAY_ARRIVE_MS
+        now.steady_ms < from_ms + MAX_DELIVERY_MS
     }
 }
 
@@ -164,7 +164,7 @@
     }
 
     fn add_in_doubt(&mut self, task: &TaskId, start: InDoubt) {
-        let Some(state) = self.task_to_protect(task) else { return };
+        let Some(state) = self.at_most_once_task(task) else { return };
         if state.in_doubt.has(&start.worker, start.run) {
             return;
         }
@@ -172,18 +172,18 @@
         state.in_doubt.0.push(start);
         self.tasks_in_doubt.insert(*task);
         self.mark_changed(task.job);
-        let for_ms = MAY_ARRIVE_MS;
+        let for_ms = MAX_DELIVERY_MS;
         self.note(Decision::InDoubt { task: *task, worker, for_ms });
     }
 
     /// Notes that a former holder has a start on record as ordered.
-    pub(super) fn note_told_in_doubt(
+    pub(super) fn note_recorded_in_doubt(
         &mut self,
         task: &TaskId,
         worker_id: &WorkerId,
         vm: &str,
     ) {
-        let Some(state) = self.task_to_protect(task) else { return };
+        let Some(state) = self.at_most_once_task(task) else { return };
         let (worker, vm) = (worker_id.clone(), vm.to_owned());
         let start = InDoubt { worker, vm, run: UNKNOWN_RUN, ordered_ms: None };
         state.in_doubt.0.push(start);
@@ -191,7 +191,7 @@
     }
 
     /// Returns a task that is still to be done and must not run twice at once.
-    fn task_to_protect(&mut self, task: &TaskId) -> Option<&mut Task> {
+    fn at_most_once_task(&mut self, task: &TaskId) -> Option<&mut Task> {
         let job = self.jobs.get_mut(&task.job)?;
         let copies = job.step_spec(task)?.may_duplicate;
         if copies || job.phase.is_final() {
@@ -243,7 +243,7 @@
 
     /// Forgets the starts in doubt that can't be carried out any more: their
     /// time is over, or their VM runs a worker of another name.
-    pub(super) fn forget_void_starts(&mut self, now: Now) {
+    pub(super) fn drop_expired_in_doubt(&mut self, now: Now) {
         let tasks = std::mem::take(&mut self.tasks_in_doubt);
         for task in tasks {
             let state = self.jobs.get(&task.job).and_then(|j| j.task(&task));
--- a/crates/dewspar/src/schedule/loading.rs
+++ b/crates/dewspar/src/schedule/loading.rs
@@ -72,7 +72,7 @@
 
     /// Notes that every job of former holders was submitted.
     pub fn finish_loading(&mut self, now: Now) {
-        self.cancel_loaded(now);
+        self.apply_deferred_cancellations(now);
         self.loading = Loading::Done;
         for worker in self.workers.values_mut() {
             if worker.has_unknown_runs() {
@@ -84,7 +84,7 @@
     /// Returns whether all jobs are loaded and every worker that answers has
     /// named its runs since. Before that a worker with lasting tasks may look
     /// empty, and its VM as one that may go.
-    pub(super) fn knows_what_runs(&self) -> bool {
+    pub(super) fn knows_all_runs(&self) -> bool {
         let unknown = self.workers.values().any(|worker| {
             worker.has_unknown_runs() && worker.silent_since_ms.is_none()
         });
@@ -93,7 +93,7 @@
 
     /// Keeps a cancellation for when its job is known; returns whether it has
     /// to be.
-    pub(super) fn keep_cancellation(&mut self, id: JobId) -> bool {
+    pub(super) fn defer_cancellation(&mut self, id: JobId) -> bool {
         if !self.is_unknown(id) {
             return false;
         }
@@ -104,7 +104,7 @@
     }
 
     /// Cancels jobs that are known by now and were cancelled before.
-    pub(super) fn cancel_loaded(&mut self, now: Now) {
+    pub(super) fn apply_deferred_cancellations(&mut self, now: Now) {
         let Loading::UnderWay { cancelled } = &mut self.loading else {
             return;
         };
--- a/crates/dewspar/src/schedule/mod.rs
+++ b/crates/dewspar/src/schedule/mod.rs
@@ -106,8 +106,8 @@
     policy::{
         Forecast, InvalidPolicy, Orders, Placing, Policy, Sizing, Watching,
     },
+    quarantine::{QuarantinedEnd, QuarantinedEnds},
     scheduler::Scheduler,
-    set_aside::{EndSetAside, EndsSetAside},
     start_log::{LoggedStart, StartLog},
     storing::Changes,
     vm::{ManagedVm, VmLife, VmOrder, VmOrderError, WaveRecord, WaveRequest},
@@ -121,15 +121,15 @@
 };
 
 mod advice;
-mod answers;
 mod board;
 mod cancelled;
 mod claims;
-mod crash_series;
+mod crash_bursts;
 mod directory;
 mod duty;
 mod forecast;
 mod full_pools;
+mod hold_answers;
 mod in_doubt;
 mod jobs;
 mod lasting;
@@ -137,25 +137,25 @@
 mod maintenance;
 mod options;
 mod order;
+mod order_answers;
 mod pacing;
 mod place;
 mod places;
 mod policy;
 mod processes;
 mod projection;
+mod quarantine;
 mod questions;
-mod records;
-mod report;
+mod record_merge;
 mod scheduler;
-mod set_aside;
 mod sizing;
 mod start_log;
-mod steadiness;
 mod stopping;
 mod storing;
 mod suspects;
 mod unseen_starts;
 mod vm;
+mod vm_stability;
 mod waits;
 mod wave_account;
 mod wave_choice;
--- a/crates/dewspar/src/schedule/answers.rs
+++ b/crates/dewspar/src/schedule/order_answers.rs
@@ -25,7 +25,7 @@
             worker.runs.get(task).filter(|known| known.run == run)
         });
         let sent_ms = known.map_or(0, |run| run.since_ms);
-        let end = start_ended(known, &result, now);
+        let end = start_call_end(known, &result, now);
         self.window.ended(end);
         self.order_ended(sent_ms, end, now);
         let Some(worker) = self.workers.get_mut(worker_id) else { return };
@@ -122,7 +122,7 @@
         run: u64,
         worker: &WorkerId,
     ) {
-        self.note_suspect_over(task);
+        self.note_suspect_ended(task);
         self.note(Decision::Lost {
             task: *task,
             run,
@@ -144,7 +144,7 @@
         match refusal {
             Refusal::Fenced if under_current_fence => {
                 self.later_token_seen(worker_id, now);
-                self.look_again(worker_id, now);
+                self.query_under_new_token(worker_id, now);
             }
             Refusal::OtherLife => {
                 self.worker_gone(worker_id, "another life answers", now);
@@ -184,7 +184,7 @@
         now: Now,
     ) {
         let Err(error) = result else {
-            self.stop_taken(worker_id, task);
+            self.note_stop_accepted(worker_id, task);
             return;
         };
         self.note(Decision::OrderFailed {
@@ -201,7 +201,7 @@
             OrderError::Refused(Refusal::Fenced) => {
                 let worker = self.workers.get(worker_id);
                 if worker.is_some_and(|worker| worker.synced) {
-                    self.look_again(worker_id, now);
+                    self.query_under_new_token(worker_id, now);
                 }
             }
             // It is sent again until the end is listed.
@@ -219,7 +219,7 @@
     }
 
     /// Asks a worker under a new token, which shows who holds the lease.
-    fn look_again(&mut self, worker_id: &WorkerId, now: Now) {
+    fn query_under_new_token(&mut self, worker_id: &WorkerId, now: Now) {
         if let Some(worker) = self.workers.get_mut(worker_id) {
             worker.raise_fence(now.steady_ms);
         }
@@ -227,7 +227,7 @@
 }
 
 /// Returns what the end of an order to start says of this node.
-fn start_ended(
+fn start_call_end(
     known: Option<&Run>,
     result: &Result<u64, OrderError>,
     now: Now,
--- a/crates/dewspar/src/schedule/place.rs
+++ b/crates/dewspar/src/schedule/place.rs
@@ -16,7 +16,7 @@
             Action, Decision, Now, Placing, Scheduler, StartOrder, WorkerId,
             board::{Job, demand},
             full_pools::{FullPools, UnaskedPools},
-            suspects::Company,
+            suspects::Colocation,
             worker::{Run, Worker},
             workers::WorkerNumber,
             write_ahead::PlacedStart,
@@ -354,12 +354,12 @@
         let guarded = job
             .is_none_or(|job| !self.unguarded_pools.contains(&job.terms.pool));
         let known = state.zip(job);
-        let company = known.map(|(state, job)| {
-            self.company(spec, state, &job.terms.pool, now)
+        let colocation = known.map(|(state, job)| {
+            self.colocation(spec, state, &job.terms.pool, now)
         });
-        let tested = company.is_some_and(Company::is_for_tested);
-        let steadiness = known.map(|(state, job)| {
-            self.steadiness_wanted(spec, state, &job.terms.pool, now)
+        let tested = colocation.is_some_and(Colocation::is_for_tested);
+        let vm_stability = known.map(|(state, job)| {
+            self.required_stability(spec, state, &job.terms.pool, now)
         });
         let may_go_back =
             spec.long_running || self.may_go_back(spec, task, now);
@@ -378,9 +378,11 @@
                 && (guarded || worker.has_sure_room(now.steady_ms, TOLD_MS))
                 && !worker.runs.contains_key(task)
                 && state.in_doubt.allow(worker.id(), now, self.taken_over_ms)
-                && company.is_none_or(|company| company.allows(worker))
-                && !self.is_kept_from(worker, task, tested, now)
-                && steadiness.is_none_or(|s| self.is_as_steady(worker, s, now))
+                && colocation
+                    .is_none_or(|colocation| colocation.allows(worker))
+                && !self.is_reserved_for_others(worker, task, tested, now)
+                && vm_stability
+                    .is_none_or(|s| self.is_stable_enough(worker, s, now))
                 && (may_go_back || !state.avoid.contains(worker.id()))
                 && has_label(worker, &spec.required_label)
                 && apart()
@@ -430,9 +432,9 @@
         now: Now,
     ) -> Option<&Worker> {
         let state = self.jobs.get(&task.job)?.task(task)?;
-        let apart = self.is_kept_apart(spec, state);
+        let apart = self.is_isolated(spec, state);
         let score = |worker: &Worker| match apart {
-            true => self.score_apart(worker, spec),
+            true => self.isolation_score(worker, spec),
             false => self.score_for(worker, spec),
         };
         let kept = self.places.place_of(task);
@@ -572,7 +574,7 @@
         state.run = run;
         state.on.push(worker_id.clone());
         state.told_process = process;
-        let recorded_first = state.crashes.is_start_recorded_first();
+        let recorded_first = state.crashes.must_record_start_first();
         let start = PlacedStart { worker: worker_id, run, ticket };
         if recorded_first {
             self.withhold(task, start, now);
--- a/crates/dewspar/src/schedule/processes.rs
+++ b/crates/dewspar/src/schedule/processes.rs
@@ -49,30 +49,33 @@
 
 /// How a process that tells of itself stands to the known one of its worker.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(super) enum Succession {
+pub(super) enum IncarnationOrder {
     /// It is the known one.
     Same,
     /// It has taken the known one's place.
     Newer,
     /// The known one has taken its place.
-    Former,
+    Older,
 }
 
-impl Succession {
-    pub(super) fn of(told: Incarnation, known: Incarnation) -> Succession {
+impl IncarnationOrder {
+    pub(super) fn compare(
+        told: Incarnation,
+        known: Incarnation,
+    ) -> IncarnationOrder {
         if told == known || known == Incarnation::UNKNOWN {
-            Succession::Same
+            IncarnationOrder::Same
         } else if told > known {
-            Succession::Newer
+            IncarnationOrder::Newer
         } else {
-            Succession::Former
+            IncarnationOrder::Older
         }
     }
 }
 
 /// How a process came to be a former one.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Over {
+enum ProcessEnd {
     /// It has ended.
     Ended,
     /// It was silent until its lease was over, or until it had left the
@@ -85,8 +88,8 @@
 struct FormerProcess {
     incarnation: Incarnation,
     tokens_used: TokensUsed,
-    over: Over,
-    over_ms: u64,
+    end: ProcessEnd,
+    ended_ms: u64,
 }
 
 /// The workers that aren't used any more, each with its last process.
@@ -99,48 +102,52 @@
         let former = FormerProcess {
             incarnation: worker.listing.incarnation,
             tokens_used: worker.tokens_used(),
-            over: Over::Ended,
-            over_ms: now.steady_ms,
+            end: ProcessEnd::Ended,
+            ended_ms: now.steady_ms,
         };
         self.0.insert(worker.id().clone(), former);
     }
 
     /// Notes that a worker's process may be back, of which it was noted that it
     /// had ended.
-    pub(super) fn may_be_back(&mut self, id: &WorkerId) {
+    pub(super) fn mark_lapsed(&mut self, id: &WorkerId) {
         if let Some(former) = self.0.get_mut(id) {
-            former.over = Over::Lapsed;
+            former.end = ProcessEnd::Lapsed;
         }
     }
 
     /// Returns whether a worker's last process is known to have ended.
     pub(super) fn has_ended(&self, id: &WorkerId) -> bool {
-        self.0.get(id).is_some_and(|former| former.over == Over::Ended)
+        self.0.get(id).is_some_and(|former| former.end == ProcessEnd::Ended)
     }
 
     /// Returns whether a worker's last process had ended before this time of the
     /// steady clock, in milliseconds.
     pub(super) fn had_ended(&self, id: &WorkerId, by_ms: u64) -> bool {
         let former = self.0.get(id);
-        former.is_some_and(|f| f.over == Over::Ended && f.over_ms < by_ms)
+        former
+            .is_some_and(|f| f.end == ProcessEnd::Ended && f.ended_ms < by_ms)
     }
 
     /// Returns whether an entry that was asked for at this time, in
     /// milliseconds, is that of a process that has ended.
-    pub(super) fn is_of_ended(
+    pub(super) fn is_from_ended(
         &self,
         listing: &WorkerListing,
         asked_ms: u64,
     ) -> bool {
         let Some(former) = self.0.get(&listing.id) else { return false };
-        let lingers = asked_ms < former.over_ms + ENTRY_LINGERS_MS;
-        former.over == Over::Ended
+        let lingers = asked_ms < former.ended_ms + ENTRY_LINGERS_MS;
+        former.end == ProcessEnd::Ended
             && listing.incarnation <= former.incarnation
             && (lingers || listing.incarnation == Incarnation::UNKNOWN)
     }
 
     /// Takes the tokens out that were used up on a worker.
-    pub(super) fn take_tokens(&mut self, id: &WorkerId) -> Option<TokensUsed> {
+    pub(super) fn take_tokens_used(
+        &mut self,
+        id: &WorkerId,
+    ) -> Option<TokensUsed> {
         self.0.remove(id).map(|former| former.tokens_used)
     }
 }
@@ -148,18 +155,18 @@
 impl Scheduler {
     /// Judges which process of a worker tells of itself, and notes it if that
     /// isn't the known one.
-    pub(super) fn judge_process(
+    pub(super) fn check_incarnation(
         &mut self,
         id: &WorkerId,
         told: Incarnation,
         source: &'static str,
-    ) -> Succession {
+    ) -> IncarnationOrder {
         let Some(worker) = self.workers.get(id) else {
-            return Succession::Same;
+            return IncarnationOrder::Same;
         };
         let known = worker.listing.incarnation;
-        let judged = Succession::of(told, known);
-        if judged != Succession::Same {
+        let judged = IncarnationOrder::compare(told, known);
+        if judged != IncarnationOrder::Same {
             let worker = id.clone();
             self.note(Decision::OtherProcess { worker, known, told, source });
         }
@@ -169,7 +176,7 @@
     /// Goes on with the next process of a worker, as of the time at which it was
     /// known what that says of itself, in milliseconds of the steady clock; 0
     /// for not yet.
-    pub(super) fn go_on_with_next(
+    pub(super) fn replace_process(
         &mut self,
         listing: WorkerListing,
         reported_at_ms: u64,
@@ -182,13 +189,13 @@
         let answered_ms = former.answered_worker_ms();
         let had_lapsed = former.is_lapsed();
         let ended = former.take_listed_runs();
-        let mut next = former.followed_by(listing, now, &self.options);
+        let mut next = former.next_process(listing, now, &self.options);
         next.reported_at_ms = reported_at_ms;
         next.listed |= reported_at_ms > 0;
         let outlived: Vec<TaskId> = next.runs.keys().copied().collect();
         self.workers.insert(id.clone(), next);
         for task in &outlived {
-            self.note_told_next(task, &id);
+            self.update_recorded_process(task, &id);
         }
         self.claims.forget(&id);
         self.forget_tickets(&id);
@@ -202,7 +209,7 @@
     /// Notes that a worker's next process is now the one that may carry out the
     /// order to start a task: the end of the one before is known, and must not be
     /// found anew by the next holder.
-    fn note_told_next(&mut self, task: &TaskId, id: &WorkerId) {
+    fn update_recorded_process(&mut self, task: &TaskId, id: &WorkerId) {
         let Some(worker) = self.workers.get(id) else { return };
         let process = worker.listing.incarnation;
         let job = self.jobs.get_mut(&task.job);
--- a/crates/dewspar/src/schedule/set_aside.rs
+++ b/crates/dewspar/src/schedule/quarantine.rs
@@ -12,7 +12,7 @@
 
 ```
 use dewspar::schedule::{
-    AcceptedJob, EndCause, EndSetAside, EndedRun, Now, Options, Scheduler,
+    AcceptedJob, EndCause, QuarantinedEnd, EndedRun, Now, Options, Scheduler,
 };
 
 let now = Now { steady_ms: 1_000, unix_ms: 0 };
@@ -25,9 +25,9 @@
     cause: EndCause::Done,
     checkpoint: String::new(),
 };
-let aside = EndSetAside { worker: "worker-1".to_owned(), end };
+let aside = QuarantinedEnd { worker: "worker-1".to_owned(), end };
 // Of an unknown job there is nothing to take in.
-scheduler.take_in_end(&aside, now);
+scheduler.apply_quarantined_end(&aside, now);
 assert_eq!(scheduler.phase(task.job), None);
 # Ok::<(), dewspar::job::InvalidId>(())
 ```
@@ -37,8 +37,8 @@
     crate::{
         job::{JobId, TaskId},
         schedule::{
-            EndCause, EndedRun, Now, Scheduler, WorkerId, jobs::Jobs,
-            report::note_end,
+            EndCause, EndedRun, Now, Scheduler, WorkerId,
+            hold_answers::note_end, jobs::Jobs,
         },
     },
     serde::{Deserialize, Serialize},
@@ -47,7 +47,7 @@
 
 /// An end of a run whose job can't be read.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct EndSetAside {
+pub struct QuarantinedEnd {
     /// The worker's life that listed it.
     pub worker: String,
     /// The end.
@@ -56,11 +56,11 @@
 
 /// Ends to be stored by themselves.
 #[derive(Clone, Debug, Default)]
-pub struct EndsSetAside(BTreeMap<u64, EndSetAside>);
+pub struct QuarantinedEnds(BTreeMap<u64, QuarantinedEnd>);
 
-impl EndsSetAside {
+impl QuarantinedEnds {
     /// Returns the ends.
-    pub fn ends(&self) -> impl Iterator<Item = &EndSetAside> {
+    pub fn ends(&self) -> impl Iterator<Item = &QuarantinedEnd> {
         self.0.values()
     }
 
@@ -72,15 +72,15 @@
 
 /// The jobs that can't be read, and the ends of their runs.
 #[derive(Debug, Default)]
-pub(super) struct SetAside {
+pub(super) struct Quarantine {
     jobs: BTreeSet<JobId>,
     /// The ends that aren't in the store, by the number of their change.
-    unstored: BTreeMap<u64, EndSetAside>,
+    unstored: BTreeMap<u64, QuarantinedEnd>,
     /// The changes that are being stored.
     storing: BTreeSet<u64>,
 }
 
-impl SetAside {
+impl Quarantine {
     /// Returns whether an end's change is in the store.
     pub(super) fn is_stored(
         &self,
@@ -97,8 +97,8 @@
 impl Scheduler {
     /// Runs nothing more of a job of which nobody knows what was done, and
     /// stores nothing of it but the ends of its runs, set aside.
-    pub fn leave_alone(&mut self, id: JobId) {
-        self.set_aside.jobs.insert(id);
+    pub fn quarantine_job(&mut self, id: JobId) {
+        self.quarantine.jobs.insert(id);
         let Some(job) = self.jobs.get(&id) else { return };
         let placed: Vec<(TaskId, WorkerId)> = job
             .placed(id)
@@ -120,56 +120,60 @@
 
     /// Sets an end aside if its job can't be read; returns the number of the
     /// change, 0 for none.
-    pub(super) fn set_end_aside(
+    pub(super) fn quarantine_end(
         &mut self,
         worker_id: &WorkerId,
         end: &EndedRun,
     ) -> u64 {
-        if !self.set_aside.jobs.contains(&end.task.job) {
+        if !self.quarantine.jobs.contains(&end.task.job) {
             return 0;
         }
         self.sequence += 1;
         let worker = worker_id.to_string();
-        let aside = EndSetAside { worker, end: end.clone() };
-        self.set_aside.unstored.insert(self.sequence, aside);
+        let aside = QuarantinedEnd { worker, end: end.clone() };
+        self.quarantine.unstored.insert(self.sequence, aside);
         self.sequence
     }
 
     /// Takes ends that are to be stored by themselves, at most so many.
     ///
-    /// Call [`Scheduler::ends_stored`] or [`Scheduler::ends_not_stored`] once
+    /// Call [`Scheduler::quarantined_ends_stored`] or [`Scheduler::quarantined_ends_failed`] once
     /// the outcome is known.
-    pub fn take_ends_set_aside(&mut self, most: usize) -> EndsSetAside {
-        let SetAside { unstored, storing, .. } = &mut self.set_aside;
+    pub fn take_quarantined_ends(&mut self, most: usize) -> QuarantinedEnds {
+        let Quarantine { unstored, storing, .. } = &mut self.quarantine;
         let waiting = unstored.iter().filter(|(n, _)| !storing.contains(n));
-        let taken: BTreeMap<u64, EndSetAside> = waiting
+        let taken: BTreeMap<u64, QuarantinedEnd> = waiting
             .take(most)
             .map(|(number, end)| (*number, end.clone()))
             .collect();
         storing.extend(taken.keys());
-        EndsSetAside(taken)
+        QuarantinedEnds(taken)
     }
 
     /// Notes that ends are in the store, so that they may be acknowledged.
-    pub fn ends_stored(&mut self, ends: &EndsSetAside, now: Now) {
+    pub fn quarantined_ends_stored(
+        &mut self,
+        ends: &QuarantinedEnds,
+        now: Now,
+    ) {
         for number in ends.0.keys() {
-            self.set_aside.unstored.remove(number);
-            self.set_aside.storing.remove(number);
+            self.quarantine.unstored.remove(number);
+            self.quarantine.storing.remove(number);
         }
         self.store_ends(now);
     }
 
     /// Puts ends back that couldn't be stored.
-    pub fn ends_not_stored(&mut self, ends: &EndsSetAside) {
+    pub fn quarantined_ends_failed(&mut self, ends: &QuarantinedEnds) {
         for number in ends.0.keys() {
-            self.set_aside.storing.remove(number);
+            self.quarantine.storing.remove(number);
         }
     }
 
     /// Takes in an end that was set aside, if its job is known; taking it in
     /// twice changes nothing more.
-    pub fn take_in_end(&mut self, aside: &EndSetAside, now: Now) {
-        let EndSetAside { worker, end } = aside;
+    pub fn apply_quarantined_end(&mut self, aside: &QuarantinedEnd, now: Now) {
+        let QuarantinedEnd { worker, end } = aside;
         let (worker, task) = (WorkerId::new(worker), &end.task);
         let Some(job) = self.jobs.get_mut(&task.job) else { return };
         if job.phase.is_final() {
--- a/crates/dewspar/src/schedule/records.rs
+++ b/crates/dewspar/src/schedule/record_merge.rs
@@ -38,13 +38,13 @@
     /// let record =
     ///     Progress { phase: Phase::Completed, ..Progress::default() };
     /// let now = Now { steady_ms: 1_000, unix_ms: 0 };
-    /// scheduler.go_on_from(id, &record, now);
+    /// scheduler.merge_record(id, &record, now);
     /// assert_eq!(scheduler.phase(id), Some(Phase::Completed));
     /// # Ok::<(), dewspar::job::InvalidId>(())
     /// ```
-    pub fn go_on_from(&mut self, id: JobId, record: &Progress, now: Now) {
+    pub fn merge_record(&mut self, id: JobId, record: &Progress, now: Now) {
         if record.phase.is_final() {
-            self.end_as_on_record(id, record, now);
+            self.adopt_recorded_end(id, record, now);
             return;
         }
         let Some(job) = self.jobs.get_mut(&id) else { return };
@@ -55,11 +55,11 @@
             job.phase = Phase::Running;
         }
         job.other.add(&record.other);
-        let mut useless = Vec::new();
+        let mut obsolete = Vec::new();
         for task in &record.tasks {
-            useless.extend(add_record(job, id, task));
+            obsolete.extend(add_record(job, id, task));
         }
-        for (task, worker) in useless {
+        for (task, worker) in obsolete {
             self.stop_run(&task, &worker, "done on record");
         }
         self.note_loaded_in_doubt(id);
@@ -78,7 +78,7 @@
 
     /// Ends a job as its record says, which counts more than how it ended
     /// here: callers may have been told.
-    fn end_as_on_record(&mut self, id: JobId, record: &Progress, now: Now) {
+    fn adopt_recorded_end(&mut self, id: JobId, record: &Progress, now: Now) {
         self.finish(id, record.phase, now);
         let Some(job) = self.jobs.get_mut(&id) else { return };
         job.phase = record.phase;
@@ -110,10 +110,10 @@
         return Vec::new();
     }
     task.done = true;
-    let useless = task.on.iter().map(|on| (task_id, on.clone())).collect();
+    let obsolete = task.on.iter().map(|on| (task_id, on.clone())).collect();
     step.done += 1;
     step.waiting.remove(&record.index);
-    useless
+    obsolete
 }
 
 impl Task {
--- a/crates/dewspar/src/schedule/scheduler.rs
+++ b/crates/dewspar/src/schedule/scheduler.rs
@@ -10,7 +10,7 @@
             board::Job,
             cancelled::Cancelled,
             claims::Claims,
-            crash_series::{CrashSeries, KeptFor},
+            crash_bursts::{CrashBursts, ReservedFor},
             duty::InheritedOrder,
             forecast::Arrivals,
             jobs::Jobs,
@@ -19,12 +19,12 @@
             place::Candidates,
             places::KeptPlaces,
             processes::FormerProcesses,
+            quarantine::Quarantine,
             questions::Questions,
-            set_aside::SetAside,
             sizing::{Moving, PoolLoad},
             start_log::StartLogs,
-            steadiness::VmCrashes,
-            unseen_starts::ToldStart,
+            unseen_starts::RecordedStart,
+            vm_stability::VmCrashes,
             waits::LongWaits,
             wave_state::WaveState,
             worker::{OwedHold, Worker},
@@ -52,7 +52,7 @@
     pub(super) loading: Loading,
     pub(super) cancelled: Cancelled,
     /// The jobs that can't be read, and the ends of their runs.
-    pub(super) set_aside: SetAside,
+    pub(super) quarantine: Quarantine,
     pub(super) workers: Workers,
     /// Jobs whose progress is to be stored, each with the number of the first
     /// change that isn't.
@@ -75,12 +75,12 @@
     /// Whether any task was suspected so far: looking for them costs time.
     pub(super) knows_suspects: bool,
     /// How many workers of each pool were lost before they had named their runs.
-    pub(super) unheard_losses: BTreeMap<String, u32>,
+    pub(super) unsynced_losses: BTreeMap<String, u32>,
     /// The pools of which some task may wait for which these don't count yet.
     pub(super) uncounted_pools: BTreeSet<String>,
     /// The starts that former holders told of, with their workers, until it is
     /// known what became of each.
-    pub(super) told_starts: BTreeMap<TaskId, ToldStart>,
+    pub(super) recorded_starts: BTreeMap<TaskId, RecordedStart>,
     /// The starts that wait until they are on record.
     pub(super) write_ahead: WriteAhead,
     /// Where such starts are put on record together.
@@ -88,9 +88,9 @@
     /// The tasks some start of which is in doubt.
     pub(super) tasks_in_doubt: BTreeSet<TaskId>,
     /// The pools whose workers crash one after the other.
-    pub(super) crash_series: CrashSeries,
+    pub(super) crash_bursts: CrashBursts,
     /// The workers that are kept free for tasks that are to be found out about.
-    pub(super) reserved: BTreeMap<WorkerId, KeptFor>,
+    pub(super) reserved: BTreeMap<WorkerId, ReservedFor>,
     /// The crashes on each VM of late.
     pub(super) vm_crashes: BTreeMap<String, VmCrashes>,
     /// When the directory of workers was last read; 0 for not yet.
@@ -187,7 +187,7 @@
             candidates: Candidates::default(),
             loading: Loading::Done,
             cancelled: Cancelled::default(),
-            set_aside: SetAside::default(),
+            quarantine: Quarantine::default(),
             workers: Workers::default(),
             changed: BTreeMap::new(),
             storing: BTreeMap::new(),
@@ -198,13 +198,13 @@
             claims: Claims::default(),
             former: FormerProcesses::default(),
             knows_suspects: false,
-            unheard_losses: BTreeMap::new(),
+            unsynced_losses: BTreeMap::new(),
             uncounted_pools: BTreeSet::new(),
-            told_starts: BTreeMap::new(),
+            recorded_starts: BTreeMap::new(),
             write_ahead: WriteAhead::default(),
             start_logs: StartLogs::default(),
             tasks_in_doubt: BTreeSet::new(),
-            crash_series: CrashSeries::default(),
+            crash_bursts: CrashBursts::default(),
             reserved: BTreeMap::new(),
             vm_crashes: BTreeMap::new(),
             directory_ms: 0,
@@ -296,18 +296,18 @@
         }
         self.jobs.insert(id, job);
         if let Some(progress) = progress {
-            self.note_told_starts(id, progress);
+            self.note_recorded_starts(id, progress);
             self.note_loaded_in_doubt(id);
         }
-        self.take_in_logged_starts(id);
+        self.merge_logged_starts(id);
     }
 
     /// Cancels a job; one that is over or unknown stays as it is, unless jobs
     /// are still being loaded. What runs of it is stopped either way, under
     /// the next holders as well, until
-    /// [`Scheduler::take_settled_cancellings`] names it.
+    /// [`Scheduler::take_settled_cancellations`] names it.
     pub fn cancel(&mut self, id: JobId, now: Now) {
-        let kept = self.keep_cancellation(id);
+        let kept = self.defer_cancellation(id);
         self.cancelled.insert(id);
         if kept {
             return;
@@ -401,9 +401,9 @@
         }
         let mut actions = Vec::new();
         self.link.refill(now.steady_ms);
-        self.cancel_loaded(now);
-        self.drop_lapsed(now);
-        self.settle_told_starts(now);
+        self.apply_deferred_cancellations(now);
+        self.drop_lapsed_workers(now);
+        self.settle_recorded_starts(now);
         self.order_withheld(now, &mut actions);
         self.look_after_runs(now, &mut actions);
         // First of all orders: this holder may be gone any moment.
--- a/crates/dewspar/src/schedule/start_log.rs
+++ b/crates/dewspar/src/schedule/start_log.rs
@@ -31,7 +31,7 @@
 use dewspar::schedule::{Options, Scheduler};
 
 let mut scheduler = Scheduler::new(7, Options::default());
-scheduler.log_starts();
+scheduler.enable_start_log();
 // Nothing waits to be on record.
 assert_eq!(scheduler.take_start_log(), None);
 ```
@@ -42,7 +42,7 @@
         job::{JobId, TaskId, TaskRecord},
         schedule::{
             Incarnation, Now, Scheduler, WorkerId, suspects::Crashes,
-            unseen_starts::ToldStart,
+            unseen_starts::RecordedStart,
         },
     },
     serde::{Deserialize, Serialize},
@@ -50,7 +50,7 @@
 };
 
 /// How often it is looked which logs are settled, in milliseconds.
-const SETTLED_INTERVAL_MS: u64 = 500;
+const SETTLED_CHECK_INTERVAL_MS: u64 = 500;
 
 /// What is logged of a start.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
@@ -112,7 +112,7 @@
 #[derive(Debug, Default)]
 pub(super) struct StartLogs {
     /// Whether starts are logged at all; else they go on record with their jobs.
-    is_on: bool,
+    enabled: bool,
     last: u64,
     /// The starts that wait to be logged.
     waiting: BTreeSet<TaskId>,
@@ -120,7 +120,7 @@
     written: BTreeMap<u64, Vec<OpenStart>>,
     /// The logs whose write is under way.
     under_way: BTreeSet<u64>,
-    looked_at_ms: u64,
+    checked_at_ms: u64,
     /// What former holders have logged of jobs that aren't loaded yet.
     inherited: BTreeMap<JobId, Vec<LoggedStart>>,
     /// The jobs whose records don't hold yet what former holders have logged.
@@ -128,8 +128,8 @@
 }
 
 impl StartLogs {
-    pub(super) fn are_on(&self) -> bool {
-        self.is_on
+    pub(super) fn are_enabled(&self) -> bool {
+        self.enabled
     }
 
     /// Has a start logged.
@@ -145,8 +145,8 @@
 impl Scheduler {
     /// Has starts that must be on record written together, in place of the records
     /// of their jobs.
-    pub fn log_starts(&mut self) {
-        self.start_logs.is_on = true;
+    pub fn enable_start_log(&mut self) {
+        self.start_logs.enabled = true;
     }
 
     /// Takes the starts that wait to be logged; `None` if there are none.
@@ -212,10 +212,12 @@
 
     /// Takes the numbers of this lease's logs that nobody needs any more.
     pub fn take_settled_logs(&mut self, now: Now) -> Vec<u64> {
-        if now.steady_ms < self.start_logs.looked_at_ms + SETTLED_INTERVAL_MS {
+        if now.steady_ms
+            < self.start_logs.checked_at_ms + SETTLED_CHECK_INTERVAL_MS
+        {
             return Vec::new();
         }
-        self.start_logs.looked_at_ms = now.steady_ms;
+        self.start_logs.checked_at_ms = now.steady_ms;
         let mut written = std::mem::take(&mut self.start_logs.written);
         let under_way = std::mem::take(&mut self.start_logs.under_way);
         for open in written.values_mut() {
@@ -244,13 +246,13 @@
         }
         let Some(state) = job.task(&start.task) else { return true };
         let goes_on =
-            state.run == start.run && state.crashes.have_a_run_on_record();
+            state.run == start.run && state.crashes.have_recorded_run();
         state.done || !goes_on || job.stored_sequence > start.sequence
     }
 
     /// Takes in what former holders have logged, before any of their jobs is
     /// submitted.
-    pub fn take_logged_starts(&mut self, starts: Vec<LoggedStart>) {
+    pub fn inherit_logged_starts(&mut self, starts: Vec<LoggedStart>) {
         for start in starts {
             let of_job =
                 self.start_logs.inherited.entry(start.task.job).or_default();
@@ -259,13 +261,13 @@
     }
 
     /// Takes in what former holders have logged of a job that is loaded.
-    pub(super) fn take_in_logged_starts(&mut self, id: JobId) {
+    pub(super) fn merge_logged_starts(&mut self, id: JobId) {
         let Some(starts) = self.start_logs.inherited.remove(&id) else {
             return;
         };
         let mut taken_in = false;
         for start in &starts {
-            taken_in |= self.take_in_logged_start(start);
+            taken_in |= self.merge_logged_start(start);
         }
         if taken_in {
             self.knows_suspects = true;
@@ -275,7 +277,7 @@
     }
 
     /// Returns whether a start says more than the record of its job.
-    fn take_in_logged_start(&mut self, start: &LoggedStart) -> bool {
+    fn merge_logged_start(&mut self, start: &LoggedStart) -> bool {
         let job = self.jobs.get_mut(&start.task.job);
         let state = job.and_then(|job| job.task_mut(&start.task));
         let Some(state) = state.filter(|state| !state.done) else {
@@ -298,8 +300,8 @@
         state.crashes.may_have_begun = true;
         let born = start.born_unix_ms;
         let process = born.map_or(Incarnation::UNKNOWN, Incarnation::born_at);
-        let told = ToldStart::of(WorkerId::new(&start.worker), process);
-        self.note_told_start(start.task, told, &start.vm);
+        let told = RecordedStart::of(WorkerId::new(&start.worker), process);
+        self.note_recorded_start(start.task, told, &start.vm);
         true
     }
 
--- a/crates/dewspar/src/schedule/stopping.rs
+++ b/crates/dewspar/src/schedule/stopping.rs
@@ -22,7 +22,7 @@
 /// How many runs a plan says of that their stop takes too long, so that a
 /// rack that falls silent doesn't fill the log; the others are told with the
 /// next plans.
-const OVERDUE_A_PLAN: usize = 8;
+const MAX_OVERDUE_PER_PLAN: usize = 8;
 
 /// The way of a run that is to stop.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -105,7 +105,7 @@
                 let account = stop.account(now_ms);
                 if account.after_ms > self.options.stop_timeout_ms
                     && !stop.told_overdue
-                    && overdue.len() < OVERDUE_A_PLAN
+                    && overdue.len() < MAX_OVERDUE_PER_PLAN
                 {
                     stop.told_overdue = true;
                     overdue.push(Decision::StopOverdue {
@@ -128,7 +128,11 @@
     }
 
     /// Notes that a worker has carried an order to stop out.
-    pub(super) fn stop_taken(&mut self, worker_id: &WorkerId, task: &TaskId) {
+    pub(super) fn note_stop_accepted(
+        &mut self,
+        worker_id: &WorkerId,
+        task: &TaskId,
+    ) {
         let worker = self.workers.get_mut(worker_id);
         let run = worker.and_then(|worker| worker.runs.get_mut(task));
         if let Some(Run { state: RunState::Stopping(stop), .. }) = run {
--- a/crates/dewspar/src/schedule/storing.rs
+++ b/crates/dewspar/src/schedule/storing.rs
@@ -115,7 +115,7 @@
         for (id, progress) in &changes.progress {
             self.storing.remove(id);
             self.note_awaited_stored(id, changes.sequence);
-            self.write_ahead.job_written(*id, changes.sequence);
+            self.write_ahead.note_job_written(*id, changes.sequence);
             if progress.phase.is_final() {
                 self.finished.insert(*id, progress.finished_at_ms);
                 self.jobs.remove(id);
@@ -130,11 +130,11 @@
 
     /// Moves on what may be acknowledged to each worker.
     pub(super) fn store_ends(&mut self, now: Now) {
-        let (jobs, set_aside) = (&self.jobs, &self.set_aside);
+        let (jobs, quarantine) = (&self.jobs, &self.quarantine);
         for number in self.workers.with_unstored_ends(&self.options) {
             let Some(worker) = self.workers.at_mut(number) else { continue };
             worker.store_ends(now.steady_ms, |job, sequence| {
-                set_aside.is_stored(jobs, job, sequence)
+                quarantine.is_stored(jobs, job, sequence)
             });
         }
     }
@@ -155,8 +155,8 @@
     pub fn changes_failed(&mut self, changes: &Changes) {
         for (id, _) in &changes.progress {
             let since = self.storing.remove(id).unwrap_or(changes.sequence);
-            if !self.start_logs.are_on() {
-                self.write_ahead.job_written(*id, changes.sequence);
+            if !self.start_logs.are_enabled() {
+                self.write_ahead.note_job_written(*id, changes.sequence);
             }
             if self.jobs.contains_key(id) {
                 self.changed.insert(*id, since);
--- a/crates/dewspar/src/schedule/suspects.rs
+++ b/crates/dewspar/src/schedule/suspects.rs
@@ -46,9 +46,9 @@
         schedule::{
             Decision, Now, Scheduler, WorkerId,
             board::{Job, Task, demand},
-            crash_series::{Guest, KeptFor, likely_age_ms},
-            steadiness::Steadiness,
-            unseen_starts::UnheardLoss,
+            crash_bursts::{ReservationRequest, ReservedFor, likely_age_ms},
+            unseen_starts::UnsyncedLoss,
+            vm_stability::VmStability,
             worker::{Run, Suspicion, Worker},
         },
     },
@@ -58,7 +58,7 @@
 /// For how long a worker must have confirmed a run for the run to be beyond
 /// suspicion, in milliseconds: a bad task acts as it is loaded, and answers
 /// come every 300 ms, or every second on a short link.
-const SUSPECTED_MS: u64 = 1_000;
+const SUSPECT_AGE_MS: u64 = 1_000;
 
 /// What is added to twice the age at which suspected runs were lost to clear
 /// the next one, in milliseconds: an answer's way, and how unevenly a worker
@@ -69,13 +69,13 @@
 /// suspect before it takes any, in milliseconds: about as long as a suspect
 /// stays one where it is, so that sound tasks lose no more than the time of
 /// one answer.
-const APART_MS: u64 = 300;
+const AVOID_SUSPECTS_MS: u64 = 300;
 
 /// For how long a worker may have been silent before its end is known, in
 /// milliseconds, for that end to be a crash under what began before: nearly two
 /// of the slowest readings of the list of VMs. One that was cut off for longer
 /// may have lived on, and gone for some other reason.
-const SILENT_MS: u64 = 2_200;
+const MAX_SILENCE_MS: u64 = 2_200;
 
 /// For how long a worker must have confirmed the runs beside which a task is
 /// being found out about, in milliseconds: as long as a question may wait. Two
@@ -85,37 +85,37 @@
 /// For how long a worker must have confirmed the runs beside which a task starts
 /// that is most likely bad, in milliseconds: most tasks end sooner, and the
 /// start of such a task can wait so long.
-const LASTING_MS: u64 = 2_000;
+const LONG_PROVEN_MS: u64 = 2_000;
 
 /// After how many crashes nothing is started beside a task, and its next start
 /// waits until they are stored. One crash is mere chance for nearly all.
-const TESTED_CRASHES: u32 = 2;
+const TEST_AFTER_CRASHES: u32 = 2;
 
 /// After how many crashes a task is given up that alone can have caused the
 /// last one. A sound one would have to be beside a bad one, and twice in a row
 /// on its own on a worker that crashes within a second by itself.
-const SURE_CRASHES: u32 = 3;
+const MAX_CERTAIN_CRASHES: u32 = 3;
 
 /// After how many crashes a task is given up in any case: it may be started
 /// twice more after three, and a crash that no holder saw takes one of these.
-const MOST_CRASHES: u32 = 4;
+const MAX_CRASHES: u32 = 4;
 
 /// How old each run of a task may have been for its workers' crashes to be
 /// certainly its doing, also on VMs that have crashed of late, in milliseconds.
 /// Where tasks crash many workers at once, no VM of the pool is steady for long.
 /// A VM that crashes by itself every 4 s hits one such span of 40, three in a row
 /// once in 64,000.
-const AT_ONCE_MS: u64 = 100;
+const IMMEDIATE_CRASH_MS: u64 = 100;
 
 /// How often a task may be started in all under which three workers crashed,
 /// with the runs whose end no holder saw: one more would be the third start
 /// after three crashes.
-const MOST_STARTS: u32 = 5;
+const MAX_STARTS: u32 = 5;
 
 /// How long a task that is being found out about waits for a worker on a VM
 /// that hasn't crashed of late, in milliseconds: as long as one that failed
 /// waits for another worker.
-const STEADY_WAIT_MS: u64 = 1_500;
+const STABLE_VM_WAIT_MS: u64 = 1_500;
 
 /// How much a suspected task prefers a worker near its data, counted in runs:
 /// more than all else, since elsewhere it takes twice as long.
@@ -144,7 +144,7 @@
     pub(super) may_have_begun: bool,
     /// How many of the runs whose end says nothing count for workers that were
     /// lost before they had named theirs.
-    unheard: u32,
+    unsynced: u32,
     /// Whether the run under way is on record for that alone.
     is_told: bool,
     /// The change by which all of this is stored; 0 for not by this holder.
@@ -164,7 +164,7 @@
         Crashes {
             count,
             unseen,
-            most_age_ms: SUSPECTED_MS,
+            most_age_ms: SUSPECT_AGE_MS,
             is_told: announced && count == 0 && unseen == 0,
             under_way: announced,
             ..Crashes::default()
@@ -176,19 +176,19 @@
     fn possible(starts: u32) -> Crashes {
         Crashes {
             unseen: starts,
-            unheard: starts,
-            most_age_ms: SUSPECTED_MS,
+            unsynced: starts,
+            most_age_ms: SUSPECT_AGE_MS,
             may_have_begun: true,
             ..Crashes::default()
         }
     }
 
     /// Returns how many starts count of which nothing but workers that were
-    /// lost unheard tells; `None` if something else is known of the task.
-    pub(super) fn only_unheard(&self) -> Option<u32> {
+    /// lost unsynced tells; `None` if something else is known of the task.
+    pub(super) fn only_unsynced(&self) -> Option<u32> {
         let other =
-            self.count > 0 || self.unseen > self.unheard || self.is_told;
-        (self.may_have_begun && !other).then_some(self.unheard)
+            self.count > 0 || self.unseen > self.unsynced || self.is_told;
+        (self.may_have_begun && !other).then_some(self.unsynced)
     }
 
     /// Returns whether there is something that a later holder must know.
@@ -198,19 +198,19 @@
 
     /// Returns whether the run that is under way is all that a later holder must
     /// know of.
-    fn are_only_told(&self) -> bool {
+    fn is_only_told(&self) -> bool {
         self.is_told && self.count == 0 && self.unseen == 0
     }
 
     /// Returns whether a later holder must know of the run that is under way.
-    pub(crate) fn have_a_run_on_record(&self) -> bool {
+    pub(crate) fn have_recorded_run(&self) -> bool {
         self.are_on_record() && self.under_way
     }
 
     /// Returns how many runs a later holder can't know the end of: one that
     /// is under way may have taken its worker down before that holder looks.
     pub(crate) fn unseen_on_record(&self) -> u32 {
-        self.unseen + u32::from(self.have_a_run_on_record())
+        self.unseen + u32::from(self.have_recorded_run())
     }
 
     /// Notes that a run is started; returns whether the record must say so.
@@ -237,42 +237,43 @@
 
     /// Notes that the run that former holders told of isn't where it was to
     /// start, though its worker is.
-    pub(super) fn came_to_nothing(&mut self) {
+    pub(super) fn did_not_start(&mut self) {
         self.unseen = self.unseen.saturating_sub(1);
     }
 
     /// Adds a run that former holders told of, whose worker is gone.
     ///
     /// The start that came before the first such run left no trace.
-    pub(super) fn add_unseen(&mut self, sequence: u64, now_ms: u64) {
-        self.came_to_nothing();
+    pub(super) fn add_unseen_crash(&mut self, sequence: u64, now_ms: u64) {
+        self.did_not_start();
         if !self.are_on_record() {
             self.unseen = 1;
         }
         self.count += 1;
-        self.most_age_ms = SUSPECTED_MS;
+        self.most_age_ms = SUSPECT_AGE_MS;
         self.noticed_ms = now_ms;
         self.likely = false;
-        self.under_way = self.count >= TESTED_CRASHES;
+        self.under_way = self.count >= TEST_AFTER_CRASHES;
         self.sequence = sequence;
     }
 
     /// Returns whether a start waits until these crashes are stored.
-    fn go_on_record_first(&self) -> bool {
-        self.count >= TESTED_CRASHES || (self.count == 0 && self.unseen > 0)
+    fn must_be_stored_first(&self) -> bool {
+        self.count >= TEST_AFTER_CRASHES
+            || (self.count == 0 && self.unseen > 0)
     }
 
     /// Returns whether the next holder must know of a start before it is
     /// ordered.
-    pub(super) fn is_start_recorded_first(&self) -> bool {
-        self.may_have_begun || self.go_on_record_first()
+    pub(super) fn must_record_start_first(&self) -> bool {
+        self.may_have_begun || self.must_be_stored_first()
     }
 
     /// Adds a run that was lost. One that had lived on for longer than another
     /// needed for its crash counts as a start alone: a bad task acts alike each
     /// time.
     fn add(&mut self, run: &LostRun, likely: bool, now_ms: u64) {
-        let least_ms = self.least_age_ms.unwrap_or(SUSPECTED_MS);
+        let least_ms = self.least_age_ms.unwrap_or(SUSPECT_AGE_MS);
         let alike = run.confirmed_ms <= 2 * least_ms + CLEARED_MARGIN_MS;
         if alike {
             self.count += 1;
@@ -284,12 +285,12 @@
         self.noticed_ms = now_ms;
         self.likely = likely;
         self.is_told = false;
-        self.under_way = self.count >= TESTED_CRASHES;
+        self.under_way = self.count >= TEST_AFTER_CRASHES;
     }
 
     /// Returns whether the task is most likely bad.
-    fn show_a_bad_task(&self) -> bool {
-        self.likely && self.count >= TESTED_CRASHES
+    fn is_probably_bad(&self) -> bool {
+        self.likely && self.count >= TEST_AFTER_CRASHES
     }
 
     /// Returns how old a run can have been at most when its worker crashed, in
@@ -300,29 +301,29 @@
 
     /// Returns whether each run was lost as soon as it was started, which no
     /// VM that crashes by itself does again and again.
-    fn came_at_once(&self) -> bool {
-        self.most_age_ms <= AT_ONCE_MS
+    fn were_immediate(&self) -> bool {
+        self.most_age_ms <= IMMEDIATE_CRASH_MS
     }
 
     /// Returns whether the task has been started as often as it may.
-    pub(super) fn are_too_many(&self) -> bool {
-        self.count >= MOST_CRASHES
-            || (self.count >= SURE_CRASHES
-                && self.count + self.unseen >= MOST_STARTS)
+    pub(super) fn exceed_limits(&self) -> bool {
+        self.count >= MAX_CRASHES
+            || (self.count >= MAX_CERTAIN_CRASHES
+                && self.count + self.unseen >= MAX_STARTS)
     }
 
     /// Returns how long a run must live to clear its task, in milliseconds.
     fn cleared_after_ms(&self) -> u64 {
         if self.count == 0 {
-            return SUSPECTED_MS;
+            return SUSPECT_AGE_MS;
         }
-        (2 * self.most_age_ms + CLEARED_MARGIN_MS).min(SUSPECTED_MS)
+        (2 * self.most_age_ms + CLEARED_MARGIN_MS).min(SUSPECT_AGE_MS)
     }
 }
 
 /// Beside which runs a task may start.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(super) enum Company {
+pub(super) enum Colocation {
     /// Any.
     Any,
     /// Any but one that is being found out about.
@@ -336,26 +337,28 @@
     Lasting,
 }
 
-impl Company {
+impl Colocation {
     pub(super) fn allows(self, worker: &Worker) -> bool {
         match self {
-            Company::Any => true,
-            Company::Untested => !worker.tests_a_run(),
-            Company::Unsuspected => !worker.has_suspects(),
-            Company::Proven => has_only_confirmed_for(worker, PROVEN_MS),
-            Company::Lasting => has_only_confirmed_for(worker, LASTING_MS),
+            Colocation::Any => true,
+            Colocation::Untested => !worker.tests_a_run(),
+            Colocation::Unsuspected => !worker.has_suspects(),
+            Colocation::Proven => all_runs_confirmed_for(worker, PROVEN_MS),
+            Colocation::Lasting => {
+                all_runs_confirmed_for(worker, LONG_PROVEN_MS)
+            }
         }
     }
 
     /// Returns whether a task is being found out about.
     pub(super) fn is_for_tested(self) -> bool {
-        matches!(self, Company::Proven | Company::Lasting)
+        matches!(self, Colocation::Proven | Colocation::Lasting)
     }
 }
 
 /// Returns whether a worker has confirmed all of its runs for that long, and
 /// none of them is suspected.
-fn has_only_confirmed_for(worker: &Worker, least_ms: u64) -> bool {
+fn all_runs_confirmed_for(worker: &Worker, least_ms: u64) -> bool {
     let reported_ms = worker.latest_report_ms();
     let confirmed = |run: &Run| run.confirmed_ms(reported_ms) >= least_ms;
     !worker.has_suspects() && worker.runs.values().all(confirmed)
@@ -376,7 +379,7 @@
     /// The VM, unless its worker was to go or doesn't name it.
     crashed_vm: Option<String>,
     /// Set if the worker was lost before it had named its runs to this holder.
-    pub(super) unheard: Option<UnheardLoss>,
+    pub(super) unsynced: Option<UnsyncedLoss>,
     /// Whether the worker fell silent long before its end was known.
     pub(super) was_silent: bool,
     /// Whether the worker was about to end anyway.
@@ -404,10 +407,10 @@
         // The others went down with the process before.
         let counts = |(_, run): &(&TaskId, &Run)| !run.is_outlived;
         let vm = &worker.listing.vm;
-        let unheard = !worker.synced && !draining;
+        let unsynced = !worker.synced && !draining;
         LostRuns {
-            unheard: unheard.then(|| UnheardLoss::of(worker)),
-            was_silent: now.steady_ms > over_ms + SILENT_MS,
+            unsynced: unsynced.then(|| UnsyncedLoss::of(worker)),
+            was_silent: now.steady_ms > over_ms + MAX_SILENCE_MS,
             crashed_vm: (!planned && !vm.is_empty()).then(|| vm.clone()),
             was_draining: draining,
             runs: worker.runs.iter().filter(counts).map(lost).collect(),
@@ -418,7 +421,7 @@
     /// late, or where some are being found out about, those and what isn't
     /// proven.
     fn suspects(&self) -> impl Iterator<Item = &LostRun> {
-        let of_late = |run: &&LostRun| run.confirmed_ms < SUSPECTED_MS;
+        let of_late = |run: &&LostRun| run.confirmed_ms < SUSPECT_AGE_MS;
         let young = || self.runs.iter().filter(of_late);
         let most = young().map(|run| run.suspicion.crashes).max().unwrap_or(0);
         let tested = young().any(|run| run.suspicion.tested);
@@ -453,24 +456,24 @@
         now: Now,
     ) {
         self.settle_starts_on(worker, lost, now);
-        if let Some(unheard) = &lost.unheard {
-            if self.was_taken_down(unheard, now) {
+        if let Some(unsynced) = &lost.unsynced {
+            if self.was_taken_down(unsynced, now) {
                 return;
             }
-            self.note_unheard_loss(unheard);
+            self.note_unsynced_loss(unsynced);
         }
         let steady = self.note_vm_crash(lost.crashed_vm.as_deref(), now);
         let likely_age_ms = lost.likely_age_ms();
         for run in lost.suspects() {
             if lost.was_silent || lost.was_draining {
-                self.note_suspect_over(&run.task);
+                self.note_suspect_ended(&run.task);
                 continue;
             }
             let likely = run.most_age_ms <= likely_age_ms;
             let Some(crashes) = self.count_crash(run, likely, now) else {
                 continue;
             };
-            let certain = steady || crashes.came_at_once();
+            let certain = steady || crashes.were_immediate();
             let alone = certain && lost.is_only_suspect(&run.task, &crashes);
             self.note(Decision::Suspected {
                 task: run.task,
@@ -479,8 +482,8 @@
                 most_age_ms: run.most_age_ms,
                 alone,
             });
-            let sure = alone && crashes.count >= SURE_CRASHES;
-            if sure || crashes.are_too_many() {
+            let sure = alone && crashes.count >= MAX_CERTAIN_CRASHES;
+            if sure || crashes.exceed_limits() {
                 self.give_up(&run.task, crashes.count, now);
             }
         }
@@ -505,7 +508,7 @@
         let pool = job.terms.pool.clone();
         let crashes = &mut job.task_mut(&run.task)?.crashes;
         if likely && crashes.likely {
-            self.crash_series.note(&pool, now);
+            self.crash_bursts.note(&pool, now);
         }
         crashes.add(run, likely, now.steady_ms);
         crashes.sequence = sequence;
@@ -557,8 +560,8 @@
             .jobs
             .get(&id)
             .is_some_and(|job| job.stored_sequence >= crashes.told_sequence);
-        let only_logged = self.start_logs.are_on()
-            && crashes.are_only_told()
+        let only_logged = self.start_logs.are_enabled()
+            && crashes.is_only_told()
             && !stored
             && !self.storing.contains_key(&id);
         if !only_logged {
@@ -599,7 +602,7 @@
 
     /// Notes that a suspected task's run came to nothing, or ended in a way that
     /// says nothing: it isn't under way.
-    pub(super) fn note_suspect_over(&mut self, task: &TaskId) {
+    pub(super) fn note_suspect_ended(&mut self, task: &TaskId) {
         let job = self.jobs.get_mut(&task.job);
         let state = job.and_then(|job| job.task_mut(task));
         let Some(state) = state else { return };
@@ -617,7 +620,7 @@
         let mut all_are_known = !self.is_loading();
         for task in tasks {
             // Soon it is known whether that start counts.
-            if self.told_starts.contains_key(task) {
+            if self.recorded_starts.contains_key(task) {
                 continue;
             }
             let Some(job) = self.jobs.get(&task.job) else { continue };
@@ -632,7 +635,7 @@
                 crashes = Crashes::possible(starts);
                 room -= 1;
             }
-            if !crashes.go_on_record_first() || crashes.under_way {
+            if !crashes.must_be_stored_first() || crashes.under_way {
                 continue;
             }
             crashes.under_way = true;
@@ -661,28 +664,28 @@
     /// kept free for it, and each suspect there is cleared or has crashed its
     /// worker within a second. The members of a gang, which start together,
     /// can't wait for that.
-    pub(super) fn company(
+    pub(super) fn colocation(
         &self,
         spec: &StepSpec,
         state: &Task,
         pool: &str,
         now: Now,
-    ) -> Company {
+    ) -> Colocation {
         if !self.options.policy.placing.separates_suspects {
-            return Company::Any;
+            return Colocation::Any;
         }
         let Crashes { count, noticed_ms, .. } = state.crashes;
         let tested = self.is_tested(state, pool, now);
-        let waits = now.steady_ms < noticed_ms + APART_MS;
-        let in_series = self.crash_series.is_on(pool, now);
+        let waits = now.steady_ms < noticed_ms + AVOID_SUSPECTS_MS;
+        let in_burst = self.crash_bursts.is_active(pool, now);
         match (tested, spec.gang) {
-            (true, true) => Company::Any,
-            (true, false) if in_series && state.crashes.show_a_bad_task() => {
-                Company::Lasting
+            (true, true) => Colocation::Any,
+            (true, false) if in_burst && state.crashes.is_probably_bad() => {
+                Colocation::Lasting
             }
-            (true, false) => Company::Proven,
-            (false, false) if count > 0 && waits => Company::Unsuspected,
-            (false, _) => Company::Untested,
+            (true, false) => Colocation::Proven,
+            (false, false) if count > 0 && waits => Colocation::Unsuspected,
+            (false, _) => Colocation::Untested,
         }
     }
 
@@ -695,8 +698,8 @@
         now: Now,
     ) -> bool {
         let Crashes { count, likely, .. } = state.crashes;
-        count >= TESTED_CRASHES
-            || (count > 0 && likely && self.crash_series.is_on(pool, now))
+        count >= TEST_AFTER_CRASHES
+            || (count > 0 && likely && self.crash_bursts.is_active(pool, now))
     }
 
     /// Keeps workers free from other starts for as long as tasks wait that are
@@ -704,8 +707,9 @@
     /// crashes is on there. Else those would have to wait until nothing starts
     /// in a busy pool for a while.
     pub(super) fn reserve_workers(&mut self, waiting: &[TaskId], now: Now) {
-        let mut kept: BTreeMap<&str, (WorkerId, KeptFor)> = BTreeMap::new();
-        let mut guests = Vec::new();
+        let mut kept: BTreeMap<&str, (WorkerId, ReservedFor)> =
+            BTreeMap::new();
+        let mut requests = Vec::new();
         for task in waiting {
             let Some(job) = self.jobs.get(&task.job) else { continue };
             let (Some(spec), Some(state)) =
@@ -718,56 +722,69 @@
             if !tested || kept.contains_key(pool) {
                 continue;
             }
-            if self.crash_series.is_on(pool, now) {
-                let is_bad = state.crashes.show_a_bad_task();
-                guests.push(Guest { task: *task, pool, is_bad });
+            if self.crash_bursts.is_active(pool, now) {
+                let is_bad = state.crashes.is_probably_bad();
+                requests.push(ReservationRequest {
+                    task: *task,
+                    pool,
+                    is_bad,
+                });
                 continue;
             }
             let same = self.reserved.keys().find_map(|id| {
                 let worker = self.workers.get(id)?;
                 let here = worker.listing.pool == pool;
-                (here && self.may_be_kept(worker, task, now)).then_some(worker)
+                (here && self.can_be_reserved(worker, task, now))
+                    .then_some(worker)
             });
             let suitable = self.workers.values().filter(|worker| {
                 worker.listing.pool == pool
-                    && self.may_be_kept(worker, task, now)
+                    && self.can_be_reserved(worker, task, now)
             });
             let chosen = same.or_else(|| {
                 suitable.min_by_key(|worker| (worker.runs.len(), worker.id()))
             });
             if let Some(worker) = chosen {
-                kept.insert(pool, (worker.id().clone(), KeptFor::Tested));
+                kept.insert(pool, (worker.id().clone(), ReservedFor::Tested));
             }
         }
-        let mut reserved: BTreeMap<WorkerId, KeptFor> =
+        let mut reserved: BTreeMap<WorkerId, ReservedFor> =
             kept.into_values().collect();
-        reserved.extend(self.keep_apart_workers(guests, |guest, worker| {
-            self.may_be_kept(worker, &guest.task, now)
-        }));
+        reserved.extend(
+            self.reserve_burst_workers(requests, |request, worker| {
+                self.can_be_reserved(worker, &request.task, now)
+            }),
+        );
         self.reserved = reserved;
     }
 
     /// Returns whether a worker may be kept free for a task that is to be found
     /// out about.
-    fn may_be_kept(&self, worker: &Worker, task: &TaskId, now: Now) -> bool {
+    fn can_be_reserved(
+        &self,
+        worker: &Worker,
+        task: &TaskId,
+        now: Now,
+    ) -> bool {
         let Some(job) = self.jobs.get(&task.job) else { return false };
         let (Some(spec), Some(state)) = (job.step_spec(task), job.task(task))
         else {
             return false;
         };
-        let wanted = self.steadiness_wanted(spec, state, &job.terms.pool, now);
+        let wanted =
+            self.required_stability(spec, state, &job.terms.pool, now);
         // One with a kept place would be closed to the task that was stopped for
         // it: that was without work for 1.65 s in a random run.
         worker.is_usable()
             && !worker.keeps_room()
             && worker.listing.capacity.holds(&demand(spec))
             && !worker.has_suspects()
-            && self.is_as_steady(worker, wanted, now)
+            && self.is_stable_enough(worker, wanted, now)
     }
 
     /// Returns whether a worker is kept free for other tasks, or this task has
     /// to wait for one that is kept free for it.
-    pub(super) fn is_kept_from(
+    pub(super) fn is_reserved_for_others(
         &self,
         worker: &Worker,
         task: &TaskId,
@@ -777,7 +794,8 @@
         match self.reserved.get(worker.id()) {
             Some(kept_for) => !kept_for.allows(task, tested),
             None => {
-                tested && self.crash_series.is_on(&worker.listing.pool, now)
+                tested
+                    && self.crash_bursts.is_active(&worker.listing.pool, now)
             }
         }
     }
@@ -786,22 +804,22 @@
     ///
     /// A sound task that was lost twice must not end up on the one VM of a
     /// full pool that has room since it goes up and down.
-    pub(super) fn steadiness_wanted(
+    pub(super) fn required_stability(
         &self,
         spec: &StepSpec,
         state: &Task,
         pool: &str,
         now: Now,
-    ) -> Steadiness {
+    ) -> VmStability {
         let Crashes { count, noticed_ms, .. } = state.crashes;
         let separates = self.options.policy.placing.separates_suspects;
-        if count < TESTED_CRASHES || !separates {
-            return Steadiness::GoesUpAndDown;
+        if count < TEST_AFTER_CRASHES || !separates {
+            return VmStability::Flapping;
         }
-        let wanted = if now.steady_ms < noticed_ms + STEADY_WAIT_MS {
-            Steadiness::Steady
+        let wanted = if now.steady_ms < noticed_ms + STABLE_VM_WAIT_MS {
+            VmStability::Stable
         } else {
-            Steadiness::Doubtful
+            VmStability::Unproven
         };
         let demand = demand(spec);
         let best = self
@@ -812,34 +830,38 @@
                     && worker.is_usable()
                     && worker.listing.capacity.holds(&demand)
             })
-            .map(|worker| self.steadiness(&worker.listing.vm, now))
+            .map(|worker| self.vm_stability(&worker.listing.vm, now))
             .max();
-        wanted.min(best.unwrap_or(Steadiness::GoesUpAndDown))
+        wanted.min(best.unwrap_or(VmStability::Flapping))
     }
 
     /// Returns whether a worker's VM is as steady as that.
-    pub(super) fn is_as_steady(
+    pub(super) fn is_stable_enough(
         &self,
         worker: &Worker,
-        wanted: Steadiness,
+        wanted: VmStability,
         now: Now,
     ) -> bool {
-        wanted == Steadiness::GoesUpAndDown
-            || self.steadiness(&worker.listing.vm, now) >= wanted
+        wanted == VmStability::Flapping
+            || self.vm_stability(&worker.listing.vm, now) >= wanted
     }
 
     /// Returns whether a task goes where it does least harm, and not where it
     /// suits best.
-    pub(super) fn is_kept_apart(&self, spec: &StepSpec, state: &Task) -> bool {
+    pub(super) fn is_isolated(&self, spec: &StepSpec, state: &Task) -> bool {
         // One that lasts stays where it is put: not for a single crash.
-        let least = if spec.long_running { TESTED_CRASHES } else { 1 };
+        let least = if spec.long_running { TEST_AFTER_CRASHES } else { 1 };
         self.options.policy.placing.separates_suspects
             && state.crashes.count >= least
     }
 
     /// Returns how well a worker suits a task that may crash it: the fewer
     /// runs it would lose, the better.
-    pub(super) fn score_apart(&self, worker: &Worker, spec: &StepSpec) -> i64 {
+    pub(super) fn isolation_score(
+        &self,
+        worker: &Worker,
+        spec: &StepSpec,
+    ) -> i64 {
         let mut score = -(worker.runs.len() as i64);
         let near = !spec.data_rack.is_empty()
             && worker.listing.rack == spec.data_rack;
@@ -856,7 +878,7 @@
     /// A holder that can't store its crashes may start a task once more; its
     /// successor, which knows of none, must not go on as if there were none.
     pub(super) fn may_start(&self, state: &Task) -> bool {
-        !state.crashes.go_on_record_first()
+        !state.crashes.must_be_stored_first()
             || self.stored_sequence >= state.crashes.sequence
     }
 }
@@ -865,7 +887,7 @@
     /// Returns how a run that is found, or that starts together with others, is
     /// suspected.
     pub(crate) fn suspicion(&self) -> Suspicion {
-        let tested = self.count >= TESTED_CRASHES;
+        let tested = self.count >= TEST_AFTER_CRASHES;
         Suspicion { crashes: self.count, tested }
     }
 }
--- a/crates/dewspar/src/schedule/unseen_starts.rs
+++ b/crates/dewspar/src/schedule/unseen_starts.rs
@@ -31,62 +31,66 @@
     schedule::{
         Decision, Incarnation, Now, Scheduler, VmLife, WorkerId,
         board::{Job, Task},
-        processes::Succession,
+        processes::IncarnationOrder,
         suspects::{Crashes, LostRuns},
         worker::Worker,
     },
 };
 
-/// How many starts of a task count at most for workers that were lost unheard:
+/// How many starts of a task count at most for workers that were lost unsynced:
 /// with its second crash on record a holder starts nothing.
-const MOST_UNSEEN: u32 = 2;
+const MAX_UNSEEN: u32 = 2;
 
 /// What became of a start that is on record.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Outcome {
     /// Its worker hasn't answered yet.
-    Open,
+    Pending,
     /// It isn't found out in time.
     Unknown,
     /// The run is where it was started.
     Found,
     /// There is no such run.
-    Nothing,
+    NotRunning,
     /// Its worker is gone.
     Crashed,
 }
 
 /// A start that is on record, with the process that was told.
 #[derive(Debug)]
-pub(super) struct ToldStart {
+pub(super) struct RecordedStart {
     worker: WorkerId,
     process: Incarnation,
 }
 
-impl ToldStart {
-    pub(super) fn of(worker: WorkerId, process: Incarnation) -> ToldStart {
-        ToldStart { worker, process }
+impl RecordedStart {
+    pub(super) fn of(worker: WorkerId, process: Incarnation) -> RecordedStart {
+        RecordedStart { worker, process }
     }
 }
 
 /// A worker that was lost before it had named its runs to this holder.
 #[derive(Debug)]
-pub(super) struct UnheardLoss {
+pub(super) struct UnsyncedLoss {
     pool: String,
     /// The VM; empty if the worker doesn't name it.
     vm: String,
 }
 
-impl UnheardLoss {
-    pub(super) fn of(worker: &Worker) -> UnheardLoss {
+impl UnsyncedLoss {
+    pub(super) fn of(worker: &Worker) -> UnsyncedLoss {
         let listing = &worker.listing;
-        UnheardLoss { pool: listing.pool.clone(), vm: listing.vm.clone() }
+        UnsyncedLoss { pool: listing.pool.clone(), vm: listing.vm.clone() }
     }
 }
 
 impl Scheduler {
     /// Keeps in mind which workers former holders told to start tasks of a job.
-    pub(super) fn note_told_starts(&mut self, id: JobId, progress: &Progress) {
+    pub(super) fn note_recorded_starts(
+        &mut self,
+        id: JobId,
+        progress: &Progress,
+    ) {
         for record in progress.tasks.iter().filter(|record| !record.done) {
             let TaskRecord { round, step, index, .. } = *record;
             let told = record.told.as_ref().filter(|told| !told.is_empty());
@@ -95,33 +99,34 @@
             let born = record.told_born_unix_ms;
             let process =
                 born.map_or(Incarnation::UNKNOWN, Incarnation::born_at);
-            let start = ToldStart::of(WorkerId::new(told), process);
-            self.note_told_start(task, start, "");
+            let start = RecordedStart::of(WorkerId::new(told), process);
+            self.note_recorded_start(task, start, "");
         }
     }
 
     /// Keeps in mind which worker a former holder told to start a task, on a VM
     /// whose name is empty where it isn't known.
-    pub(super) fn note_told_start(
+    pub(super) fn note_recorded_start(
         &mut self,
         task: TaskId,
-        start: ToldStart,
+        start: RecordedStart,
         vm: &str,
     ) {
         if start.process != Incarnation::UNKNOWN {
-            self.note_told_in_doubt(&task, &start.worker, vm);
+            self.note_recorded_in_doubt(&task, &start.worker, vm);
         }
-        self.told_starts.insert(task, start);
+        self.recorded_starts.insert(task, start);
     }
 
     /// Finds out what became of the starts that former holders told of.
-    pub(super) fn settle_told_starts(&mut self, now: Now) {
-        let settled = self.told_starts.iter().filter_map(|(task, start)| {
-            let outcome = self.outcome(task, start, now);
-            (outcome != Outcome::Open).then_some((*task, outcome))
-        });
+    pub(super) fn settle_recorded_starts(&mut self, now: Now) {
+        let settled =
+            self.recorded_starts.iter().filter_map(|(task, start)| {
+                let outcome = self.outcome(task, start, now);
+                (outcome != Outcome::Pending).then_some((*task, outcome))
+            });
         for (task, outcome) in settled.collect::<Vec<_>>() {
-            if let Some(start) = self.told_starts.remove(&task) {
+            if let Some(start) = self.recorded_starts.remove(&task) {
                 self.settle_start(&task, &start.worker, outcome, now);
             }
         }
@@ -134,38 +139,49 @@
         lost: &LostRuns,
         now: Now,
     ) {
-        let outcome = match &lost.unheard {
+        let outcome = match &lost.unsynced {
             // What it had is known: a run that was lost counts by itself.
-            None => Outcome::Nothing,
-            Some(unheard) if self.was_taken_down(unheard, now) => {
-                Outcome::Nothing
+            None => Outcome::NotRunning,
+            Some(unsynced) if self.was_taken_down(unsynced, now) => {
+                Outcome::NotRunning
             }
             // It may have lived on for long.
             Some(_) if lost.was_silent => Outcome::Unknown,
             Some(_) => Outcome::Crashed,
         };
-        let here = |_: &TaskId, told: &mut ToldStart| told.worker == *worker;
-        let starts: Vec<TaskId> =
-            self.told_starts.extract_if(.., here).map(|(t, _)| t).collect();
+        let here =
+            |_: &TaskId, told: &mut RecordedStart| told.worker == *worker;
+        let starts: Vec<TaskId> = self
+            .recorded_starts
+            .extract_if(.., here)
+            .map(|(t, _)| t)
+            .collect();
         for task in starts {
             self.settle_start(&task, worker, outcome, now);
         }
     }
 
-    fn outcome(&self, task: &TaskId, start: &ToldStart, now: Now) -> Outcome {
+    fn outcome(
+        &self,
+        task: &TaskId,
+        start: &RecordedStart,
+        now: Now,
+    ) -> Outcome {
         let Some(told) = self.workers.get(&start.worker) else {
             let known = self.lives_known;
-            return if known { Outcome::Crashed } else { Outcome::Open };
+            return if known { Outcome::Crashed } else { Outcome::Pending };
         };
         if told.runs.contains_key(task) {
             return Outcome::Found;
         }
         let known = told.listing.incarnation;
-        if Succession::of(known, start.process) == Succession::Newer {
+        if IncarnationOrder::compare(known, start.process)
+            == IncarnationOrder::Newer
+        {
             return Outcome::Crashed;
         }
         if told.is_accounted_for() {
-            return Outcome::Nothing;
+            return Outcome::NotRunning;
         }
         let settled = self.taken_over_ms + self.copy_after_ms();
         let job = self.jobs.get(&task.job);
@@ -174,7 +190,7 @@
         if copies && now.steady_ms >= settled {
             return Outcome::Unknown;
         }
-        Outcome::Open
+        Outcome::Pending
     }
 
     fn settle_start(
@@ -190,15 +206,15 @@
         let Some(state) = state.filter(|state| !state.done) else { return };
         let mut crashes = state.crashes;
         match outcome {
-            Outcome::Open | Outcome::Unknown => return,
+            Outcome::Pending | Outcome::Unknown => return,
             Outcome::Found => crashes.found(),
-            Outcome::Nothing => {
-                crashes.came_to_nothing();
+            Outcome::NotRunning => {
+                crashes.did_not_start();
                 self.mark_changed(task.job);
             }
             Outcome::Crashed => {
                 let sequence = self.mark_changed(task.job);
-                crashes.add_unseen(sequence, now.steady_ms);
+                crashes.add_unseen_crash(sequence, now.steady_ms);
             }
         }
         let job = self.jobs.get_mut(&task.job);
@@ -206,12 +222,12 @@
             state.crashes = crashes;
         }
         if outcome == Outcome::Crashed {
-            self.judge_unseen(task, worker, crashes, now);
+            self.judge_unseen_crash(task, worker, crashes, now);
         }
     }
 
     /// Gives a task up that has crashed too many workers.
-    fn judge_unseen(
+    fn judge_unseen_crash(
         &mut self,
         task: &TaskId,
         worker: &WorkerId,
@@ -226,7 +242,7 @@
             most_age_ms: crashes.most_age_ms(),
             alone: false,
         });
-        if crashes.are_too_many() {
+        if crashes.exceed_limits() {
             self.give_up(task, crashes.count, now);
         }
     }
@@ -237,7 +253,11 @@
 
     /// Returns whether a worker is gone since a former holder moved or
     /// maintained its VM.
-    pub(super) fn was_taken_down(&self, lost: &UnheardLoss, now: Now) -> bool {
+    pub(super) fn was_taken_down(
+        &self,
+        lost: &UnsyncedLoss,
+        now: Now,
+    ) -> bool {
         let changes = self.vms.get(&lost.vm).is_some_and(|vm| {
             matches!(vm.life, VmLife::Moving | VmLife::Maintenance)
                 || vm.pool != lost.pool
@@ -246,8 +266,8 @@
     }
 
     /// Notes that a worker may have crashed under starts of former holders.
-    pub(super) fn note_unheard_loss(&mut self, lost: &UnheardLoss) {
-        *self.unheard_losses.entry(lost.pool.clone()).or_insert(0) += 1;
+    pub(super) fn note_unsynced_loss(&mut self, lost: &UnsyncedLoss) {
+        *self.unsynced_losses.entry(lost.pool.clone()).or_insert(0) += 1;
         self.uncounted_pools.insert(lost.pool.clone());
         self.knows_suspects = true;
     }
@@ -271,9 +291,9 @@
         if !self.uncounted_pools.contains(pool) {
             return 0;
         }
-        let lost = self.unheard_losses.get(pool);
-        let starts = lost.map_or(0, |lost| (*lost).min(MOST_UNSEEN));
-        let counted = task.crashes.only_unheard();
+        let lost = self.unsynced_losses.get(pool);
+        let starts = lost.map_or(0, |lost| (*lost).min(MAX_UNSEEN));
+        let counted = task.crashes.only_unsynced();
         let waits = task.run == task.ended_run;
         let more = waits && counted.is_some_and(|counted| counted < starts);
         if more { starts } else { 0 }
--- a/crates/dewspar/src/schedule/steadiness.rs
+++ b/crates/dewspar/src/schedule/vm_stability.rs
@@ -10,40 +10,41 @@
 
 /// For how long a crash counts against a VM, in milliseconds: several times
 /// what one that goes up and down takes for that.
-const UNSTEADY_MS: u64 = 30_000;
+const CRASH_MEMORY_MS: u64 = 30_000;
 
 /// When the workers on a VM crashed last, and the time before that.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct VmCrashes {
     last_ms: u64,
-    before_ms: u64,
+    previous_ms: u64,
 }
 
 /// How a VM has done of late.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub(super) enum Steadiness {
+pub(super) enum VmStability {
     /// Its workers have crashed twice or more.
-    GoesUpAndDown,
+    Flapping,
     /// Its worker has crashed, or may have.
-    Doubtful,
+    Unproven,
     /// None has crashed.
-    Steady,
+    Stable,
 }
 
 impl VmCrashes {
     fn note(&mut self, now_ms: u64) {
-        self.before_ms = self.last_ms;
+        self.previous_ms = self.last_ms;
         self.last_ms = now_ms;
     }
 
-    fn steadiness(&self, now_ms: u64) -> Steadiness {
-        let counts = |at_ms: u64| at_ms > 0 && now_ms < at_ms + UNSTEADY_MS;
-        if counts(self.before_ms) {
-            Steadiness::GoesUpAndDown
+    fn stability(&self, now_ms: u64) -> VmStability {
+        let counts =
+            |at_ms: u64| at_ms > 0 && now_ms < at_ms + CRASH_MEMORY_MS;
+        if counts(self.previous_ms) {
+            VmStability::Flapping
         } else if counts(self.last_ms) {
-            Steadiness::Doubtful
+            VmStability::Unproven
         } else {
-            Steadiness::Steady
+            VmStability::Stable
         }
     }
 }
@@ -57,9 +58,9 @@
         now: Now,
     ) -> bool {
         let Some(vm) = vm else { return false };
-        let steady = self.steadiness(vm, now) == Steadiness::Steady;
+        let steady = self.vm_stability(vm, now) == VmStability::Stable;
         self.vm_crashes.retain(|_, crashes| {
-            crashes.steadiness(now.steady_ms) != Steadiness::Steady
+            crashes.stability(now.steady_ms) != VmStability::Stable
         });
         let crashes = self.vm_crashes.entry(vm.to_owned()).or_default();
         crashes.note(now.steady_ms);
@@ -67,13 +68,13 @@
     }
 
     /// Returns how a VM has done of late.
-    pub(super) fn steadiness(&self, vm: &str, now: Now) -> Steadiness {
+    pub(super) fn vm_stability(&self, vm: &str, now: Now) -> VmStability {
         let crashes = self.vm_crashes.get(vm).copied().unwrap_or_default();
         // What its workers did under a former holder isn't known.
-        let known = now.steady_ms >= self.taken_over_ms + UNSTEADY_MS;
-        match crashes.steadiness(now.steady_ms) {
-            Steadiness::Steady if !known => Steadiness::Doubtful,
-            steadiness => steadiness,
+        let known = now.steady_ms >= self.taken_over_ms + CRASH_MEMORY_MS;
+        match crashes.stability(now.steady_ms) {
+            VmStability::Stable if !known => VmStability::Unproven,
+            stability => stability,
         }
     }
 }
--- a/crates/dewspar/src/schedule/worker.rs
+++ b/crates/dewspar/src/schedule/worker.rs
@@ -15,7 +15,7 @@
 
 mod clock;
 mod hold;
-mod succession;
+mod restart;
 
 /// Room in a fencing token for the orders of one lease holder that had to
 /// be fenced off themselves, a power of two.
--- a/crates/dewspar/src/schedule/worker/succession.rs
+++ b/crates/dewspar/src/schedule/worker/restart.rs
@@ -20,7 +20,7 @@
     ///
     /// It goes on from the tokens of before: an order under one of these may
     /// still be on its way.
-    pub(crate) fn listed_again(
+    pub(crate) fn relisted(
         listing: WorkerListing,
         lease_revision: u64,
         tokens_used: TokensUsed,
@@ -48,7 +48,7 @@
     ///
     /// The runs that are left are those whose orders the next process may carry
     /// out in place of this one.
-    pub(crate) fn followed_by(
+    pub(crate) fn next_process(
         self,
         listing: WorkerListing,
         now: Now,
@@ -64,7 +64,7 @@
         };
         next.sum_kept();
         for (task, run) in self.runs {
-            next.insert(task, run.outliving_its_process());
+            next.insert(task, run.carried_over());
         }
         next
     }
@@ -73,7 +73,7 @@
 impl Run {
     /// Makes it one that was ordered of a process that has ended, and may begin
     /// on the next.
-    fn outliving_its_process(self) -> Run {
+    fn carried_over(self) -> Run {
         let state = match self.state {
             RunState::Starting | RunState::Running => RunState::Starting,
             RunState::Stopping(mut stop) => {
--- a/crates/dewspar/src/schedule/write_ahead.rs
+++ b/crates/dewspar/src/schedule/write_ahead.rs
@@ -44,7 +44,7 @@
 const RECORD_WAIT_MS: u64 = 300;
 
 /// How many starts may be withheld at a time: they take room on workers.
-const MOST_WITHHELD: usize = 512;
+const MAX_WITHHELD: usize = 512;
 
 /// A run that has its place on a worker and is still to be ordered.
 #[derive(Clone, Debug)]
@@ -93,12 +93,12 @@
 
     /// Returns whether no more starts are withheld for now.
     pub(super) fn is_full(&self) -> bool {
-        self.withheld.len() >= MOST_WITHHELD
+        self.withheld.len() >= MAX_WITHHELD
     }
 
     /// Notes that a job's changes up to this one are in the store, or that a write
     /// of them wasn't done.
-    pub(super) fn job_written(&mut self, job: JobId, sequence: u64) {
+    pub(super) fn note_job_written(&mut self, job: JobId, sequence: u64) {
         let first = TaskId { job, round: 0, step: 0, index: 0 };
         let of_job = self.withheld.range_mut(first..);
         for (task, withheld) in of_job.take_while(|(task, _)| task.job == job)
@@ -168,7 +168,7 @@
         start: PlacedStart,
         now: Now,
     ) {
-        let sequence = if self.start_logs.are_on() {
+        let sequence = if self.start_logs.are_enabled() {
             self.start_logs.add(*task);
             self.sequence += 1;
             self.sequence
@@ -191,7 +191,7 @@
         actions: &mut Vec<Action>,
     ) {
         for task in self.write_ahead.take_due(now) {
-            match self.next_of_withheld(&task, now) {
+            match self.decide_withheld(&task, now) {
                 Next::Wait => self.write_ahead.due.push(task),
                 Next::Order => {
                     let withheld = self.write_ahead.withheld.remove(&task);
@@ -224,7 +224,7 @@
     }
 
     /// Decides about a start that waits for its record no longer.
-    fn next_of_withheld(&self, task: &TaskId, now: Now) -> Next {
+    fn decide_withheld(&self, task: &TaskId, now: Now) -> Next {
         let Some(withheld) = self.write_ahead.withheld.get(task) else {
             return Next::Withdraw;
         };
@@ -252,7 +252,7 @@
         let worker = self.workers.get(&start.worker);
         let here = worker.and_then(|worker| worker.runs.get(task));
         if here.is_some_and(|here| here.run == start.run) {
-            self.note_suspect_over(task);
+            self.note_suspect_ended(task);
             self.free_run(task, &start.worker, now);
         }
     }
--- a/crates/dewspar/tests/newer_fields.rs
+++ b/crates/dewspar/tests/newer_fields.rs
@@ -62,7 +62,7 @@
     let mut scheduler = scheduler(Some(&read(&record())));
     // A change of this holder's own.
     let change = json!({ "phase": "running", "done": ["0.0:6"] });
-    scheduler.go_on_from(id(), &read(&change), NOW);
+    scheduler.merge_record(id(), &read(&change), NOW);
     let mut expected = record();
     expected["done"] = json!(["0.0:1-2", "0.0:6"]);
     assert_eq!(stored(&mut scheduler), expected);
@@ -71,7 +71,7 @@
 #[test]
 fn a_holder_that_meets_another_record_takes_in_what_it_does_not_know() {
     let mut scheduler = scheduler(None);
-    scheduler.go_on_from(id(), &read(&record()), NOW);
+    scheduler.merge_record(id(), &read(&record()), NOW);
     assert_eq!(stored(&mut scheduler), record());
 }
 
@@ -86,7 +86,7 @@
     let mut over = record();
     over["phase"] = json!("failed");
     let mut scheduler = self::scheduler(None);
-    scheduler.go_on_from(id(), &read(&over), NOW);
+    scheduler.merge_record(id(), &read(&over), NOW);
     let stored = self::stored(&mut scheduler);
     assert_eq!(stored["phase"], "failed");
     assert_eq!(stored["newer"], record()["newer"]);
--- a/crates/dewspar/tests/schedule/cancelling.rs
+++ b/crates/dewspar/tests/schedule/cancelling.rs
@@ -298,7 +298,7 @@
 /// Returns whether the cancelling of job 1 needn't be on record any longer.
 fn settles(world: &mut World) -> bool {
     let now = at(world.now_ms);
-    let settled = world.scheduler.take_settled_cancellings(now, 31);
+    let settled = world.scheduler.take_settled_cancellations(now, 31);
     settled == [id(1)]
 }
 
--- a/crates/dewspar/tests/schedule/chain.rs
+++ b/crates/dewspar/tests/schedule/chain.rs
@@ -217,7 +217,7 @@
             }
         }
         world.scheduler.changes_stored(&changes, now);
-        for id in world.scheduler.take_settled_cancellings(now, 31) {
+        for id in world.scheduler.take_settled_cancellations(now, 31) {
             self.cancelled.remove(&id);
         }
     }
--- a/crates/dewspar/tests/schedule/crashing.rs
+++ b/crates/dewspar/tests/schedule/crashing.rs
@@ -26,7 +26,7 @@
 
 /// The most starts that a task may get of which each crashes its worker: three
 /// that show what it does, and fewer than three more.
-pub const MOST_STARTS: usize = 5;
+pub const MAX_STARTS: usize = 5;
 
 pub fn first_task(job: JobId) -> TaskId {
     TaskId { job, round: 0, step: 0, index: 0 }
@@ -51,7 +51,7 @@
     world.scheduler.submit(id(1), job(vec![step(2)]), 6, None);
     world.run_for(60_000);
     let starts = starts_of(&world, &bad);
-    assert!(starts <= MOST_STARTS, "started {starts} times");
+    assert!(starts <= MAX_STARTS, "started {starts} times");
     assert_eq!(world.phases[&id(1)], "failed");
 }
 
@@ -108,7 +108,7 @@
     }
     world.run_for(60_000);
     let starts = starts_of(&world, &bad);
-    assert!(starts <= MOST_STARTS, "started {starts} times");
+    assert!(starts <= MAX_STARTS, "started {starts} times");
 }
 
 #[test]
@@ -144,7 +144,7 @@
     world.scheduler.submit(id(1), job(vec![lasting]), 6, None);
     world.run_for(60_000);
     let starts = starts_of(&world, &bad);
-    assert!(starts <= MOST_STARTS, "started {starts} times");
+    assert!(starts <= MAX_STARTS, "started {starts} times");
     assert_eq!(world.phases[&id(1)], "failed");
 }
 
@@ -208,7 +208,7 @@
         let expected = if bad { "failed" } else { "completed" };
         assert_eq!(world.phases[&id(number)], expected, "job {number}");
         let starts = starts_of(&world, &first_task(id(number)));
-        let most = if bad { MOST_STARTS } else { usize::MAX };
+        let most = if bad { MAX_STARTS } else { usize::MAX };
         assert!(starts <= most, "job {number} started {starts} times");
     }
 }
@@ -245,7 +245,7 @@
     }
     world.run_for(60_000);
     let starts = starts_of(&world, &bad);
-    assert!(starts <= MOST_STARTS, "started {starts} times");
+    assert!(starts <= MAX_STARTS, "started {starts} times");
     assert_eq!(world.phases[&id(1)], "failed");
 }
 
--- a/crates/dewspar/tests/schedule/loading.rs
+++ b/crates/dewspar/tests/schedule/loading.rs
@@ -233,8 +233,8 @@
     let vms: Vec<_> =
         world.listings.iter().chain([&new]).map(managed).collect();
     world.scheduler.list_vms(at(world.now_ms), world.now_ms, &vms);
-    let unlisted = world.scheduler.unlisted_lives();
+    let unlisted = world.scheduler.unlisted_workers();
     assert_eq!(unlisted, std::slice::from_ref(&new.id));
     world.scheduler.list_worker(at(world.now_ms), new);
-    assert!(world.scheduler.unlisted_lives().is_empty());
+    assert!(world.scheduler.unlisted_workers().is_empty());
 }
--- a/crates/dewspar/tests/schedule/main.rs
+++ b/crates/dewspar/tests/schedule/main.rs
@@ -18,7 +18,7 @@
 mod placing;
 mod pools;
 
-mod readings;
+mod directory_reads;
 mod records;
 mod restarted_workers;
 mod review;
--- a/crates/dewspar/tests/schedule/records.rs
+++ b/crates/dewspar/tests/schedule/records.rs
@@ -41,7 +41,7 @@
 fn a_task_that_is_done_on_record_is_stopped_and_not_started_again() {
     let mut world = world_with_a_running_job();
     let record = running(vec![done(0)]);
-    world.scheduler.go_on_from(id(1), &record, at(world.now_ms));
+    world.scheduler.merge_record(id(1), &record, at(world.now_ms));
     world.run_for(1_000);
     let running = world.running();
     assert_eq!(running.len(), 1, "{running:?}");
@@ -54,7 +54,7 @@
 fn a_job_is_over_once_the_record_names_the_last_tasks_as_done() {
     let mut world = world_with_a_running_job();
     let record = running(vec![done(0), done(1)]);
-    world.scheduler.go_on_from(id(1), &record, at(world.now_ms));
+    world.scheduler.merge_record(id(1), &record, at(world.now_ms));
     world.run_for(500);
     assert_eq!(world.phases.get(&id(1)), Some(&"completed"));
     assert!(world.running().is_empty());
@@ -65,11 +65,11 @@
     let mut world = world_with_a_running_job();
     for runs in [&[5][..], &[5], &[5, 6]] {
         let record = running(vec![failed(0, runs)]);
-        world.scheduler.go_on_from(id(1), &record, at(world.now_ms));
+        world.scheduler.merge_record(id(1), &record, at(world.now_ms));
     }
     assert_eq!(world.scheduler.phase(id(1)), Some(Phase::Running));
     let record = running(vec![failed(0, &[6, 7])]);
-    world.scheduler.go_on_from(id(1), &record, at(world.now_ms));
+    world.scheduler.merge_record(id(1), &record, at(world.now_ms));
     let phase = world.scheduler.phase(id(1));
     assert_eq!(phase, Some(Phase::Failed), "three runs failed in all");
 }
@@ -78,9 +78,9 @@
 fn an_older_record_takes_nothing_back() {
     let mut world = world_with_a_running_job();
     let newer = running(vec![done(0), failed(1, &[4, 5])]);
-    world.scheduler.go_on_from(id(1), &newer, at(world.now_ms));
+    world.scheduler.merge_record(id(1), &newer, at(world.now_ms));
     let older = Progress { phase: Phase::Queued, ..running(Vec::new()) };
-    world.scheduler.go_on_from(id(1), &older, at(world.now_ms));
+    world.scheduler.merge_record(id(1), &older, at(world.now_ms));
     world.run_for(200);
     assert_eq!(world.stored[&id(1)].phase, Phase::Running);
     assert_eq!(world.stored[&id(1)].tasks, newer.tasks);
@@ -96,7 +96,7 @@
         tasks: Vec::new(),
         ..Progress::default()
     };
-    world.scheduler.go_on_from(id(1), &over, at(world.now_ms));
+    world.scheduler.merge_record(id(1), &over, at(world.now_ms));
     world.run_for(500);
     assert_eq!(world.stored.get(&id(1)), Some(&over));
     assert!(world.running().is_empty());
@@ -106,7 +106,7 @@
 fn a_job_that_is_left_alone_is_stopped_and_not_stored() {
     let mut world = world_with_a_running_job();
     let stored = world.stored.get(&id(1)).cloned();
-    world.scheduler.leave_alone(id(1));
+    world.scheduler.quarantine_job(id(1));
     world.run_for(500);
     assert!(world.running().is_empty());
     assert!(world.starts.is_empty(), "{:?}", world.starts);
@@ -121,9 +121,9 @@
 
 /// Takes all ends that wait to be set aside.
 fn ends_set_aside(scheduler: &mut Scheduler) -> usize {
-    let ends = scheduler.take_ends_set_aside(31);
+    let ends = scheduler.take_quarantined_ends(31);
     let number = ends.ends().count();
-    scheduler.ends_not_stored(&ends);
+    scheduler.quarantined_ends_failed(&ends);
     number
 }
 
@@ -140,7 +140,7 @@
     // Heard, and not stored.
     world.outage = true;
     world.run_for(1_000);
-    world.scheduler.leave_alone(id(1));
+    world.scheduler.quarantine_job(id(1));
     world.outage = false;
     // What is stored of other jobs says nothing of these.
     world.scheduler.submit(id(2), job(vec![step(1)]), 9, None);
@@ -148,19 +148,19 @@
     assert_eq!(world.phases.get(&id(2)), Some(&"completed"));
     assert_eq!(ends_set_aside(&mut world.scheduler), 2);
     assert!(told_again(&world) >= 2);
-    let ends = world.scheduler.take_ends_set_aside(31);
-    world.scheduler.ends_stored(&ends, at(world.now_ms));
+    let ends = world.scheduler.take_quarantined_ends(31);
+    world.scheduler.quarantined_ends_stored(&ends, at(world.now_ms));
     world.run_for(200);
     assert_eq!(told_again(&world), 0);
-    assert!(world.scheduler.take_ends_set_aside(31).is_empty());
+    assert!(world.scheduler.take_quarantined_ends(31).is_empty());
 }
 
 #[test]
 fn an_end_that_was_set_aside_counts_as_if_it_were_heard() {
     let mut world = world_with_a_running_job();
-    world.scheduler.leave_alone(id(1));
+    world.scheduler.quarantine_job(id(1));
     world.run_for(500);
-    let stopped = world.scheduler.take_ends_set_aside(31);
+    let stopped = world.scheduler.take_quarantined_ends(31);
     assert_eq!(stopped.ends().count(), 2);
     // The next holder can read the job.
     world.take_over(9);
@@ -168,8 +168,8 @@
     for end in stopped.ends() {
         let mut done = end.clone();
         done.end.cause = EndCause::Done;
-        world.scheduler.take_in_end(&done, at(world.now_ms));
-        world.scheduler.take_in_end(&done, at(world.now_ms));
+        world.scheduler.apply_quarantined_end(&done, at(world.now_ms));
+        world.scheduler.apply_quarantined_end(&done, at(world.now_ms));
     }
     assert_eq!(world.scheduler.phase(id(1)), Some(Phase::Completed));
 }
--- a/crates/dewspar/tests/schedule/restarted_workers.rs
+++ b/crates/dewspar/tests/schedule/restarted_workers.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        crashing::{MOST_STARTS, first_task, starts_of},
+        crashing::{MAX_STARTS, first_task, starts_of},
         moving::look,
         world::{RunKind, World, at, id, job, next_hold, step},
     },
@@ -163,7 +163,7 @@
     go_on(&mut world, 60_000);
     assert_eq!(world.phases.get(&id(1)), Some(&"failed"));
     let starts = starts_of(&world, &bad);
-    assert!(starts <= MOST_STARTS, "started {starts} times");
+    assert!(starts <= MAX_STARTS, "started {starts} times");
 }
 
 // One crash that the entry, an answer and the list of VMs tell of is one.
@@ -327,7 +327,7 @@
         world.expect_all();
     }
     let starts = starts_of(&world, &bad);
-    assert!(starts <= MOST_STARTS, "started {starts} times");
+    assert!(starts <= MAX_STARTS, "started {starts} times");
     assert_eq!(world.phases.get(&id(1)), Some(&"failed"));
     for sound in [id(2), id(3)] {
         assert_eq!(world.phases[&sound], "completed", "{sound}");
--- a/crates/dewspar/tests/schedule/start_log.rs
+++ b/crates/dewspar/tests/schedule/start_log.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        crashing::{MOST_STARTS, first_task, starts_of},
+        crashing::{MAX_STARTS, first_task, starts_of},
         world::{World, at, id, job, step},
     },
     dewspar::{
@@ -23,7 +23,7 @@
 impl Logging {
     fn new(names: &[&str]) -> Logging {
         let mut world = World::new(5, names);
-        world.scheduler.log_starts();
+        world.scheduler.enable_start_log();
         world.list();
         world.expect_all();
         Logging { world, logs: Vec::new(), logged: 0 }
@@ -66,10 +66,10 @@
         let lives = |worker: &WorkerListing| workers.contains_key(&worker.id);
         world.listings.retain(lives);
         world.take_over(revision);
-        world.scheduler.log_starts();
+        world.scheduler.enable_start_log();
         let logs = std::mem::take(&mut self.logs);
         let starts = logs.iter().flat_map(|log| log.starts().to_vec());
-        world.scheduler.take_logged_starts(starts.collect());
+        world.scheduler.inherit_logged_starts(starts.collect());
         for number in jobs {
             let progress = world.stored.get(number).cloned();
             let accepted = job(vec![step(1)]);
@@ -105,7 +105,7 @@
         logging.take_over(revision, &jobs);
     }
     let starts = starts_of(&logging.world, &bad);
-    assert!(starts <= MOST_STARTS, "started {starts} times");
+    assert!(starts <= MAX_STARTS, "started {starts} times");
     assert_eq!(logging.world.phases[&id(1)], "failed");
     for sound in [id(2), id(3)] {
         assert_eq!(logging.world.phases[&sound], "completed", "{sound}");
--- a/crates/dewspar/tests/schedule/storing.rs
+++ b/crates/dewspar/tests/schedule/storing.rs
@@ -25,7 +25,7 @@
 /// Changes a job.
 fn change(world: &mut World, number: u64) {
     let now = at(world.now_ms);
-    world.scheduler.go_on_from(id(number), &Progress::default(), now);
+    world.scheduler.merge_record(id(number), &Progress::default(), now);
 }
 
 fn jobs_of(changes: &Changes) -> Vec<JobId> {
--- a/crates/dewspar/tests/schedule/unseen_starts.rs
+++ b/crates/dewspar/tests/schedule/unseen_starts.rs
@@ -13,7 +13,7 @@
 
 use {
     crate::{
-        crashing::{MOST_STARTS, first_task, starts_of},
+        crashing::{MAX_STARTS, first_task, starts_of},
         world::{World, at, id, job, managed, step},
     },
     dewspar::{
@@ -73,7 +73,7 @@
         take_over_without_trace(&mut world, revision, &jobs);
     }
     let starts = starts_of(&world, &bad);
-    assert!(starts <= MOST_STARTS, "started {starts} times");
+    assert!(starts <= MAX_STARTS, "started {starts} times");
     assert_eq!(world.phases[&id(1)], "failed");
     for sound in [id(2), id(3)] {
         assert_eq!(world.phases[&sound], "completed", "{sound}");
@@ -271,7 +271,7 @@
     world.expect_all();
     world.run_for(60_000);
     let starts = starts_of(&world, &bad);
-    assert!(starts <= MOST_STARTS, "started {starts} times");
+    assert!(starts <= MAX_STARTS, "started {starts} times");
     assert_eq!(world.phases[&id(1)], "failed");
 }
 
@@ -301,7 +301,7 @@
         next(&mut world, revision, &jobs);
     }
     let starts = starts_of(&world, &bad);
-    assert!(starts <= MOST_STARTS, "started {starts} times");
+    assert!(starts <= MAX_STARTS, "started {starts} times");
     assert_eq!(world.phases[&id(1)], "failed");
     for sound in [id(2), id(3)] {
         assert_eq!(world.phases[&sound], "completed", "{sound}");
--- a/crates/dewspar/tests/schedule_random/world.rs
+++ b/crates/dewspar/tests/schedule_random/world.rs
@@ -569,7 +569,7 @@
             return;
         }
         let now = self.now();
-        for id in self.scheduler.take_settled_cancellings(now, 31) {
+        for id in self.scheduler.take_settled_cancellations(now, 31) {
             self.store.on_record.remove(&id);
         }
     }
--- a/crates/dewspard/src/jobs/aside.rs
+++ b/crates/dewspard/src/jobs/aside.rs
@@ -13,7 +13,7 @@
     dewspar::{
         job::{JobId, Progress},
         record::RecordWritten,
-        schedule::{Changes, EndSetAside, EndsSetAside, Now},
+        schedule::{Changes, Now, QuarantinedEnd, QuarantinedEnds},
     },
     dewspar_platform::{
         Batch, Error, Expected, Fleet, JobWorkers, KeyValue, Purpose,
@@ -33,7 +33,7 @@
 /// Ends that former holders have set aside, by their job.
 #[derive(Debug, Default)]
 pub(super) struct LoadedEnds {
-    of_jobs: BTreeMap<JobId, Vec<EndSetAside>>,
+    of_jobs: BTreeMap<JobId, Vec<QuarantinedEnd>>,
     /// The jobs whose ends were taken in.
     taken_in: BTreeSet<JobId>,
     is_writing: bool,
@@ -42,7 +42,7 @@
 }
 
 impl LoadedEnds {
-    pub(super) fn take_loaded(&mut self, ends: Vec<EndSetAside>) {
+    pub(super) fn take_loaded(&mut self, ends: Vec<QuarantinedEnd>) {
         for end in ends {
             let of_job = self.of_jobs.entry(end.end.task.job).or_default();
             of_job.push(end);
@@ -54,13 +54,13 @@
         &mut self,
         id: JobId,
         progress: &Progress,
-    ) -> Vec<EndSetAside> {
+    ) -> Vec<QuarantinedEnd> {
         let Some(ends) = self.of_jobs.get_mut(&id) else {
             return Vec::new();
         };
         let over = progress.phase.is_final();
         let taken_in = self.taken_in.contains(&id);
-        let is_stored = |aside: &mut EndSetAside| {
+        let is_stored = |aside: &mut QuarantinedEnd| {
             over || taken_in && holds(progress, aside)
         };
         let stored = ends.extract_if(.., is_stored).collect();
@@ -72,8 +72,8 @@
 }
 
 /// Returns whether a job's record tells of the end of a run.
-fn holds(progress: &Progress, aside: &EndSetAside) -> bool {
-    let EndSetAside { end, .. } = aside;
+fn holds(progress: &Progress, aside: &QuarantinedEnd) -> bool {
+    let QuarantinedEnd { end, .. } = aside;
     progress.tasks.iter().any(|record| {
         let place = (record.round, record.step, record.index);
         place == (end.task.round, end.task.step, end.task.index)
@@ -86,7 +86,7 @@
 pub(super) async fn load_ends<K: KeyValue>(
     store: &K,
     log: &Logger,
-) -> Result<Vec<EndSetAside>, Error> {
+) -> Result<Vec<QuarantinedEnd>, Error> {
     let (_, found) = store.list(keys::ENDS).await?;
     let mut ends = Vec::new();
     for item in &found {
@@ -106,7 +106,7 @@
     pub(super) fn leave_unread(&mut self, id: JobId) {
         if self.scheduler.phase(id).is_none() {
             self.unreadable.insert(id);
-            self.scheduler.leave_alone(id);
+            self.scheduler.quarantine_job(id);
         }
     }
 
@@ -115,7 +115,7 @@
         let now = super::holder::now();
         let Some(ends) = self.ends.of_jobs.get(&id) else { return };
         for end in ends {
-            self.scheduler.take_in_end(end, now);
+            self.scheduler.apply_quarantined_end(end, now);
         }
         self.ends.taken_in.insert(id);
     }
@@ -126,7 +126,7 @@
         if self.ends.is_writing || !due {
             return;
         }
-        let ends = self.scheduler.take_ends_set_aside(ENDS_A_WRITE);
+        let ends = self.scheduler.take_quarantined_ends(ENDS_A_WRITE);
         if ends.is_empty() {
             return;
         }
@@ -152,16 +152,18 @@
     /// Takes in what became of a write of ends.
     pub(super) fn ends_written(
         &mut self,
-        ends: &EndsSetAside,
+        ends: &QuarantinedEnds,
         written: RecordWritten,
         now: Now,
     ) {
         self.ends.is_writing = false;
         match written {
-            RecordWritten::Done(_) => self.scheduler.ends_stored(ends, now),
+            RecordWritten::Done(_) => {
+                self.scheduler.quarantined_ends_stored(ends, now)
+            }
             RecordWritten::Failed => {
                 self.ends.write_from_ms = now.steady_ms + RETRY_MS;
-                self.scheduler.ends_not_stored(ends);
+                self.scheduler.quarantined_ends_failed(ends);
             }
             // Nothing but the lease's key has to be as it was.
             RecordWritten::Conflict { .. } => {
@@ -187,18 +189,18 @@
             scheduler.phase(*id).is_none() && !unreadable.contains(id)
         };
         let of_jobs = &mut self.ends.of_jobs;
-        let useless: Vec<EndSetAside> = of_jobs
+        let useless: Vec<QuarantinedEnd> = of_jobs
             .extract_if(.., |id, _| useless(id))
             .flat_map(|(_, ends)| ends)
             .collect();
         self.delete_ends(&useless);
     }
 
-    fn delete_ends(&self, ends: &[EndSetAside]) {
+    fn delete_ends(&self, ends: &[QuarantinedEnd]) {
         for some in ends.chunks(ENDS_A_WRITE) {
             let lease = Expected::Version(self.held.revision);
             let mut batch = Batch::default().when(keys::OWNER, lease);
-            for EndSetAside { end, .. } in some {
+            for QuarantinedEnd { end, .. } in some {
                 batch = batch.delete(&keys::end(&end.task, end.run));
             }
             self.write(batch, "deletion of ends set aside");
@@ -206,13 +208,13 @@
     }
 }
 
-fn put_ends(lease_revision: u64, ends: &EndsSetAside) -> Batch {
+fn put_ends(lease_revision: u64, ends: &QuarantinedEnds) -> Batch {
     let lease = Expected::Version(lease_revision);
     let batch = Batch::default().when(keys::OWNER, lease);
     ends.ends().fold(batch, |batch, aside| {
         // OK because it holds only what JSON can write.
         let value = serde_json::to_vec(aside).expect("plain JSON");
-        let EndSetAside { end, .. } = aside;
+        let QuarantinedEnd { end, .. } = aside;
         batch.put(&keys::end(&end.task, end.run), value)
     })
 }
--- a/crates/dewspard/src/jobs/event.rs
+++ b/crates/dewspard/src/jobs/event.rs
@@ -15,9 +15,9 @@
         job::TaskId,
         record::RecordWritten,
         schedule::{
-            Changes, EndSetAside, EndsSetAside, Held as SentHold, HoldReport,
-            ManagedVm, OrderError, PaceOrder, StartLog, VmOrderError,
-            WorkerId, WorkerListing,
+            Changes, Held as SentHold, HoldReport, ManagedVm, OrderError,
+            PaceOrder, QuarantinedEnd, QuarantinedEnds, StartLog,
+            VmOrderError, WorkerId, WorkerListing,
         },
     },
     dewspar_platform::Error,
@@ -69,10 +69,10 @@
     /// Jobs that former holders left.
     JobsLoaded(LoadedJobs),
     /// Ends of runs whose job former holders couldn't read.
-    EndsLoaded(Vec<EndSetAside>),
+    EndsLoaded(Vec<QuarantinedEnd>),
     /// What became of a write of such ends.
     EndsWritten {
-        ends: EndsSetAside,
+        ends: QuarantinedEnds,
         written: RecordWritten,
     },
     /// Starts that former holders have logged.
--- a/crates/dewspard/src/jobs/holder.rs
+++ b/crates/dewspard/src/jobs/holder.rs
@@ -130,7 +130,7 @@
     let mut scheduler =
         Scheduler::new(held.revision, candidate.options.clone());
     scheduler.begin_loading();
-    scheduler.log_starts();
+    scheduler.enable_start_log();
     let mut holder = Holder {
         candidate,
         workers,
@@ -381,7 +381,7 @@
     /// Looks up the workers that the list of VMs names and the directory, as
     /// it was last read, doesn't.
     fn look_up_lives(&self) {
-        let lives = self.scheduler.unlisted_lives();
+        let lives = self.scheduler.unlisted_workers();
         if lives.is_empty() {
             return;
         }
--- a/crates/dewspard/src/jobs/records.rs
+++ b/crates/dewspard/src/jobs/records.rs
@@ -150,8 +150,9 @@
 
     /// Deletes cancellings of which nothing runs any more.
     pub(super) fn delete_settled(&mut self, now: Now) {
-        let settled =
-            self.scheduler.take_settled_cancellings(now, CANCELLINGS_A_WRITE);
+        let settled = self
+            .scheduler
+            .take_settled_cancellations(now, CANCELLINGS_A_WRITE);
         if settled.is_empty() {
             return;
         }
--- a/crates/dewspard/src/jobs/start_logs.rs
+++ b/crates/dewspard/src/jobs/start_logs.rs
@@ -96,7 +96,7 @@
                 "logs" => keys.len(), "starts" => starts.len());
         }
         self.start_logs.former = keys;
-        self.scheduler.take_logged_starts(starts);
+        self.scheduler.inherit_logged_starts(starts);
     }
 
     /// Writes the starts that wait to be on record, and deletes the logs that
--- a/crates/dewspard/src/jobs/storing.rs
+++ b/crates/dewspard/src/jobs/storing.rs
@@ -196,7 +196,7 @@
             Resolution::LeaveAlone => {
                 for (id, _) in &change.progress {
                     self.unreadable.insert(*id);
-                    self.scheduler.leave_alone(*id);
+                    self.scheduler.quarantine_job(*id);
                 }
             }
         }
@@ -209,7 +209,7 @@
         now: Now,
     ) {
         for (id, _) in &change.progress {
-            self.scheduler.go_on_from(*id, record, now);
+            self.scheduler.merge_record(*id, record, now);
         }
     }
 
