--- a/crates/dewspar/src/schedule/hold_answers.rs
+++ b/crates/dewspar/src/schedule/hold_answers.rs
@@ -9,7 +9,7 @@
             ActiveRun, Decision, EndCause, EndedRun, Held, HoldReport,
             Incarnation, Now, OrderError, Refusal, Room, Scheduler, WorkerId,
             WorkerListing,
-            board::{Job, demand},
+            job_state::{Job, demand},
             order_answers::call_end,
             processes::IncarnationOrder,
             worker::{OwedHold, Run, RunState},
@@ -221,7 +221,7 @@
         });
         let Some(failures) = failures else {
             // Of a job that is over and stored there is nothing more to store.
-            let sequence = self.quarantine_end(worker_id, end);
+            let sequence = self.defer_end(worker_id, end);
             self.acknowledge(worker_id, end, sequence, now);
             return;
         };
@@ -259,11 +259,11 @@
         sequence: u64,
         now: Now,
     ) {
-        let (jobs, quarantine) = (&self.jobs, &self.quarantine);
+        let (jobs, unreadable_jobs) = (&self.jobs, &self.unreadable_jobs);
         if let Some(worker) = self.workers.get_mut(worker_id) {
             worker.end_changes(end.number, end.task.job, sequence);
             worker.store_ends(now.steady_ms, |job, sequence| {
-                quarantine.is_stored(jobs, job, sequence)
+                unreadable_jobs.is_stored(jobs, job, sequence)
             });
         }
     }
--- a/crates/dewspar/src/schedule/mod.rs
+++ b/crates/dewspar/src/schedule/mod.rs
@@ -106,10 +106,10 @@
     policy::{
         Forecast, InvalidPolicy, Orders, Placing, Policy, Sizing, Watching,
     },
-    quarantine::{QuarantinedEnd, QuarantinedEnds},
     scheduler::Scheduler,
     start_log::{LoggedStart, StartLog},
     storing::Changes,
+    unreadable_jobs::{DeferredEnd, DeferredEndBatch},
     vm::{ManagedVm, VmLife, VmOrder, VmOrderError, WaveRecord, WaveRequest},
     wave_account::{LeftVms, WaveAccount, WaveTime},
     wave_choice::WavePace,
@@ -121,9 +121,7 @@
 };
 
 mod advice;
-mod board;
 mod cancelled;
-mod claims;
 mod crash_bursts;
 mod directory;
 mod duty;
@@ -131,32 +129,34 @@
 mod full_pools;
 mod hold_answers;
 mod in_doubt;
+mod job_state;
 mod jobs;
-mod lasting;
 mod loading;
+mod long_running;
+mod long_waits;
 mod maintenance;
 mod options;
 mod order;
 mod order_answers;
 mod pacing;
-mod place;
-mod places;
+mod placement;
 mod policy;
 mod processes;
 mod projection;
-mod quarantine;
 mod questions;
 mod record_merge;
+mod reservations;
 mod scheduler;
 mod sizing;
 mod start_log;
 mod stopping;
 mod storing;
 mod suspects;
+mod token_claims;
+mod unreadable_jobs;
 mod unseen_starts;
 mod vm;
 mod vm_stability;
-mod waits;
 mod wave_account;
 mod wave_choice;
 mod wave_state;
--- a/crates/dewspar/src/schedule/storing.rs
+++ b/crates/dewspar/src/schedule/storing.rs
@@ -130,11 +130,11 @@
 
     /// Moves on what may be acknowledged to each worker.
     pub(super) fn store_ends(&mut self, now: Now) {
-        let (jobs, quarantine) = (&self.jobs, &self.quarantine);
+        let (jobs, unreadable_jobs) = (&self.jobs, &self.unreadable_jobs);
         for number in self.workers.with_unstored_ends(&self.options) {
             let Some(worker) = self.workers.at_mut(number) else { continue };
             worker.store_ends(now.steady_ms, |job, sequence| {
-                quarantine.is_stored(jobs, job, sequence)
+                unreadable_jobs.is_stored(jobs, job, sequence)
             });
         }
     }
--- a/crates/dewspar/src/schedule/suspects.rs
+++ b/crates/dewspar/src/schedule/suspects.rs
@@ -45,8 +45,8 @@
         job::{JobId, Phase, StepSpec, TaskId, TaskRecord},
         schedule::{
             Decision, Now, Scheduler, WorkerId,
-            board::{Job, Task, demand},
             crash_bursts::{ReservationRequest, ReservedFor, likely_age_ms},
+            job_state::{Job, Task, demand},
             unseen_starts::UnsyncedLoss,
             vm_stability::VmStability,
             worker::{Run, Suspicion, Worker},
--- a/crates/dewspar/src/schedule/quarantine.rs
+++ b/crates/dewspar/src/schedule/unreadable_jobs.rs
@@ -12,7 +12,7 @@
 
 ```
 use dewspar::schedule::{
-    AcceptedJob, EndCause, QuarantinedEnd, EndedRun, Now, Options, Scheduler,
+    AcceptedJob, EndCause, DeferredEnd, EndedRun, Now, Options, Scheduler,
 };
 
 let now = Now { steady_ms: 1_000, unix_ms: 0 };
@@ -25,9 +25,9 @@
     cause: EndCause::Done,
     checkpoint: String::new(),
 };
-let aside = QuarantinedEnd { worker: "worker-1".to_owned(), end };
+let aside = DeferredEnd { worker: "worker-1".to_owned(), end };
 // Of an unknown job there is nothing to take in.
-scheduler.apply_quarantined_end(&aside, now);
+scheduler.apply_deferred_end(&aside, now);
 assert_eq!(scheduler.phase(task.job), None);
 # Ok::<(), dewspar::job::InvalidId>(())
 ```
@@ -47,7 +47,7 @@
 
 /// An end of a run whose job can't be read.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct QuarantinedEnd {
+pub struct DeferredEnd {
     /// The worker's life that listed it.
     pub worker: String,
     /// The end.
@@ -56,11 +56,11 @@
 
 /// Ends to be stored by themselves.
 #[derive(Clone, Debug, Default)]
-pub struct QuarantinedEnds(BTreeMap<u64, QuarantinedEnd>);
+pub struct DeferredEndBatch(BTreeMap<u64, DeferredEnd>);
 
-impl QuarantinedEnds {
+impl DeferredEndBatch {
     /// Returns the ends.
-    pub fn ends(&self) -> impl Iterator<Item = &QuarantinedEnd> {
+    pub fn ends(&self) -> impl Iterator<Item = &DeferredEnd> {
         self.0.values()
     }
 
@@ -72,15 +72,15 @@
 
 /// The jobs that can't be read, and the ends of their runs.
 #[derive(Debug, Default)]
-pub(super) struct Quarantine {
+pub(super) struct UnreadableJobs {
     jobs: BTreeSet<JobId>,
     /// The ends that aren't in the store, by the number of their change.
-    unstored: BTreeMap<u64, QuarantinedEnd>,
+    unstored: BTreeMap<u64, DeferredEnd>,
     /// The changes that are being stored.
     storing: BTreeSet<u64>,
 }
 
-impl Quarantine {
+impl UnreadableJobs {
     /// Returns whether an end's change is in the store.
     pub(super) fn is_stored(
         &self,
@@ -97,8 +97,8 @@
 impl Scheduler {
     /// Runs nothing more of a job of which nobody knows what was done, and
     /// stores nothing of it but the ends of its runs, set aside.
-    pub fn quarantine_job(&mut self, id: JobId) {
-        self.quarantine.jobs.insert(id);
+    pub fn mark_unreadable(&mut self, id: JobId) {
+        self.unreadable_jobs.jobs.insert(id);
         let Some(job) = self.jobs.get(&id) else { return };
         let placed: Vec<(TaskId, WorkerId)> = job
             .placed(id)
@@ -120,60 +120,57 @@
 
     /// Sets an end aside if its job can't be read; returns the number of the
     /// change, 0 for none.
-    pub(super) fn quarantine_end(
+    pub(super) fn defer_end(
         &mut self,
         worker_id: &WorkerId,
         end: &EndedRun,
     ) -> u64 {
-        if !self.quarantine.jobs.contains(&end.task.job) {
+        if !self.unreadable_jobs.jobs.contains(&end.task.job) {
             return 0;
         }
         self.sequence += 1;
         let worker = worker_id.to_string();
-        let aside = QuarantinedEnd { worker, end: end.clone() };
-        self.quarantine.unstored.insert(self.sequence, aside);
+        let aside = DeferredEnd { worker, end: end.clone() };
+        self.unreadable_jobs.unstored.insert(self.sequence, aside);
         self.sequence
     }
 
     /// Takes ends that are to be stored by themselves, at most so many.
     ///
-    /// Call [`Scheduler::quarantined_ends_stored`] or [`Scheduler::quarantined_ends_failed`] once
+    /// Call [`Scheduler::deferred_ends_stored`] or [`Scheduler::deferred_ends_failed`] once
     /// the outcome is known.
-    pub fn take_quarantined_ends(&mut self, most: usize) -> QuarantinedEnds {
-        let Quarantine { unstored, storing, .. } = &mut self.quarantine;
+    pub fn take_deferred_ends(&mut self, most: usize) -> DeferredEndBatch {
+        let UnreadableJobs { unstored, storing, .. } =
+            &mut self.unreadable_jobs;
         let waiting = unstored.iter().filter(|(n, _)| !storing.contains(n));
-        let taken: BTreeMap<u64, QuarantinedEnd> = waiting
+        let taken: BTreeMap<u64, DeferredEnd> = waiting
             .take(most)
             .map(|(number, end)| (*number, end.clone()))
             .collect();
         storing.extend(taken.keys());
-        QuarantinedEnds(taken)
+        DeferredEndBatch(taken)
     }
 
     /// Notes that ends are in the store, so that they may be acknowledged.
-    pub fn quarantined_ends_stored(
-        &mut self,
-        ends: &QuarantinedEnds,
-        now: Now,
-    ) {
+    pub fn deferred_ends_stored(&mut self, ends: &DeferredEndBatch, now: Now) {
         for number in ends.0.keys() {
-            self.quarantine.unstored.remove(number);
-            self.quarantine.storing.remove(number);
+            self.unreadable_jobs.unstored.remove(number);
+            self.unreadable_jobs.storing.remove(number);
         }
         self.store_ends(now);
     }
 
     /// Puts ends back that couldn't be stored.
-    pub fn quarantined_ends_failed(&mut self, ends: &QuarantinedEnds) {
+    pub fn deferred_ends_failed(&mut self, ends: &DeferredEndBatch) {
         for number in ends.0.keys() {
-            self.quarantine.storing.remove(number);
+            self.unreadable_jobs.storing.remove(number);
         }
     }
 
     /// Takes in an end that was set aside, if its job is known; taking it in
     /// twice changes nothing more.
-    pub fn apply_quarantined_end(&mut self, aside: &QuarantinedEnd, now: Now) {
-        let QuarantinedEnd { worker, end } = aside;
+    pub fn apply_deferred_end(&mut self, aside: &DeferredEnd, now: Now) {
+        let DeferredEnd { worker, end } = aside;
         let (worker, task) = (WorkerId::new(worker), &end.task);
         let Some(job) = self.jobs.get_mut(&task.job) else { return };
         if job.phase.is_final() {
--- a/crates/dewspard/src/jobs/intake.rs
+++ b/crates/dewspard/src/jobs/intake.rs
@@ -58,9 +58,9 @@
                 FeedEvent::Unreadable(id) => self.leave_unread(id),
                 FeedEvent::Cancelled(id) => self.scheduler.cancel(id, now()),
                 FeedEvent::Claimed(claim) => {
-                    self.claimed |= self.candidate.is_weak_beside(&claim);
+                    self.claimed |= self.candidate.is_much_weaker_than(&claim);
                 }
-                FeedEvent::Owner { revision } => {
+                FeedEvent::LeaseChanged { revision } => {
                     if revision > self.held.revision {
                         self.lost = Some("the lease's key has changed");
                     }
