--- a/crates/dewspar/src/schedule/unseen_starts.rs
+++ b/crates/dewspar/src/schedule/unseen_starts.rs
@@ -29,7 +29,7 @@
 use crate::{
     job::{JobId, Progress, TaskId, TaskRecord},
     schedule::{
-        Decision, Incarnation, Now, Scheduler, VmLife, WorkerId,
+        Decision, Incarnation, Now, Scheduler, VmStatus, WorkerId,
         job_state::{Job, Task},
         processes::IncarnationOrder,
         suspects::{Crashes, LostRuns},
@@ -259,7 +259,7 @@
         now: Now,
     ) -> bool {
         let changes = self.vms.get(&lost.vm).is_some_and(|vm| {
-            matches!(vm.life, VmLife::Moving | VmLife::Maintenance)
+            matches!(vm.status, VmStatus::Moving | VmStatus::Maintenance)
                 || vm.pool != lost.pool
         });
         changes || self.was_ordered_before(&lost.vm, now)
--- a/crates/dewspard/src/jobs/event.rs
+++ b/crates/dewspard/src/jobs/event.rs
@@ -15,9 +15,9 @@
         job::TaskId,
         record::RecordWritten,
         schedule::{
-            Changes, DeferredEnd, DeferredEndBatch, Held as SentHold,
-            HoldReport, ManagedVm, OrderError, PaceOrder, StartLog,
-            VmOrderError, WorkerId, WorkerListing,
+            Changes, DeferredEnd, DeferredEndBatch, HoldReport, ManagedVm,
+            OrderError, PaceOrder, SentHold, StartLog, VmOrderError, WorkerId,
+            WorkerListing,
         },
     },
     dewspar_platform::Error,
