--- a/crates/dewspard/src/jobs/deferred_ends.rs
+++ b/crates/dewspard/src/jobs/deferred_ends.rs
@@ -13,7 +13,7 @@
     dewspar::{
         job::{JobId, Progress},
         record::RecordWritten,
-        schedule::{Changes, EndSetAside, EndsSetAside, Now},
+        schedule::{Changes, DeferredEnd, DeferredEndBatch, Now},
     },
     dewspar_platform::{
         Batch, Error, Expected, Fleet, JobWorkers, KeyValue, Purpose,
@@ -33,7 +33,7 @@
 /// Ends that former holders have set aside, by their job.
 #[derive(Debug, Default)]
 pub(super) struct DeferredEnds {
-    by_job: BTreeMap<JobId, Vec<EndSetAside>>,
+    by_job: BTreeMap<JobId, Vec<DeferredEnd>>,
     /// The jobs whose ends were taken in.
     applied: BTreeSet<JobId>,
     is_writing: bool,
@@ -42,7 +42,7 @@
 }
 
 impl DeferredEnds {
-    pub(super) fn add_loaded(&mut self, ends: Vec<EndSetAside>) {
+    pub(super) fn add_loaded(&mut self, ends: Vec<DeferredEnd>) {
         for end in ends {
             let of_job = self.by_job.entry(end.end.task.job).or_default();
             of_job.push(end);
@@ -54,13 +54,13 @@
         &mut self,
         id: JobId,
         progress: &Progress,
-    ) -> Vec<EndSetAside> {
+    ) -> Vec<DeferredEnd> {
         let Some(ends) = self.by_job.get_mut(&id) else {
             return Vec::new();
         };
         let over = progress.phase.is_final();
         let applied = self.applied.contains(&id);
-        let is_obsolete = |aside: &mut EndSetAside| {
+        let is_obsolete = |aside: &mut DeferredEnd| {
             over || applied && is_recorded(progress, aside)
         };
         let stored = ends.extract_if(.., is_obsolete).collect();
@@ -72,8 +72,8 @@
 }
 
 /// Returns whether a job's record tells of the end of a run.
-fn is_recorded(progress: &Progress, aside: &EndSetAside) -> bool {
-    let EndSetAside { end, .. } = aside;
+fn is_recorded(progress: &Progress, aside: &DeferredEnd) -> bool {
+    let DeferredEnd { end, .. } = aside;
     progress.tasks.iter().any(|record| {
         let place = (record.round, record.step, record.index);
         place == (end.task.round, end.task.step, end.task.index)
@@ -86,7 +86,7 @@
 pub(super) async fn load_ends<K: KeyValue>(
     store: &K,
     log: &Logger,
-) -> Result<Vec<EndSetAside>, Error> {
+) -> Result<Vec<DeferredEnd>, Error> {
     let (_, found) = store.list(keys::ENDS).await?;
     let mut ends = Vec::new();
     for item in &found {
@@ -106,7 +106,7 @@
     pub(super) fn skip_unreadable(&mut self, id: JobId) {
         if self.scheduler.phase(id).is_none() {
             self.unreadable.insert(id);
-            self.scheduler.leave_alone(id);
+            self.scheduler.mark_unreadable(id);
         }
     }
 
@@ -115,7 +115,7 @@
         let now = super::holder::now();
         let Some(ends) = self.deferred_ends.by_job.get(&id) else { return };
         for end in ends {
-            self.scheduler.take_in_end(end, now);
+            self.scheduler.apply_deferred_end(end, now);
         }
         self.deferred_ends.applied.insert(id);
     }
@@ -126,7 +126,7 @@
         if self.deferred_ends.is_writing || !due {
             return;
         }
-        let ends = self.scheduler.take_ends_set_aside(MAX_ENDS_PER_WRITE);
+        let ends = self.scheduler.take_deferred_ends(MAX_ENDS_PER_WRITE);
         if ends.is_empty() {
             return;
         }
@@ -154,17 +154,19 @@
     /// Takes in what became of a write of ends.
     pub(super) fn deferred_ends_written(
         &mut self,
-        ends: &EndsSetAside,
+        ends: &DeferredEndBatch,
         written: RecordWritten,
         now: Now,
     ) {
         self.deferred_ends.is_writing = false;
         match written {
-            RecordWritten::Done(_) => self.scheduler.ends_stored(ends, now),
+            RecordWritten::Done(_) => {
+                self.scheduler.deferred_ends_stored(ends, now)
+            }
             RecordWritten::Failed => {
                 self.deferred_ends.next_write_ms =
                     now.steady_ms + RETRY_DELAY_MS;
-                self.scheduler.ends_not_stored(ends);
+                self.scheduler.deferred_ends_failed(ends);
             }
             // Nothing but the lease's key has to be as it was.
             RecordWritten::Conflict { .. } => {
@@ -191,18 +193,18 @@
             scheduler.phase(*id).is_none() && !unreadable.contains(id)
         };
         let by_job = &mut self.deferred_ends.by_job;
-        let orphaned: Vec<EndSetAside> = by_job
+        let orphaned: Vec<DeferredEnd> = by_job
             .extract_if(.., |id, _| orphaned(id))
             .flat_map(|(_, ends)| ends)
             .collect();
         self.delete_ends(&orphaned);
     }
 
-    fn delete_ends(&self, ends: &[EndSetAside]) {
+    fn delete_ends(&self, ends: &[DeferredEnd]) {
         for chunk in ends.chunks(MAX_ENDS_PER_WRITE) {
             let lease = Expected::Version(self.held.revision);
             let mut batch = Batch::default().when(keys::OWNER, lease);
-            for EndSetAside { end, .. } in chunk {
+            for DeferredEnd { end, .. } in chunk {
                 batch = batch.delete(&keys::end(&end.task, end.run));
             }
             self.spawn_write(batch, "deletion of ends set aside");
@@ -210,13 +212,13 @@
     }
 }
 
-fn ends_batch(lease_revision: u64, ends: &EndsSetAside) -> Batch {
+fn ends_batch(lease_revision: u64, ends: &DeferredEndBatch) -> Batch {
     let lease = Expected::Version(lease_revision);
     let batch = Batch::default().when(keys::OWNER, lease);
     ends.ends().fold(batch, |batch, aside| {
         // OK because it holds only what JSON can write.
         let value = serde_json::to_vec(aside).expect("plain JSON");
-        let EndSetAside { end, .. } = aside;
+        let DeferredEnd { end, .. } = aside;
         batch.put(&keys::end(&end.task, end.run), value)
     })
 }
