--- a/crates/dewspar/src/schedule/hold_answers.rs
+++ b/crates/dewspar/src/schedule/hold_answers.rs
@@ -23,7 +23,7 @@
 const ADOPTED_PACE: u8 = 50;
 
 /// What to do about a run that a worker lists as active.
-enum Found {
+enum ListedRun {
     /// It is the one that was ordered.
     Expected,
     /// It belongs to a task that needs it.
@@ -401,7 +401,7 @@
             is_outlived: false,
         };
         match found {
-            Found::Expected => {
+            ListedRun::Expected => {
                 // OK because `classify_run` has just found it.
                 let run = worker.runs.get_mut(&active.task).expect("known");
                 let was_starting = run.state == RunState::Starting;
@@ -413,7 +413,7 @@
                 self.settle_in_doubt(&active.task, worker_id, active.run);
                 self.clear_if_sound(worker_id, &active.task);
             }
-            Found::Adopt(demand) => {
+            ListedRun::Adopt(demand) => {
                 run.demand = demand;
                 worker.insert(active.task, run);
                 self.settle_found_in_doubt(
@@ -423,7 +423,7 @@
                 );
                 self.adopt(worker_id, active);
             }
-            Found::Unwanted(demand) => {
+            ListedRun::Unwanted(demand) => {
                 run.measured = demand.is_some();
                 run.demand = demand.unwrap_or_default();
                 worker.insert(active.task, run);
@@ -456,14 +456,18 @@
         }
     }
 
-    fn classify_run(&self, worker_id: &WorkerId, active: &ActiveRun) -> Found {
+    fn classify_run(
+        &self,
+        worker_id: &WorkerId,
+        active: &ActiveRun,
+    ) -> ListedRun {
         let worker = self.workers.get(worker_id);
         let here = worker.and_then(|w| w.runs.get(&active.task));
         if here.is_some_and(|run| run.run == active.run) {
-            return Found::Expected;
+            return ListedRun::Expected;
         }
         let Some(job) = self.jobs.get(&active.task.job) else {
-            return Found::Unwanted(None);
+            return ListedRun::Unwanted(None);
         };
         let demand = job.step_spec(&active.task).map(demand);
         let needed = job.task(&active.task).is_some_and(|task| {
@@ -473,8 +477,8 @@
                 && active.run > task.ended_run
         });
         match demand {
-            Some(demand) if needed => Found::Adopt(demand),
-            demand => Found::Unwanted(demand),
+            Some(demand) if needed => ListedRun::Adopt(demand),
+            demand => ListedRun::Unwanted(demand),
         }
     }
 
--- a/crates/dewspar/src/schedule/suspects.rs
+++ b/crates/dewspar/src/schedule/suspects.rs
@@ -334,7 +334,7 @@
     Proven,
     /// Only those that have gone on for longer than most take: the others are
     /// let end first, as the worker will most likely crash.
-    Lasting,
+    LongProven,
 }
 
 impl Colocation {
@@ -344,7 +344,7 @@
             Colocation::Untested => !worker.tests_a_run(),
             Colocation::Unsuspected => !worker.has_suspects(),
             Colocation::Proven => all_runs_confirmed_for(worker, PROVEN_MS),
-            Colocation::Lasting => {
+            Colocation::LongProven => {
                 all_runs_confirmed_for(worker, LONG_PROVEN_MS)
             }
         }
@@ -352,7 +352,7 @@
 
     /// Returns whether a task is being found out about.
     pub(super) fn is_for_tested(self) -> bool {
-        matches!(self, Colocation::Proven | Colocation::Lasting)
+        matches!(self, Colocation::Proven | Colocation::LongProven)
     }
 }
 
@@ -681,7 +681,7 @@
         match (tested, spec.gang) {
             (true, true) => Colocation::Any,
             (true, false) if in_burst && state.crashes.is_probably_bad() => {
-                Colocation::Lasting
+                Colocation::LongProven
             }
             (true, false) => Colocation::Proven,
             (false, false) if count > 0 && waits => Colocation::Unsuspected,
--- a/crates/dewspar/tests/schedule/cancelling.rs
+++ b/crates/dewspar/tests/schedule/cancelling.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        chain::{Chain, Stops},
+        chain::{HolderChain, StopDelivery},
         world::{World, at, id, job, listing, step},
     },
     dewspar::schedule::{Decision, Now, Resources, StopAttempts, WorkerId},
@@ -10,7 +10,7 @@
 };
 
 /// A world in which one lasting run of job 1 is at work.
-fn world_with_a_lasting_run() -> World {
+fn world_with_an_endless_run() -> World {
     let mut world = World::new(7, &["w1"]);
     world.fate = Fate::endless();
     world.list();
@@ -21,7 +21,7 @@
     world
 }
 
-fn told_ends(decisions: &[Decision]) -> Vec<StopAttempts> {
+fn stops_over(decisions: &[Decision]) -> Vec<StopAttempts> {
     let told = decisions.iter().filter_map(|decision| match decision {
         Decision::StopFinished { stop, .. } => Some(*stop),
         _ => None,
@@ -29,7 +29,7 @@
     told.collect()
 }
 
-fn told_overdue(decisions: &[Decision]) -> Vec<StopAttempts> {
+fn stops_overdue(decisions: &[Decision]) -> Vec<StopAttempts> {
     let told = decisions.iter().filter_map(|decision| match decision {
         Decision::StopOverdue { stop, .. } => Some(*stop),
         _ => None,
@@ -42,8 +42,8 @@
 // cancelled job is stored as over at once, and ends of jobs that are over were
 // passed over without a line.
 #[test]
-fn the_end_of_a_cancelled_jobs_run_is_told_though_the_job_is_stored() {
-    let mut world = world_with_a_lasting_run();
+fn the_end_of_a_cancelled_jobs_run_is_reported_though_the_job_is_stored() {
+    let mut world = world_with_an_endless_run();
     world.scheduler.cancel(id(1), at(world.now_ms));
     // The first order to stop it is lost.
     world.cut.push(listing("w1").id);
@@ -57,22 +57,22 @@
         .iter()
         .filter(|decision| matches!(decision, Decision::Ended { .. }));
     assert_eq!(ended.count(), 1, "{decisions:?}");
-    let ends = told_ends(&decisions);
+    let ends = stops_over(&decisions);
     let [stop] = ends[..] else { panic!("{ends:?}") };
     assert_eq!(stop.reason, "cancelled");
     assert_eq!(stop.orders, 2);
     assert!(stop.answered);
-    assert!(told_overdue(&decisions).is_empty());
+    assert!(stops_overdue(&decisions).is_empty());
 }
 
 #[test]
-fn a_stop_that_takes_long_is_told_once_and_so_is_its_end() {
-    let mut world = world_with_a_lasting_run();
+fn an_overdue_stop_and_its_end_are_reported_once_each() {
+    let mut world = world_with_an_endless_run();
     let w1 = listing("w1").id;
     world.cut.push(w1);
     world.scheduler.cancel(id(1), at(world.now_ms));
     world.run_for(3_000);
-    let overdue = told_overdue(&world.scheduler.take_decisions());
+    let overdue = stops_overdue(&world.scheduler.take_decisions());
     let [stop] = overdue[..] else { panic!("{overdue:?}") };
     assert_eq!(stop.reason, "cancelled");
     assert!(stop.orders >= 2, "{stop:?}");
@@ -83,14 +83,14 @@
     world.run_for(1_000);
     assert!(world.running().is_empty());
     let decisions = world.scheduler.take_decisions();
-    let ends = told_ends(&decisions);
+    let ends = stops_over(&decisions);
     let [stop] = ends[..] else { panic!("{ends:?}") };
     assert!(stop.answered && stop.after_ms >= 3_000, "{stop:?}");
-    assert!(told_overdue(&decisions).is_empty());
+    assert!(stops_overdue(&decisions).is_empty());
 }
 
 #[test]
-fn a_rack_that_falls_silent_does_not_fill_the_log() {
+fn overdue_stops_reported_per_plan_are_bounded() {
     let names: Vec<String> = (0..40).map(|n| format!("w{n}")).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
     let mut world = World::new(7, &names);
@@ -107,7 +107,7 @@
     for _ in 0..60 {
         world.run_for(50);
         let decisions = world.scheduler.take_decisions();
-        let lines = told_overdue(&decisions).len();
+        let lines = stops_overdue(&decisions).len();
         assert!(lines <= 8, "{lines} in one plan");
         told += lines;
     }
@@ -116,12 +116,12 @@
 
 /// How long after the acknowledgement of a cancelling a run may go on, in
 /// milliseconds: 5 s until nothing starts, and what a stop may take.
-const GOES_ON_MS: u64 = 5_000 + 900;
+const MAX_RUN_AFTER_CANCEL_MS: u64 = 5_000 + 900;
 
 /// A chain whose first holder has started a lasting run of job 1 on each of
 /// these workers.
-fn chain_with_lasting_runs(names: &[&str]) -> Chain {
-    let mut chain = Chain::new(names);
+fn chain_with_endless_runs(names: &[&str]) -> HolderChain {
+    let mut chain = HolderChain::new(names);
     chain.world.fate = Fate::endless();
     // As many tasks as all workers have room for.
     let tasks = u32::try_from(names.len() * 4).unwrap();
@@ -133,12 +133,12 @@
 
 /// Cancels job 1 under a holder whose orders to stop its runs come to nothing
 /// and which is gone as soon as the job is stored as cancelled.
-fn cancel_and_lose_the_stops(chain: &mut Chain) {
-    chain.stops = Stops::Lost;
+fn cancel_and_lose_the_stops(chain: &mut HolderChain) {
+    chain.stops = StopDelivery::Lost;
     chain.cancel(1);
     chain.schedule_for(100);
     assert_eq!(chain.world.phases[&id(1)], "cancelled", "callers are told");
-    chain.stops = Stops::Arrive;
+    chain.stops = StopDelivery::Delivered;
 }
 
 // After a write that was refused, holder followed holder, each for 0.8 to 2.5 s
@@ -150,7 +150,7 @@
 // lease.
 #[test]
 fn a_cancelled_jobs_run_ends_though_no_holder_lasts_until_all_is_loaded() {
-    let mut chain = chain_with_lasting_runs(&["w1"]);
+    let mut chain = chain_with_endless_runs(&["w1"]);
     cancel_and_lose_the_stops(&mut chain);
     for _ in 0..8 {
         chain.begin();
@@ -165,7 +165,7 @@
 fn a_cancelled_jobs_run_ends_though_each_holder_has_many_workers_to_ask() {
     let names: Vec<String> = (0..300).map(|n| format!("w{n:03}")).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
-    let mut chain = Chain::new(&names);
+    let mut chain = HolderChain::new(&names);
     chain.world.fate = Fate::endless();
     chain.submit(2, job(vec![step(1_199)]));
     chain.schedule_for(3_000);
@@ -175,7 +175,7 @@
     cancel_and_lose_the_stops(&mut chain);
     // 480 a second: all workers are asked once in the time of loading.
     chain.orders_a_plan = 12;
-    chain.holders_for(GOES_ON_MS);
+    chain.holders_for(MAX_RUN_AFTER_CANCEL_MS);
     assert!(!chain.runs(1));
     let others = chain.world.running().len();
     assert_eq!(others, 1_199, "nothing else ends");
@@ -183,7 +183,7 @@
 
 #[test]
 fn a_cancelled_jobs_run_ends_under_the_next_holder_that_has_loaded_it() {
-    let mut chain = chain_with_lasting_runs(&["w1", "w2"]);
+    let mut chain = chain_with_endless_runs(&["w1", "w2"]);
     cancel_and_lose_the_stops(&mut chain);
     chain.next_holder();
     assert!(!chain.runs(1));
@@ -191,13 +191,13 @@
 
 #[test]
 fn a_stop_that_is_lost_or_refused_is_ordered_again() {
-    for stops in [Stops::Lost, Stops::Refused] {
-        let mut chain = chain_with_lasting_runs(&["w1"]);
+    for stops in [StopDelivery::Lost, StopDelivery::Refused] {
+        let mut chain = chain_with_endless_runs(&["w1"]);
         chain.stops = stops;
         chain.cancel(1);
         chain.schedule_for(2_000);
         assert!(chain.runs(1), "{stops:?}");
-        chain.stops = Stops::Arrive;
+        chain.stops = StopDelivery::Delivered;
         chain.schedule_for(900);
         assert!(!chain.runs(1), "{stops:?}");
     }
@@ -205,19 +205,19 @@
 
 #[test]
 fn a_stop_is_refused_under_each_of_several_holders_and_then_works() {
-    let mut chain = chain_with_lasting_runs(&["w1"]);
-    chain.stops = Stops::Refused;
+    let mut chain = chain_with_endless_runs(&["w1"]);
+    chain.stops = StopDelivery::Refused;
     chain.cancel(1);
     chain.holders_for(2_400);
     assert!(chain.runs(1));
-    chain.stops = Stops::Arrive;
+    chain.stops = StopDelivery::Delivered;
     chain.next_holder();
     assert!(!chain.runs(1));
 }
 
 #[test]
 fn a_silent_worker_is_told_to_stop_as_soon_as_it_answers() {
-    let mut chain = chain_with_lasting_runs(&["w1", "w2"]);
+    let mut chain = chain_with_endless_runs(&["w1", "w2"]);
     chain.world.cut.push(listing("w1").id);
     chain.cancel(1);
     chain.holders_for(4_800);
@@ -229,7 +229,7 @@
 
 #[test]
 fn workers_that_drain_or_left_the_directory_are_told_to_stop_as_well() {
-    let mut chain = chain_with_lasting_runs(&["w1", "w2"]);
+    let mut chain = chain_with_endless_runs(&["w1", "w2"]);
     chain.world.listings[0].draining = true;
     chain.world.list();
     // The other is listed nowhere from now on, but lives.
@@ -244,7 +244,7 @@
 // worker, which then gets nothing but a question; a stop goes out all the same.
 #[test]
 fn a_worker_whose_token_is_being_raised_is_told_to_stop() {
-    let mut chain = chain_with_lasting_runs(&["w1"]);
+    let mut chain = chain_with_endless_runs(&["w1"]);
     chain.submit(2, job(vec![step(1)]));
     chain.world.listings[0].capacity.cpu_millis += 1_000;
     chain.world.list();
@@ -259,8 +259,8 @@
 }
 
 #[test]
-fn a_run_ends_whose_jobs_record_is_deleted_already() {
-    let mut chain = chain_with_lasting_runs(&["w1"]);
+fn a_run_ends_whose_jobs_record_is_already_deleted() {
+    let mut chain = chain_with_endless_runs(&["w1"]);
     cancel_and_lose_the_stops(&mut chain);
     chain.forget(1);
     chain.next_holder();
@@ -270,8 +270,8 @@
 // The order to start leaves before the cancelling and arrives after it, when
 // the holder that sent it is gone.
 #[test]
-fn a_run_ends_whose_start_arrives_after_the_cancelling() {
-    let mut chain = Chain::new(&["w1"]);
+fn a_run_ends_whose_start_arrives_after_the_cancellation() {
+    let mut chain = HolderChain::new(&["w1"]);
     chain.world.fate = Fate::endless();
     chain.schedule_for(100);
     let w1 = listing("w1").id;
@@ -296,21 +296,21 @@
 }
 
 /// Returns whether the cancelling of job 1 needn't be on record any longer.
-fn settles(world: &mut World) -> bool {
+fn takes_settled_cancellation(world: &mut World) -> bool {
     let now = at(world.now_ms);
     let settled = world.scheduler.take_settled_cancellations(now, 31);
     settled == [id(1)]
 }
 
 #[test]
-fn a_cancelling_stays_on_record_while_a_run_of_its_job_may_go_on() {
-    let mut world = world_with_a_lasting_run();
+fn a_cancellation_stays_on_record_while_a_run_of_its_job_may_go_on() {
+    let mut world = world_with_an_endless_run();
     let w1 = listing("w1").id;
     world.cut.push(w1);
     world.scheduler.cancel(id(1), at(world.now_ms));
     world.run_for(1_000);
     assert_eq!(world.phases[&id(1)], "cancelled");
-    assert!(!settles(&mut world), "its run is there");
+    assert!(!takes_settled_cancellation(&mut world), "its run is there");
 
     // Another holder that can't reach the worker either.
     world.take_over(9);
@@ -320,26 +320,32 @@
     let over = world.stored[&id(1)].clone();
     world.scheduler.submit(id(1), Default::default(), 0, Some(&over));
     world.run_for(300);
-    assert!(!settles(&mut world), "more jobs are still to be loaded");
+    assert!(
+        !takes_settled_cancellation(&mut world),
+        "more jobs are still to be loaded"
+    );
     world.scheduler.finish_loading(at(world.now_ms));
     world.expect_all();
     world.run_for(1_000);
-    assert!(!settles(&mut world), "the worker hasn't been asked");
+    assert!(
+        !takes_settled_cancellation(&mut world),
+        "the worker hasn't been asked"
+    );
 
     world.cut.clear();
     world.run_for(1_000);
     assert!(world.running().is_empty());
-    assert!(settles(&mut world));
+    assert!(takes_settled_cancellation(&mut world));
     world.run_for(1_000);
-    assert!(!settles(&mut world), "it is taken once");
+    assert!(!takes_settled_cancellation(&mut world), "it is taken once");
 }
 
 // How long the keys of a job that is over are kept goes by the time of day,
 // which is another node's and may jump by an hour. With them went the entry of
 // a cancelling whose run still went on.
 #[test]
-fn a_cancelling_does_not_expire_while_a_run_of_its_job_may_go_on() {
-    let mut world = world_with_a_lasting_run();
+fn a_cancellation_does_not_expire_while_a_run_of_its_job_may_go_on() {
+    let mut world = world_with_an_endless_run();
     world.cut.push(listing("w1").id);
     world.scheduler.cancel(id(1), at(world.now_ms));
     world.run_for(1_000);
@@ -349,12 +355,12 @@
     assert!(world.scheduler.take_expired(later, 15).is_empty());
     world.cut.clear();
     world.run_for(1_000);
-    assert!(settles(&mut world));
+    assert!(takes_settled_cancellation(&mut world));
     assert_eq!(world.scheduler.take_expired(later, 15), [id(1)]);
 }
 
 #[test]
-fn a_cancelling_settles_without_a_worker_whose_lease_is_over() {
+fn a_cancellation_settles_without_a_worker_whose_lease_is_over() {
     let mut world = World::new(7, &["w1", "w2"]);
     world.cut.push(listing("w2").id);
     world.list();
@@ -363,13 +369,16 @@
     world.run_for(200);
     world.scheduler.cancel(id(1), at(world.now_ms));
     world.run_for(2_000);
-    assert!(!settles(&mut world), "nobody knows what the other runs");
+    assert!(
+        !takes_settled_cancellation(&mut world),
+        "nobody knows what the other runs"
+    );
     world.run_for(20_000);
-    assert!(settles(&mut world));
+    assert!(takes_settled_cancellation(&mut world));
 }
 
 #[test]
-fn a_cancelling_that_comes_too_late_settles_and_changes_nothing() {
+fn a_cancellation_that_comes_too_late_settles_and_changes_nothing() {
     let mut world = World::new(7, &["w1"]);
     world.list();
     world.expect_all();
@@ -379,25 +388,25 @@
     world.scheduler.cancel(id(1), at(world.now_ms));
     world.run_for(500);
     assert_eq!(world.phases[&id(1)], "completed");
-    assert!(settles(&mut world));
+    assert!(takes_settled_cancellation(&mut world));
 }
 
 #[test]
-fn a_cancelling_of_a_job_that_nobody_knows_stays_on_record() {
+fn a_cancellation_of_a_job_that_nobody_knows_stays_on_record() {
     let mut world = World::new(7, &["w1"]);
     world.list();
     world.expect_all();
     world.scheduler.cancel(id(1), at(world.now_ms));
     world.run_for(2_000);
-    assert!(!settles(&mut world));
+    assert!(!takes_settled_cancellation(&mut world));
 }
 
 // Each question to a worker renews the lease of all that runs there. Where all
 // of it is to stop, that kept alive what no order to stop could reach.
 #[test]
 fn the_lease_of_a_worker_on_which_nothing_is_wanted_is_not_renewed() {
-    let mut chain = chain_with_lasting_runs(&["w1"]);
-    chain.stops = Stops::Refused;
+    let mut chain = chain_with_endless_runs(&["w1"]);
+    chain.stops = StopDelivery::Refused;
     chain.cancel(1);
     // A lease lasts 8 s.
     chain.holders_for(9_600);
@@ -406,17 +415,17 @@
 
 #[test]
 fn the_lease_of_a_worker_is_renewed_while_anything_there_is_wanted() {
-    let mut chain = Chain::new(&["w1"]);
+    let mut chain = HolderChain::new(&["w1"]);
     chain.world.fate = Fate::endless();
     chain.submit(1, job(vec![step(1)]));
     chain.submit(2, job(vec![step(1)]));
     chain.schedule_for(500);
     assert_eq!(chain.world.running().len(), 2);
-    chain.stops = Stops::Refused;
+    chain.stops = StopDelivery::Refused;
     chain.cancel(1);
     chain.schedule_for(20_000);
     assert!(chain.runs(2));
-    chain.stops = Stops::Arrive;
+    chain.stops = StopDelivery::Delivered;
     chain.schedule_for(900);
     assert!(!chain.runs(1));
     assert!(chain.runs(2));
@@ -425,10 +434,10 @@
 // A weak node asks 600 workers a second. Where each holder begins with the same
 // ones and lasts 1.2 s, the last of 1,100 workers are asked by none.
 #[test]
-fn holders_too_short_to_ask_every_worker_do_not_all_pass_over_the_same() {
+fn short_lived_holders_do_not_all_skip_the_same_workers() {
     let names: Vec<String> = (0..1_100).map(|n| format!("w{n:04}")).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
-    let mut chain = Chain::new(&names);
+    let mut chain = HolderChain::new(&names);
     chain.world.fate = Fate::endless();
     // The run is on the last of them.
     let all = chain.world.listings.clone();
@@ -444,22 +453,22 @@
     assert_eq!(chain.world.running().len(), 4_400);
     cancel_and_lose_the_stops(&mut chain);
     chain.orders_a_plan = 15;
-    chain.holders_for(GOES_ON_MS);
+    chain.holders_for(MAX_RUN_AFTER_CANCEL_MS);
     assert!(!chain.runs(1));
 }
 
 /// How long a stop may wait for its turn, in milliseconds: a third of what a
 /// worker may take for it.
-const STOP_WAITS_MS: u64 = 300;
+const MAX_STOP_WAIT_MS: u64 = 300;
 
 // A node that sends 240 orders a second asked each of 400 workers as soon as it
 // had answered, so that more than a second's worth of questions was always under
 // way, and a stop behind them.
 #[test]
-fn a_stop_does_not_wait_behind_more_questions_than_the_node_can_send() {
+fn a_stop_does_not_queue_behind_holds() {
     let names: Vec<String> = (0..400).map(|n| format!("w{n:03}")).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
-    let mut chain = Chain::new(&names);
+    let mut chain = HolderChain::new(&names);
     chain.world.fate = Fate::endless();
     chain.submit(2, job(vec![step(1_599)]));
     chain.schedule_for(3_000);
@@ -475,7 +484,7 @@
         chain.schedule_for(25);
     }
     let waited_ms = chain.world.now_ms - cancelled_ms;
-    assert!(waited_ms <= STOP_WAITS_MS, "{waited_ms} ms");
+    assert!(waited_ms <= MAX_STOP_WAIT_MS, "{waited_ms} ms");
     let others = chain.world.running().len();
     assert_eq!(others, 1_599, "nothing else ends");
 }
--- a/crates/dewspar/tests/schedule/chain.rs
+++ b/crates/dewspar/tests/schedule/chain.rs
@@ -15,16 +15,16 @@
 /// How long each holder lasts, in milliseconds, and how long of that it loads.
 /// Holders that lost their lease to a refused write lasted 0.8 to 2.5 s; they
 /// loaded 1.5 MB in 0.74 s.
-const LASTS_MS: u64 = 1_200;
-const LOADS_MS: u64 = 700;
+const HOLDER_MS: u64 = 1_200;
+const LOAD_MS: u64 = 700;
 
 /// How often a holder plans, in milliseconds.
-const PLAN_MS: u64 = 25;
+const PLAN_INTERVAL_MS: u64 = 25;
 
 /// What becomes of orders to stop.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Stops {
-    Arrive,
+pub enum StopDelivery {
+    Delivered,
     /// Neither the order nor an answer arrives.
     Lost,
     /// The worker is unhealthy and says so.
@@ -39,9 +39,9 @@
 }
 
 /// A fleet, a store, and the holder that has the lease.
-pub struct Chain {
+pub struct HolderChain {
     pub world: World,
-    pub stops: Stops,
+    pub stops: StopDelivery,
     /// How many orders a holder can have answered in a plan's time.
     pub orders_a_plan: usize,
     accepted: BTreeMap<JobId, (AcceptedJob, u64)>,
@@ -52,15 +52,15 @@
     queue: Vec<Action>,
 }
 
-impl Chain {
+impl HolderChain {
     /// Begins with a holder that knows everything.
-    pub fn new(names: &[&str]) -> Chain {
+    pub fn new(names: &[&str]) -> HolderChain {
         let mut world = World::new(7, names);
         world.list();
         world.expect_all();
-        Chain {
+        HolderChain {
             world,
-            stops: Stops::Arrive,
+            stops: StopDelivery::Delivered,
             orders_a_plan: usize::MAX,
             accepted: BTreeMap::new(),
             cancelled: BTreeSet::new(),
@@ -95,9 +95,9 @@
     /// for a while and is gone as well.
     pub fn next_holder(&mut self) {
         self.begin();
-        self.schedule_for(LOADS_MS);
+        self.schedule_for(LOAD_MS);
         self.load();
-        self.schedule_for(LASTS_MS - LOADS_MS);
+        self.schedule_for(HOLDER_MS - LOAD_MS);
     }
 
     /// Lets holders follow each other for so long.
@@ -143,7 +143,7 @@
     pub fn schedule_for(&mut self, ms: u64) {
         let end_ms = self.world.now_ms + ms;
         while self.world.now_ms < end_ms {
-            self.world.now_ms += PLAN_MS;
+            self.world.now_ms += PLAN_INTERVAL_MS;
             self.round();
         }
     }
@@ -164,11 +164,15 @@
         let now = at(self.world.now_ms);
         match action {
             Action::Stop { worker, order, .. }
-                if self.stops != Stops::Arrive =>
+                if self.stops != StopDelivery::Delivered =>
             {
                 let error = match self.stops {
-                    Stops::Refused => OrderError::Refused(Refusal::Unhealthy),
-                    Stops::Lost | Stops::Arrive => OrderError::Unknown,
+                    StopDelivery::Refused => {
+                        OrderError::Refused(Refusal::Unhealthy)
+                    }
+                    StopDelivery::Lost | StopDelivery::Delivered => {
+                        OrderError::Unknown
+                    }
                 };
                 let (task, scheduler) =
                     (order.task, &mut self.world.scheduler);
--- a/crates/dewspar/tests/schedule/crashing.rs
+++ b/crates/dewspar/tests/schedule/crashing.rs
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn sound_work_beside_it_is_neither_given_up_nor_lost_again_and_again() {
+fn sound_jobs_beside_crashing_tasks_complete_with_few_losses() {
     let names = ["w1", "w2", "w3", "w4", "w5", "w6", "w7", "w8"];
     let mut world = World::new(5, &names);
     world.list();
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn a_new_holder_knows_of_crashes() {
+fn crash_counts_survive_takeovers() {
     let names = ["w1", "w2", "w3", "w4", "w5", "w6"];
     let mut world = World::new(5, &names);
     world.list();
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn workers_that_crash_by_themselves_cost_no_job() {
+fn flapping_workers_fail_no_job() {
     let names = ["w1", "w2", "w3", "w4", "w5", "w6"];
     let mut world = World::new(5, &names);
     world.list();
@@ -134,14 +134,14 @@
 }
 
 #[test]
-fn so_is_one_that_lasts() {
+fn a_long_running_task_that_crashes_its_workers_is_given_up() {
     let mut world = World::new(5, &["w1", "w2", "w3", "w4"]);
     world.list();
     world.fate = Fate::endless();
     let bad = first_task(id(1));
     world.crashing.push(bad);
-    let lasting = StepSpec { long_running: true, ..step(1) };
-    world.scheduler.submit(id(1), job(vec![lasting]), 6, None);
+    let long_running_step = StepSpec { long_running: true, ..step(1) };
+    world.scheduler.submit(id(1), job(vec![long_running_step]), 6, None);
     world.run_for(60_000);
     let starts = starts_of(&world, &bad);
     assert!(starts <= MAX_STARTS, "started {starts} times");
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn its_third_start_waits_until_two_crashes_are_on_record() {
+fn the_third_start_waits_until_two_crashes_are_stored() {
     let names = ["w1", "w2", "w3", "w4", "w5", "w6"];
     let mut world = World::new(5, &names);
     world.list();
@@ -190,7 +190,7 @@
 }
 
 #[test]
-fn bad_tasks_that_begin_together_do_not_hide_behind_each_other() {
+fn crashing_tasks_that_start_together_are_told_apart() {
     let mut world = World::new(5, &["w1", "w2", "w3"]);
     world.list();
     world.fate = Fate::done(800);
@@ -265,7 +265,7 @@
 /// Two sound tasks in three stood beside such a start at least once; 97 did so
 /// twice, and waited 4.1 s at the median to be found out about.
 #[test]
-fn many_bad_tasks_at_once_take_few_sound_ones_along() {
+fn many_crashing_tasks_at_once_lose_few_sound_runs() {
     let names = ["w1", "w2", "w3", "w4", "w5", "w6", "w7", "w8"];
     let room = Resources { cpu_millis: 20_000, memory_mb: 20_000, gpus: 0 };
     let mut world = World::with_room(5, &names, room);
--- a/crates/dewspar/tests/schedule/directory_reads.rs
+++ b/crates/dewspar/tests/schedule/directory_reads.rs
@@ -14,14 +14,14 @@
     dewspar_standin::task_worker::TaskWorker,
 };
 
-/// The entry of a life of the worker on the one VM.
-fn life(name: &str) -> WorkerListing {
+/// The entry of a listing_on_vm of the worker on the one VM.
+fn listing_on_vm(name: &str) -> WorkerListing {
     WorkerListing { vm: "vm-1".to_owned(), ..listing(name) }
 }
 
 fn scheduler() -> Scheduler {
     let mut scheduler = Scheduler::new(7, Options::default());
-    scheduler.list_workers_as_of(1_000, at(1_000), vec![life("old")]);
+    scheduler.list_workers_as_of(1_000, at(1_000), vec![listing_on_vm("old")]);
     scheduler
 }
 
@@ -35,13 +35,13 @@
 }
 
 #[test]
-fn an_older_reading_does_not_end_a_worker_that_was_looked_up_since() {
+fn an_older_read_does_not_end_a_worker_that_was_looked_up_since() {
     let mut scheduler = scheduler();
-    scheduler.list_worker(at(2_000), life("new"));
-    scheduler.list_workers_as_of(1_500, at(2_500), vec![life("old")]);
+    scheduler.list_worker(at(2_000), listing_on_vm("new"));
+    scheduler.list_workers_as_of(1_500, at(2_500), vec![listing_on_vm("old")]);
     assert!(gone(&mut scheduler).is_empty());
     // The next reading shows which of the two lives.
-    scheduler.list_workers_as_of(3_000, at(3_100), vec![life("new")]);
+    scheduler.list_workers_as_of(3_000, at(3_100), vec![listing_on_vm("new")]);
     assert_eq!(gone(&mut scheduler), ["old"]);
 }
 
@@ -68,12 +68,12 @@
 }
 
 #[test]
-fn an_older_reading_does_not_replace_a_newer_entry() {
+fn an_older_read_does_not_replace_a_newer_entry() {
     let mut scheduler = Scheduler::new(7, Options::default());
     let mut worker = TaskWorker::new(ROOM);
-    let draining = WorkerListing { draining: true, ..life("one") };
+    let draining = WorkerListing { draining: true, ..listing_on_vm("one") };
     scheduler.list_worker(at(2_000), draining);
-    scheduler.list_workers_as_of(1_500, at(2_500), vec![life("one")]);
+    scheduler.list_workers_as_of(1_500, at(2_500), vec![listing_on_vm("one")]);
     scheduler.expect_workers(at(2_500), []);
     scheduler.submit(id(1), job(vec![step(1)]), 8, None);
     let mut starts_at = |scheduler: &mut Scheduler, now| {
@@ -82,6 +82,6 @@
             + starts(scheduler, &mut worker, now)
     };
     assert_eq!(starts_at(&mut scheduler, at(2_500)), 0, "it is draining");
-    scheduler.list_workers_as_of(3_000, at(3_100), vec![life("one")]);
+    scheduler.list_workers_as_of(3_000, at(3_100), vec![listing_on_vm("one")]);
     assert_eq!(starts_at(&mut scheduler, at(3_100)), 1, "it no longer is");
 }
--- a/crates/dewspar/tests/schedule/in_doubt.rs
+++ b/crates/dewspar/tests/schedule/in_doubt.rs
@@ -42,7 +42,7 @@
 }
 
 /// Carries out a start that was sent to a former process.
-fn arrive(world: &mut World, id: &WorkerId, order: &StartOrder) {
+fn deliver(world: &mut World, id: &WorkerId, order: &StartOrder) {
     let clock = world.clock_of(id);
     let demand = Resources { cpu_millis: 1_000, ..Resources::default() };
     // OK because it is only called for workers that are up.
@@ -92,7 +92,7 @@
         fill(&mut world, &on);
         world.run_for(late_ms - 200);
         world.start_again(&on);
-        arrive(&mut world, &on, &order);
+        deliver(&mut world, &on, &order);
         assert_none_twice(&mut world);
         for _ in 0..(LATE_MS / 50) {
             world.run_for(50);
@@ -106,7 +106,7 @@
 
 // The same, where a holder that knew of it was followed by one that didn't.
 #[test]
-fn nor_is_one_of_a_former_holder() {
+fn a_void_start_of_a_former_holder_is_not_carried_out_beside_another() {
     for late_ms in [300, 1_000, 4_000] {
         let mut world = restarting(&["w1", "w2"]);
         world.fate = Fate::endless();
@@ -124,7 +124,7 @@
         world.expect_all();
         world.run_for(late_ms);
         world.start_again(&on);
-        arrive(&mut world, &on, &order);
+        deliver(&mut world, &on, &order);
         for _ in 0..(LATE_MS / 50) {
             assert_none_twice(&mut world);
             world.run_for(50);
@@ -138,7 +138,7 @@
 // An order without an answer to a worker that was first known to have ended was
 // carried out by its next process, while its task ran elsewhere.
 #[test]
-fn nor_is_one_whose_worker_was_known_to_have_ended() {
+fn a_start_is_not_carried_out_late_after_its_worker_was_known_to_have_ended() {
     let mut world = restarting(&["w1", "w2"]);
     world.fate = Fate::endless();
     world.scheduler.submit(id(1), job(vec![step(1)]), 6, None);
@@ -148,7 +148,7 @@
     world.scheduler.worker_gone(&on, reason, at(world.now_ms));
     world.run_for(1_000);
     world.start_again(&on);
-    arrive(&mut world, &on, &order);
+    deliver(&mut world, &on, &order);
     for _ in 0..(LATE_MS / 50) {
         assert_none_twice(&mut world);
         world.run_for(50);
@@ -173,7 +173,8 @@
 
 /// It starts elsewhere once the order can't be carried out any more.
 #[test]
-fn a_task_in_doubt_whose_worker_is_gone_starts_elsewhere_in_the_end() {
+fn a_task_in_doubt_whose_worker_is_gone_starts_elsewhere_after_the_delivery_limit()
+ {
     let mut world = restarting(&["w1", "w2"]);
     world.scheduler.submit(id(1), job(vec![step(1)]), 6, None);
     let (on, _) = lose_start(&mut world, id(1));
--- a/crates/dewspar/tests/schedule/loading.rs
+++ b/crates/dewspar/tests/schedule/loading.rs
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn the_end_of_an_unknown_jobs_run_is_told_again_once_the_job_is_known() {
+fn the_end_of_an_unknown_jobs_run_is_repeated_once_the_job_is_known() {
     let mut world = world_with_a_running_job(&["w1"], WORK);
     // Both end while their job is unknown.
     world.run_for(3_000);
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn a_cancellation_counts_that_comes_before_its_job() {
+fn a_cancellation_that_comes_before_its_job_counts() {
     let mut world = World::new(9, &["w1"]);
     world.scheduler.begin_loading();
     world.list();
@@ -226,7 +226,7 @@
 }
 
 #[test]
-fn lives_that_only_the_list_of_vms_names_are_to_be_looked_up() {
+fn workers_named_only_by_the_vm_list_are_looked_up() {
     let mut world = World::new(9, &["w1"]);
     world.list();
     let new = listing("w9");
--- a/crates/dewspar/tests/schedule/records.rs
+++ b/crates/dewspar/tests/schedule/records.rs
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn an_older_record_takes_nothing_back() {
+fn an_older_record_changes_nothing() {
     let mut world = world_with_a_running_job();
     let newer = running(vec![done(0), failed(1, &[4, 5])]);
     world.scheduler.merge_record(id(1), &newer, at(world.now_ms));
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn a_job_that_is_left_alone_is_stopped_and_not_stored() {
+fn an_unreadable_job_is_stopped_and_not_stored() {
     let mut world = world_with_a_running_job();
     let stored = world.stored.get(&id(1)).cloned();
     world.scheduler.mark_unreadable(id(1));
@@ -115,12 +115,12 @@
 }
 
 /// How many ends its one worker tells again with each answer.
-fn told_again(world: &World) -> usize {
+fn unacknowledged_ends(world: &World) -> usize {
     world.workers[&listing("w1").id].ended().len()
 }
 
 /// Takes all ends that wait to be set aside.
-fn ends_set_aside(scheduler: &mut Scheduler) -> usize {
+fn count_deferred_ends(scheduler: &mut Scheduler) -> usize {
     let ends = scheduler.take_deferred_ends(31);
     let number = ends.ends().count();
     scheduler.deferred_ends_failed(&ends);
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn ends_of_a_job_that_is_left_alone_are_told_until_they_are_set_aside() {
+fn ends_of_an_unreadable_job_are_repeated_until_they_are_stored() {
     let mut world = World::new(7, &["w1"]);
     world.fate = Fate::done(500);
     world.list();
@@ -146,17 +146,17 @@
     world.scheduler.submit(id(2), job(vec![step(1)]), 9, None);
     world.run_for(1_500);
     assert_eq!(world.phases.get(&id(2)), Some(&"completed"));
-    assert_eq!(ends_set_aside(&mut world.scheduler), 2);
-    assert!(told_again(&world) >= 2);
+    assert_eq!(count_deferred_ends(&mut world.scheduler), 2);
+    assert!(unacknowledged_ends(&world) >= 2);
     let ends = world.scheduler.take_deferred_ends(31);
     world.scheduler.deferred_ends_stored(&ends, at(world.now_ms));
     world.run_for(200);
-    assert_eq!(told_again(&world), 0);
+    assert_eq!(unacknowledged_ends(&world), 0);
     assert!(world.scheduler.take_deferred_ends(31).is_empty());
 }
 
 #[test]
-fn an_end_that_was_set_aside_counts_as_if_it_were_heard() {
+fn a_deferred_end_counts_like_a_reported_end() {
     let mut world = world_with_a_running_job();
     world.scheduler.mark_unreadable(id(1));
     world.run_for(500);
--- a/crates/dewspar/tests/schedule/restarted_workers.rs
+++ b/crates/dewspar/tests/schedule/restarted_workers.rs
@@ -19,20 +19,20 @@
 
 /// How soon a task runs again once its worker is back, in milliseconds: a
 /// question, one under a new token, a start, and the pauses between them.
-const AGAIN_WITHIN_MS: u64 = 1_000;
+const RERUN_WITHIN_MS: u64 = 1_000;
 
 /// How often the directory is read, in milliseconds.
 const DIRECTORY_MS: u64 = 1_000;
 
 /// How soon a process is used that says that it is older than the one before, in
 /// milliseconds: the longest lease, on a clock that is slow, and a margin.
-const OLDER_USED_WITHIN_MS: u64 = 12_000;
+const EARLIER_USED_WITHIN_MS: u64 = 12_000;
 
 fn w(name: &str) -> WorkerId {
     WorkerId::new(name)
 }
 
-fn lasting(count: u32) -> StepSpec {
+fn long_step(count: u32) -> StepSpec {
     StepSpec { long_running: true, ..step(count) }
 }
 
@@ -45,7 +45,7 @@
 }
 
 /// Goes on for so long, with the directory read again and again.
-fn go_on(world: &mut World, ms: u64) {
+fn run_reading_directory(world: &mut World, ms: u64) {
     let end_ms = world.now_ms + ms;
     while world.now_ms < end_ms {
         world.run_for(50);
@@ -76,18 +76,18 @@
 
 // A young process's answers were taken for old ones of the former.
 #[test]
-fn a_lasting_task_runs_again_soon_after_its_worker_started_again() {
+fn a_long_running_task_runs_again_soon_after_its_worker_restarted() {
     for up_ms in [3_000, 12_000, 30_000, 120_000] {
         for away_ms in [0, 500, 2_000, 8_000] {
             let mut world = restarting(&["w1"]);
             world.fate = Fate::endless();
-            world.scheduler.submit(id(1), job(vec![lasting(1)]), 6, None);
+            world.scheduler.submit(id(1), job(vec![long_step(1)]), 6, None);
             world.run_for(up_ms);
             cut_and_start_again(&mut world, "w1", away_ms);
             let task = first_task(id(1)).to_string();
             let after_ms = runs_after_ms(&mut world, &task, 2 * up_ms);
             assert!(
-                after_ms <= AGAIN_WITHIN_MS,
+                after_ms <= RERUN_WITHIN_MS,
                 "up for {up_ms} ms, away for {away_ms} ms: {after_ms} ms"
             );
         }
@@ -135,21 +135,21 @@
 fn a_worker_known_to_have_ended_is_used_again_under_its_identifier() {
     let mut world = restarting(&["w1"]);
     world.fate = Fate::endless();
-    world.scheduler.submit(id(1), job(vec![lasting(1)]), 6, None);
-    go_on(&mut world, 5_000);
+    world.scheduler.submit(id(1), job(vec![long_step(1)]), 6, None);
+    run_reading_directory(&mut world, 5_000);
     world.cut.push(w("w1"));
     world.workers.remove(&w("w1"));
     world.run_for(2_000);
     let reason = "the VM service says that it ended";
     world.scheduler.worker_gone(&w("w1"), reason, at(world.now_ms));
     // The former process's entry is still there for a while.
-    go_on(&mut world, 2_000);
+    run_reading_directory(&mut world, 2_000);
     world.cut.clear();
     world.start_again(&w("w1"));
     world.list();
     let task = first_task(id(1)).to_string();
     let after_ms = runs_after_ms(&mut world, &task, 10_000);
-    assert!(after_ms <= AGAIN_WITHIN_MS, "{after_ms} ms");
+    assert!(after_ms <= RERUN_WITHIN_MS, "{after_ms} ms");
 }
 
 // A task that crashed each process of a worker was never blamed.
@@ -160,7 +160,7 @@
     let bad = first_task(id(1));
     world.crashing.push(bad);
     world.scheduler.submit(id(1), job(vec![step(1)]), 6, None);
-    go_on(&mut world, 60_000);
+    run_reading_directory(&mut world, 60_000);
     assert_eq!(world.phases.get(&id(1)), Some(&"failed"));
     let starts = starts_of(&world, &bad);
     assert!(starts <= MAX_STARTS, "started {starts} times");
@@ -168,7 +168,7 @@
 
 // One crash that the entry, an answer and the list of VMs tell of is one.
 #[test]
-fn a_restart_that_several_sources_tell_of_counts_once() {
+fn a_restart_that_several_sources_report_counts_once() {
     let mut world = restarting(&["w1", "w2"]);
     world.fate = Fate::endless();
     world.scheduler.submit(id(1), job(vec![step(1)]), 6, None);
@@ -189,10 +189,10 @@
 
 // The entry alone told of the new process, and nobody read it.
 #[test]
-fn an_entry_of_a_new_process_gives_its_former_runs_up() {
+fn an_entry_of_a_new_process_ends_the_former_runs() {
     let mut world = restarting(&["w1", "w2"]);
     world.fate = Fate::endless();
-    world.scheduler.submit(id(1), job(vec![lasting(1)]), 6, None);
+    world.scheduler.submit(id(1), job(vec![long_step(1)]), 6, None);
     world.run_for(5_000);
     let on = world.starts[0].0.clone();
     world.cut.push(on.clone());
@@ -200,7 +200,7 @@
     world.list();
     let task = first_task(id(1)).to_string();
     let after_ms = runs_after_ms(&mut world, &task, 30_000);
-    assert!(after_ms <= AGAIN_WITHIN_MS, "{after_ms} ms");
+    assert!(after_ms <= RERUN_WITHIN_MS, "{after_ms} ms");
     assert_eq!(world.starts.len(), 2);
     assert_ne!(world.starts[1].0, on);
 }
@@ -222,7 +222,7 @@
 }
 
 /// Carries out a start that was sent to a former process.
-fn arrive(world: &mut World, id: &WorkerId, order: &StartOrder) -> bool {
+fn deliver(world: &mut World, id: &WorkerId, order: &StartOrder) -> bool {
     let clock = world.clock_of(id);
     let demand = Resources { cpu_millis: 1_000, ..Resources::default() };
     // OK because the worker was started a moment ago.
@@ -253,7 +253,7 @@
                 world.list();
             }
             world.run_for(late_ms);
-            arrive(&mut world, &on, &order);
+            deliver(&mut world, &on, &order);
             for _ in 0..100 {
                 world.run_for(50);
                 assert_none_twice(&mut world);
@@ -269,7 +269,7 @@
 fn a_late_answer_of_a_former_process_is_passed_over() {
     let mut world = restarting(&["w1", "w2"]);
     world.fate = Fate::endless();
-    world.scheduler.submit(id(1), job(vec![lasting(1)]), 6, None);
+    world.scheduler.submit(id(1), job(vec![long_step(1)]), 6, None);
     world.run_for(3_000);
     let on = world.starts[0].0.clone();
     let held = next_hold(&mut world, &on);
@@ -310,7 +310,7 @@
     while world.now_ms < end_ms {
         let crashes = world.crashes;
         while world.crashes == crashes && world.now_ms < end_ms {
-            go_on(&mut world, 50);
+            run_reading_directory(&mut world, 50);
         }
         // One that is lost before it has loaded any job: the worker is back.
         world.take_over(revision + 2);
@@ -370,11 +370,11 @@
 // An entry or an answer that doesn't say which process it is from, or names an
 // earlier one, changes nothing; the others hold.
 #[test]
-fn a_process_that_is_not_told_is_none() {
+fn an_unnamed_or_earlier_process_changes_nothing() {
     let mut world = restarting(&["w1", "w2"]);
     world.fate = Fate::endless();
-    world.scheduler.submit(id(1), job(vec![lasting(2)]), 6, None);
-    go_on(&mut world, 3_000);
+    world.scheduler.submit(id(1), job(vec![long_step(2)]), 6, None);
+    run_reading_directory(&mut world, 3_000);
     let starts = world.starts.len();
     let on = world.starts[0].0.clone();
     let earlier = Incarnation::born_at(1);
@@ -391,7 +391,7 @@
             HoldReport { incarnation: told, clock_ms, ..Default::default() };
         let now = at(world.now_ms);
         world.scheduler.hold_answered(&on, &held, &report, now);
-        go_on(&mut world, 3_000);
+        run_reading_directory(&mut world, 3_000);
         assert_eq!(world.running().len(), 2, "{told}");
         assert_eq!(world.starts.len(), starts, "{told}");
     }
@@ -399,16 +399,16 @@
 
 // A VM's time of day was set back before its worker started again.
 #[test]
-fn a_process_that_says_it_is_older_is_used_in_the_end() {
+fn a_process_with_an_earlier_start_time_is_used_eventually() {
     let mut world = restarting(&["w1"]);
     world.fate = Fate::endless();
-    world.scheduler.submit(id(1), job(vec![lasting(1)]), 6, None);
-    go_on(&mut world, 3_000);
+    world.scheduler.submit(id(1), job(vec![long_step(1)]), 6, None);
+    run_reading_directory(&mut world, 3_000);
     world.start_again_as(&w("w1"), Incarnation::born_at(1));
     let task = first_task(id(1)).to_string();
-    let end_ms = world.now_ms + OLDER_USED_WITHIN_MS;
+    let end_ms = world.now_ms + EARLIER_USED_WITHIN_MS;
     while world.now_ms < end_ms && !world.running().contains(&task) {
-        go_on(&mut world, 50);
+        run_reading_directory(&mut world, 50);
     }
     assert_eq!(world.running(), [task]);
 }
@@ -424,17 +424,17 @@
     world.scheduler.submit(id(1), job(vec![step(1)]), 4, None);
     let task = first_task(id(1)).to_string();
     let after_ms = runs_after_ms(&mut world, &task, 20_000);
-    assert!(after_ms <= AGAIN_WITHIN_MS, "{after_ms} ms");
+    assert!(after_ms <= RERUN_WITHIN_MS, "{after_ms} ms");
 }
 
 // Short tasks took the place of one that was being stopped for it.
 #[test]
-fn a_place_stays_kept_on_a_worker_that_started_again() {
+fn a_reservation_survives_a_worker_restart() {
     let mut world = restarting(&["w1", "w2"]);
     world.stops_take_ms = 900;
     world.fate = Fate::endless();
     let large =
-        StepSpec { cpu_millis: 3_000, max_unavailable: 1, ..lasting(1) };
+        StepSpec { cpu_millis: 3_000, max_unavailable: 1, ..long_step(1) };
     let demand = Resources { cpu_millis: 3_000, ..Resources::default() };
     let kind = RunKind { demand, fate: Fate::endless() };
     world.kinds.insert(id(1), kind);
@@ -464,7 +464,7 @@
 
 // An acknowledgement to the former process made the next one forget its ends.
 #[test]
-fn ends_are_heard_before_they_are_acknowledged() {
+fn ends_are_received_before_they_are_acknowledged() {
     let mut world = restarting(&["w1"]);
     world.scheduler.submit(id(1), job(vec![step(4)]), 6, None);
     world.run_for(3_000);
@@ -479,7 +479,7 @@
 
 /// Asks a worker of which some ends are acknowledged, and starts it again before
 /// the question arrives; the directory tells of that.
-fn question_to_former_process(world: &mut World) -> SentHold {
+fn hold_for_former_process(world: &mut World) -> SentHold {
     world.scheduler.submit(id(1), job(vec![step(4)]), 6, None);
     world.run_for(3_000);
     world.fate = Fate::endless();
@@ -496,7 +496,7 @@
 #[test]
 fn ends_of_a_restarted_worker_are_acknowledged() {
     let mut world = restarting(&["w1"]);
-    let held = question_to_former_process(&mut world);
+    let held = hold_for_former_process(&mut world);
     let next = world.workers.get_mut(&w("w1")).expect("started");
     let report = next.hold(0, held.order()).expect("an answer");
     let now = at(world.now_ms);
@@ -508,9 +508,9 @@
 
 // Questions to the former process that failed made the next one silent.
 #[test]
-fn failed_questions_to_a_former_process_dont_silence_the_next() {
+fn failed_holds_of_a_former_process_dont_count_for_the_next() {
     let mut world = restarting(&["w1"]);
-    let held = question_to_former_process(&mut world);
+    let held = hold_for_former_process(&mut world);
     world.run_for(1_000);
     let now = at(world.now_ms);
     for _ in 0..2 {
--- a/crates/dewspar/tests/schedule/runs.rs
+++ b/crates/dewspar/tests/schedule/runs.rs
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn a_life_that_ended_is_not_taken_back_from_the_directory() {
+fn an_ended_worker_is_not_added_again_from_the_directory() {
     let mut world = World::new(5, &["w1"]);
     world.list();
     world.run_for(100);
@@ -232,7 +232,7 @@
 }
 
 #[test]
-fn a_failure_that_is_told_again_after_a_takeover_counts_once() {
+fn a_failure_repeated_after_a_takeover_counts_once() {
     let mut world = World::new(5, &["w1", "w2", "w3", "w4"]);
     world.list();
     world.fate = Fate::failed(100);
@@ -311,7 +311,7 @@
 }
 
 #[test]
-fn a_task_that_stands_still_is_moved() {
+fn a_stalled_task_is_moved() {
     let mut world = World::new(5, &["w1", "w2"]);
     world.list();
     world.fate = Fate::stalled();
@@ -327,7 +327,7 @@
 /// A worker that was cut off for so long that its lease counted as over was
 /// left out for as long as the holder's lease lasted, though it was back.
 #[test]
-fn a_worker_that_comes_back_after_its_lease_was_over_is_used_again() {
+fn a_worker_that_returns_after_its_lease_expired_is_used_again() {
     let mut world = World::new(5, &["w1", "w2"]);
     world.fate = Fate::done(60_000);
     world.list();
@@ -358,7 +358,7 @@
 
 /// One that is still listed and doesn't answer keeps nothing waiting.
 #[test]
-fn a_worker_whose_lease_is_over_keeps_no_task_waiting() {
+fn a_worker_whose_lease_expired_keeps_no_task_waiting() {
     let mut world = World::new(5, &["w1", "w2"]);
     world.list();
     world.expect_all();
--- a/crates/dewspar/tests/schedule/start_log.rs
+++ b/crates/dewspar/tests/schedule/start_log.rs
@@ -13,20 +13,20 @@
 };
 
 /// A world whose holders log starts, and the logs in its store.
-struct Logging {
+struct LoggingWorld {
     world: World,
     logs: Vec<StartLog>,
     /// How many starts were logged in all.
     logged: usize,
 }
 
-impl Logging {
-    fn new(names: &[&str]) -> Logging {
+impl LoggingWorld {
+    fn new(names: &[&str]) -> LoggingWorld {
         let mut world = World::new(5, names);
         world.scheduler.enable_start_log();
         world.list();
         world.expect_all();
-        Logging { world, logs: Vec::new(), logged: 0 }
+        LoggingWorld { world, logs: Vec::new(), logged: 0 }
     }
 
     /// Plans once, and stores what changed unless the holder is lost with its
@@ -83,8 +83,8 @@
 // Where nothing but the log told of a start, and each holder was lost with one, the
 // next knew of none.
 #[test]
-fn holders_that_are_lost_with_a_start_leave_a_log_of_it() {
-    let mut logging = Logging::new(&["w1", "w2", "w3", "w4", "w5", "w6"]);
+fn a_start_is_logged_before_its_holder_is_lost() {
+    let mut logging = LoggingWorld::new(&["w1", "w2", "w3", "w4", "w5", "w6"]);
     logging.world.lost_with_starts = true;
     let bad = first_task(id(1));
     logging.world.crashing.push(bad);
@@ -114,8 +114,8 @@
 }
 
 /// Makes a holder that has taken over with one job whose run goes on.
-fn inherit_and_start() -> Logging {
-    let mut logging = Logging::new(&["w1", "w2"]);
+fn take_over_and_start() -> LoggingWorld {
+    let mut logging = LoggingWorld::new(&["w1", "w2"]);
     logging.world.fate = Fate::endless();
     logging.take_over(8, &[id(1)]);
     logging.run_for(200);
@@ -126,7 +126,7 @@
 // Each start cost a write of its job's record.
 #[test]
 fn a_sound_start_is_logged_and_its_job_not_written_for_it() {
-    let mut logging = inherit_and_start();
+    let mut logging = take_over_and_start();
     assert_eq!(logging.logs.len(), 1);
     assert_eq!(logging.logged, 1);
     // Its record says that it has begun, and nothing else is written of it.
@@ -137,8 +137,8 @@
 
 // What a former holder had logged of a job was forgotten with the next record.
 #[test]
-fn what_was_logged_is_on_record_with_its_job_before_the_logs_can_go() {
-    let mut logging = inherit_and_start();
+fn inherited_starts_are_stored_with_their_jobs_before_logs_are_deleted() {
+    let mut logging = take_over_and_start();
     let starts = logging.logs[0].starts().to_vec();
     let on = logging.world.starts[0].0.clone();
     // It isn't heard what became of it.
@@ -157,7 +157,7 @@
 // A write that wasn't done left its starts waiting.
 #[test]
 fn starts_whose_log_was_not_written_are_logged_again() {
-    let mut logging = Logging::new(&["w1", "w2"]);
+    let mut logging = LoggingWorld::new(&["w1", "w2"]);
     logging.take_over(8, &[id(1)]);
     let mut lost = None;
     while lost.is_none() {
--- a/crates/dewspar/tests/schedule/storing.rs
+++ b/crates/dewspar/tests/schedule/storing.rs
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_job_that_could_not_be_stored_keeps_its_turn() {
+fn a_job_that_could_not_be_stored_keeps_its_position() {
     let mut world = world_with_jobs(2);
     change(&mut world, 2);
     change(&mut world, 1);
--- a/crates/dewspar/tests/schedule/unseen_starts.rs
+++ b/crates/dewspar/tests/schedule/unseen_starts.rs
@@ -25,7 +25,11 @@
 
 /// Takes over with nothing left of the workers that have crashed, and goes on
 /// with what is stored of each job.
-fn take_over_without_trace(world: &mut World, revision: u64, jobs: &[JobId]) {
+fn take_over_without_entries(
+    world: &mut World,
+    revision: u64,
+    jobs: &[JobId],
+) {
     let workers = &world.workers;
     let lives = |worker: &WorkerListing| workers.contains_key(&worker.id);
     world.listings.retain(lives);
@@ -52,7 +56,7 @@
 }
 
 #[test]
-fn starts_that_leave_no_trace_are_bounded_too() {
+fn starts_without_a_record_are_bounded() {
     let names = ["w1", "w2", "w3", "w4", "w5", "w6"];
     let mut world = World::new(5, &names);
     world.list();
@@ -70,7 +74,7 @@
             world.run_for(50);
         }
         revision += 2;
-        take_over_without_trace(&mut world, revision, &jobs);
+        take_over_without_entries(&mut world, revision, &jobs);
     }
     let starts = starts_of(&world, &bad);
     assert!(starts <= MAX_STARTS, "started {starts} times");
@@ -95,7 +99,7 @@
         while world.starts.len() == starts {
             world.run_for(50);
         }
-        take_over_without_trace(&mut world, revision, &jobs);
+        take_over_without_entries(&mut world, revision, &jobs);
     }
     world.loses_starts = false;
     world.run_for(60_000);
@@ -114,7 +118,7 @@
     world.scheduler.submit(id(1), job(vec![step(1)]), 6, None);
     for revision in (8..40).step_by(2) {
         world.run_for(300);
-        take_over_without_trace(&mut world, revision, &jobs);
+        take_over_without_entries(&mut world, revision, &jobs);
     }
     world.run_for(60_000);
     assert_eq!(starts_of(&world, &first_task(id(1))), 1);
@@ -158,7 +162,7 @@
 /// The same where the VM is back already: that its change was ordered is on
 /// record.
 #[test]
-fn nor_has_one_whose_vm_was_ordered_to_change() {
+fn a_worker_whose_vm_was_ordered_to_change_has_not_crashed() {
     let mut world = hand_over_with_a_silent_worker();
     let ordered = r#"[{"by":{"node":"n1","incarnation":1},
         "ages_ms":{"vm-of-w1":200}}]"#;
@@ -174,7 +178,7 @@
 
 /// A VM that is down may be so for a crash under a start of the former holder.
 #[test]
-fn one_whose_vm_is_down_may_have_crashed() {
+fn a_worker_whose_vm_is_down_may_have_crashed() {
     let mut world = hand_over_with_a_silent_worker();
     show_first_vm_as(&mut world, VmStatus::Down);
     world.run_for(1_000);
@@ -187,7 +191,7 @@
 /// What waits for the store before it starts is written before the rest, and in
 /// the order in which it is to start.
 #[test]
-fn what_is_to_start_first_is_stored_first() {
+fn jobs_are_stored_in_the_order_of_their_starts() {
     let mut world = hand_over_with_a_silent_worker();
     show_first_vm_as(&mut world, VmStatus::Down);
     for (number, priority) in [(2, 9), (3, 2), (4, 5)] {
@@ -234,7 +238,7 @@
     world.cut = world.listings.iter().map(|w| w.id.clone()).collect();
     world.run_for(200);
     for revision in [8, 10, 12, 14] {
-        take_over_without_trace(&mut world, revision, &jobs);
+        take_over_without_entries(&mut world, revision, &jobs);
         world.run_for(200);
     }
     world.cut.clear();
@@ -251,7 +255,7 @@
 /// started again: 00000000000000c8.0.0.0, 6 crashes
 /// ```
 #[test]
-fn two_workers_lost_unheard_may_be_two_starts() {
+fn two_workers_lost_before_they_answered_may_be_two_starts() {
     let names = ["w1", "w2", "w3", "w4", "w5", "w6"];
     let mut world = World::new(5, &names);
     world.told_after_ms = Some(100);
@@ -278,7 +282,7 @@
 /// Runs a bad job and two sound ones under holders each of which is lost right
 /// after it has ordered a start, before it could store that; lets the next one
 /// take over in this manner.
-fn lose_each_holder_with_its_start(next: fn(&mut World, u64, &[JobId])) {
+fn lose_each_holder_after_a_start(next: fn(&mut World, u64, &[JobId])) {
     let names = ["w1", "w2", "w3", "w4", "w5", "w6"];
     let mut world = World::new(5, &names);
     world.list();
@@ -312,8 +316,8 @@
 /// left no record of it, and the entry of the worker that had crashed under it was
 /// gone before the next holder looked: 179 starts of one task in 60 s.
 #[test]
-fn holders_that_are_lost_with_a_start_leave_a_trace_of_it() {
-    lose_each_holder_with_its_start(take_over_without_trace);
+fn a_start_is_on_record_before_its_holder_is_lost() {
+    lose_each_holder_after_a_start(take_over_without_entries);
 }
 
 /// Where the crashed worker's entry is still there, the next start was announced,
@@ -321,6 +325,6 @@
 /// announcement alone counted as no start, and holder after holder went on from
 /// the same one: 30 starts in 60 s.
 #[test]
-fn nor_is_a_start_forgotten_that_was_announced() {
-    lose_each_holder_with_its_start(take_over_with_entries);
+fn an_announced_start_counts_after_its_holder_is_lost() {
+    lose_each_holder_after_a_start(take_over_with_entries);
 }
--- a/crates/dewspar/tests/schedule/write_ahead.rs
+++ b/crates/dewspar/tests/schedule/write_ahead.rs
@@ -20,7 +20,7 @@
 const RECORD_WAIT_MS: u64 = 300 + 50;
 
 /// Makes a holder that has just taken over with one job.
-fn inherit(names: &[&str]) -> World {
+fn take_over_with_a_job(names: &[&str]) -> World {
     let mut world = World::new(5, names);
     world.take_over(8);
     world.scheduler.submit(id(1), job(vec![step(1)]), 6, None);
@@ -45,7 +45,7 @@
 // worker had crashed.
 #[test]
 fn a_worker_lost_before_a_start_is_on_record_counts_for_nothing() {
-    let mut world = inherit(&["w1"]);
+    let mut world = take_over_with_a_job(&["w1"]);
     run_without_answers(&mut world, 150);
     assert_eq!(world.starts.len(), 0);
     world.crash_vm("vm-of-w1");
@@ -62,8 +62,8 @@
 
 // Callers waited for as long as the store didn't answer.
 #[test]
-fn a_start_waits_for_its_record_for_a_moment_only() {
-    let mut world = inherit(&["w1"]);
+fn a_start_waits_for_its_record_for_a_bounded_time() {
+    let mut world = take_over_with_a_job(&["w1"]);
     run_without_answers(&mut world, 200);
     assert_eq!(world.starts.len(), 0);
     run_without_answers(&mut world, RECORD_WAIT_MS);
@@ -72,7 +72,7 @@
 
 #[test]
 fn a_start_that_waits_for_its_record_is_cancelled_with_its_job() {
-    let mut world = inherit(&["w1"]);
+    let mut world = take_over_with_a_job(&["w1"]);
     run_without_answers(&mut world, 150);
     world.scheduler.cancel(id(1), at(world.now_ms));
     world.run_for(2_000);
@@ -235,7 +235,7 @@
 // Starts that wait for their records held a takeover up: 96 in the first second
 // where 4,251 had gone out before.
 #[test]
-fn a_takeover_at_size_is_not_held_up_by_its_records() {
+fn a_large_takeover_is_not_delayed_by_its_records() {
     let mut takeover = Takeover::new();
     while takeover.now_ms < 2_000 {
         takeover.plan();
