--- a/crates/dewspar/tests/schedule/gang_reservations.rs
+++ b/crates/dewspar/tests/schedule/gang_reservations.rs
@@ -10,7 +10,7 @@
 
 use {
     crate::{
-        task_moves::{STOP_MS, lasting, look},
+        task_moves::{STOP_MS, long_running, plan_round},
         waves::{maintain_for_a_while, request_wave, request_wave_of},
         world::{POOL, ROOM, RunKind, World, at, id, job, listing, step},
     },
@@ -23,27 +23,27 @@
 };
 
 /// How long a gang may wait though there is room for it, in milliseconds.
-const MISSED_MS: u64 = 6_000;
+const MAX_WAIT_MS: u64 = 6_000;
 
 /// How long room may stand idle for a gang, and a little more, in milliseconds.
-const IDLE_MS: u64 = 7_000;
+const MAX_IDLE_MS: u64 = 7_000;
 
 /// How long a gang may wait once the last of its members has ended, in
 /// milliseconds: two plans.
-const AT_ONCE_MS: u64 = 100;
+const MAX_START_DELAY_MS: u64 = 100;
 
 /// How long after one member of a broken gang the next ends, in milliseconds.
-const BREAK_MS: u64 = 300;
+const MEMBER_END_INTERVAL_MS: u64 = 300;
 
 /// How many random runs are made.
 const RUNS: u64 = 60;
 
 /// How many are made with waves, which take longer.
-const WAVES: u64 = 20;
+const WAVE_RUNS: u64 = 20;
 
 /// A gang of so many tasks that take three quarters of a worker each.
 fn gang(count: u32) -> StepSpec {
-    let large = StepSpec { cpu_millis: 3_000, ..lasting() };
+    let large = StepSpec { cpu_millis: 3_000, ..long_running() };
     StepSpec { count, gang: true, ..large }
 }
 
@@ -61,7 +61,7 @@
 
 impl Peak {
     /// Makes a world whose workers are empty yet.
-    fn to_come(names: &[&str]) -> Peak {
+    fn idle(names: &[&str]) -> Peak {
         let mut world = World::new(5, names);
         world.list();
         world.expect_all();
@@ -72,46 +72,46 @@
 
     /// Makes a world whose workers are full of small tasks.
     fn new(names: &[&str]) -> Peak {
-        let mut peak = Peak::to_come(names);
+        let mut peak = Peak::idle(names);
         peak.begin();
         peak
     }
 
     fn begin(&mut self) {
         self.tasks_a_round = self.world.listings.len() as u32;
-        self.go_on(2_000);
+        self.run_for(2_000);
     }
 
     /// Lets the peak go on, no task ending together with others.
-    fn go_on(&mut self, ms: u64) {
+    fn run_for(&mut self, ms: u64) {
         for _ in 0..ms / 50 {
             self.round();
         }
     }
 
     fn round(&mut self) {
-        self.come();
+        self.submit_round();
         self.world.run_for(50);
     }
 
     /// Lets the tasks of one round come, and broken gangs end.
-    fn come(&mut self) {
+    fn submit_round(&mut self) {
         for _ in 0..self.tasks_a_round {
             let work_ms = 400 + (self.next + 1) % 8 * 50;
             self.submit_short(1, work_ms);
         }
-        self.break_gangs();
+        self.end_broken_gangs();
     }
 
     /// Looks after VMs too while the peak goes on.
-    fn look(&mut self) -> Vec<VmOrder> {
-        self.come();
-        look(&mut self.world)
+    fn plan_round(&mut self) -> Vec<VmOrder> {
+        self.submit_round();
+        plan_round(&mut self.world)
     }
 
     /// Carries out what is ordered of VMs too while the peak goes on.
     fn maintain(&mut self) {
-        self.come();
+        self.submit_round();
         maintain_for_a_while(&mut self.world);
     }
 
@@ -146,7 +146,7 @@
         on.collect()
     }
 
-    fn runs_whole(&mut self, job: JobId) -> bool {
+    fn runs_completely(&mut self, job: JobId) -> bool {
         let gang = self.gangs.iter().find(|(other, _)| *other == job);
         let (_, count) = *gang.expect("it was submitted");
         self.running_on(job).len() == count
@@ -154,9 +154,10 @@
 
     /// Ends the members of gangs of which others are missing, as workers do:
     /// one after the other.
-    fn break_gangs(&mut self) {
+    fn end_broken_gangs(&mut self) {
         let now_ms = self.world.now_ms;
-        if self.ended_ms.is_some_and(|at| now_ms < at + BREAK_MS) {
+        if self.ended_ms.is_some_and(|at| now_ms < at + MEMBER_END_INTERVAL_MS)
+        {
             return;
         }
         for (job, count) in self.gangs.clone() {
@@ -164,11 +165,11 @@
             if running.is_empty() || running.len() == count {
                 continue;
             }
-            self.break_members(job, &running[0], now_ms);
+            self.end_members(job, &running[0], now_ms);
         }
     }
 
-    fn break_members(&mut self, job: JobId, id: &WorkerId, now_ms: u64) {
+    fn end_members(&mut self, job: JobId, id: &WorkerId, now_ms: u64) {
         let orders = self.world.starts.iter().filter(|(to, _)| to == id);
         let fence = orders.map(|(_, order)| order.fence).max();
         let Some(worker) = self.world.workers.get_mut(id) else { return };
@@ -207,12 +208,12 @@
 }
 
 #[test]
-fn two_gangs_that_compete_start_one_after_the_other() {
+fn competing_gangs_start_one_after_the_other() {
     let mut peak = Peak::new(&["w1", "w2", "w3"]);
     peak.submit_gang(1, gang(2));
     peak.submit_gang(2, gang(2));
-    peak.go_on(MISSED_MS);
-    let runs = [id(1), id(2)].map(|job| peak.runs_whole(job));
+    peak.run_for(MAX_WAIT_MS);
+    let runs = [id(1), id(2)].map(|job| peak.runs_completely(job));
     assert!(runs[0] != runs[1], "one of both has room: {runs:?}");
     let (first, second) = if runs[0] { (1, 2) } else { (2, 1) };
     // The third worker has no room for a whole gang, so none is kept there.
@@ -220,53 +221,53 @@
         !peak.running_on(id(first)).contains(&WorkerId::new(name))
     });
     let free = free.expect("there are three, for two members");
-    for _ in 0..IDLE_MS / 50 {
+    for _ in 0..MAX_IDLE_MS / 50 {
         peak.round();
         assert!(peak.used(free) > 1_000, "it stands idle for half a gang");
     }
     let now = at(peak.world.now_ms);
     peak.world.scheduler.cancel(id(first), now);
-    peak.go_on(MISSED_MS);
-    assert!(peak.runs_whole(id(second)));
+    peak.run_for(MAX_WAIT_MS);
+    assert!(peak.runs_completely(id(second)));
 }
 
 #[test]
-fn two_gangs_that_both_have_room_start() {
+fn two_gangs_with_room_for_both_start() {
     let mut peak = Peak::new(&["w1", "w2", "w3", "w4"]);
     peak.submit_gang(1, gang(2));
     peak.submit_gang(2, gang(2));
-    peak.go_on(MISSED_MS);
-    assert!(peak.runs_whole(id(1)) && peak.runs_whole(id(2)));
+    peak.run_for(MAX_WAIT_MS);
+    assert!(peak.runs_completely(id(1)) && peak.runs_completely(id(2)));
 }
 
 #[test]
-fn a_gang_larger_than_its_pool_keeps_no_room_and_nobody_waiting() {
+fn a_gang_larger_than_its_pool_reserves_nothing_and_blocks_nobody() {
     let mut peak = Peak::new(&["w1", "w2", "w3"]);
     peak.submit_gang(1, gang(4));
-    for _ in 0..2 * IDLE_MS / 50 {
+    for _ in 0..2 * MAX_IDLE_MS / 50 {
         peak.round();
         let idle = peak.idle_worker();
         assert_eq!(idle, None, "room is kept that is never enough");
     }
     peak.submit_gang(2, gang(2));
-    let large = StepSpec { cpu_millis: 3_000, ..lasting() };
+    let large = StepSpec { cpu_millis: 3_000, ..long_running() };
     peak.submit(3, large, Fate::endless());
-    peak.go_on(MISSED_MS);
-    assert!(peak.runs_whole(id(2)), "a gang that fits waits behind it");
+    peak.run_for(MAX_WAIT_MS);
+    assert!(peak.runs_completely(id(2)), "a gang that fits waits behind it");
     assert_eq!(peak.running_on(id(3)).len(), 1);
 }
 
 /// Two workers of which one is full of tasks that take a minute.
 fn peak_beside_long_runs() -> Peak {
-    let mut peak = Peak::to_come(&["w1", "w2"]);
+    let mut peak = Peak::idle(&["w1", "w2"]);
     peak.submit_short(4, 60_000);
-    peak.go_on(100);
+    peak.run_for(100);
     peak.begin();
     peak
 }
 
 #[test]
-fn room_does_not_stand_idle_for_long_while_a_gang_lacks_the_rest() {
+fn room_is_not_idle_for_long_while_a_gang_lacks_the_rest() {
     let mut peak = peak_beside_long_runs();
     peak.submit_gang(1, gang(2));
     let mut idle_since_ms = peak.world.now_ms;
@@ -279,66 +280,66 @@
             used_rounds += 1;
         }
         let idle_ms = peak.world.now_ms - idle_since_ms;
-        assert!(idle_ms <= 2 * IDLE_MS, "it stands idle for {idle_ms} ms");
+        assert!(idle_ms <= 2 * MAX_IDLE_MS, "it stands idle for {idle_ms} ms");
     }
     let half = 36_000 / 50 / 2;
     assert!(used_rounds * 10 >= half * 9, "in use for {used_rounds} rounds");
 }
 
 #[test]
-fn a_gang_starts_once_runs_are_over_that_outlast_its_patience() {
+fn a_gang_starts_after_runs_that_outlast_its_turns() {
     let mut peak = peak_beside_long_runs();
     peak.submit_gang(1, gang(2));
-    peak.go_on(60_000 + 20_000);
-    assert!(peak.runs_whole(id(1)));
+    peak.run_for(60_000 + 20_000);
+    assert!(peak.runs_completely(id(1)));
 }
 
 #[test]
-fn a_gang_starts_beside_runs_that_never_end_together_within_one_turn() {
-    let mut peak = Peak::to_come(&["w1", "w2"]);
+fn a_gang_starts_although_runs_do_not_end_within_one_turn() {
+    let mut peak = Peak::idle(&["w1", "w2"]);
     // Eight of 20 s, one after the other, and more of them than there is room.
     for _ in 0..8 {
         peak.submit_short(1, 20_000);
-        peak.go_on(2_500);
+        peak.run_for(2_500);
     }
     peak.submit_gang(1, gang(2));
     for _ in 0..60 {
         peak.submit_short(1, 20_000);
-        peak.go_on(1_000);
+        peak.run_for(1_000);
     }
-    assert!(peak.runs_whole(id(1)), "no turn is long enough");
+    assert!(peak.runs_completely(id(1)), "no turn is long enough");
 }
 
 #[test]
-fn the_place_of_one_member_that_is_lost_is_found_elsewhere() {
+fn a_lost_member_reservation_is_replaced_on_another_worker() {
     let mut peak = Peak::new(&["w1", "w2", "w3"]);
     peak.submit_gang(1, gang(2));
     let mut kept = None;
-    for _ in 0..MISSED_MS / 50 {
+    for _ in 0..MAX_WAIT_MS / 50 {
         peak.round();
         kept = peak.idle_worker();
-        if kept.is_some() || peak.runs_whole(id(1)) {
+        if kept.is_some() || peak.runs_completely(id(1)) {
             break;
         }
     }
-    assert!(!peak.runs_whole(id(1)));
+    assert!(!peak.runs_completely(id(1)));
     peak.lose(&kept.expect("room is kept somewhere"));
-    peak.go_on(MISSED_MS);
-    assert!(peak.runs_whole(id(1)));
+    peak.run_for(MAX_WAIT_MS);
+    assert!(peak.runs_completely(id(1)));
 }
 
 #[test]
-fn no_room_stays_kept_once_the_place_of_one_member_is_lost_for_good() {
+fn reservations_are_released_once_one_member_has_no_room_anywhere() {
     let mut peak = peak_beside_long_runs();
     peak.submit_gang(1, gang(2));
-    peak.go_on(2_000);
+    peak.run_for(2_000);
     let kept = peak.idle_worker().expect("one is kept for a member");
     let names = ["w1", "w2"].map(WorkerId::new);
     let full = names.into_iter().find(|name| *name != kept);
     peak.lose(&full.expect("there are two"));
     // What the look takes, and a plan.
-    peak.go_on(1_000);
-    for _ in 0..IDLE_MS / 50 {
+    peak.run_for(1_000);
+    for _ in 0..MAX_IDLE_MS / 50 {
         peak.round();
         let used = peak.used(&kept.to_string());
         assert!(used > 1_000, "it is kept for half a gang");
@@ -346,10 +347,10 @@
 }
 
 #[test]
-fn a_gang_that_waits_for_its_places_takes_empty_workers() {
+fn a_gang_waiting_for_reserved_room_takes_empty_workers() {
     let mut peak = peak_beside_long_runs();
     peak.submit_gang(1, gang(2));
-    peak.go_on(1_000);
+    peak.run_for(1_000);
     for name in ["w3", "w4"] {
         let new = listing(name);
         peak.world.workers.insert(new.id.clone(), TaskWorker::new(ROOM));
@@ -358,17 +359,17 @@
     peak.world.list();
     peak.world.expect_all();
     peak.tasks_a_round = 1;
-    peak.go_on(MISSED_MS);
-    assert!(peak.runs_whole(id(1)), "it waits beside empty workers");
+    peak.run_for(MAX_WAIT_MS);
+    assert!(peak.runs_completely(id(1)), "it waits beside empty workers");
 }
 
 /// A gang of three at work in a peak.
 fn peak_with_gang(names: &[&str]) -> Peak {
-    let mut peak = Peak::to_come(names);
+    let mut peak = Peak::idle(names);
     peak.submit_gang(1, gang(3));
     // Later than any stop that a former holder may have ordered.
-    peak.go_on(3_000);
-    assert!(peak.runs_whole(id(1)));
+    peak.run_for(3_000);
+    assert!(peak.runs_completely(id(1)));
     peak.begin();
     peak.world.stops_take_ms = STOP_MS;
     peak
@@ -376,10 +377,12 @@
 
 /// Looks on until the gang runs without a worker; returns for how long it had
 /// waited since its last member ended, if it did.
-fn wait_to_leave(peak: &mut Peak, worker: &WorkerId) -> Option<u64> {
-    for _ in 0..2 * MISSED_MS / 50 {
-        peak.look();
-        if peak.runs_whole(id(1)) && !peak.running_on(id(1)).contains(worker) {
+fn wait_until_moved(peak: &mut Peak, worker: &WorkerId) -> Option<u64> {
+    for _ in 0..2 * MAX_WAIT_MS / 50 {
+        peak.plan_round();
+        if peak.runs_completely(id(1))
+            && !peak.running_on(id(1)).contains(worker)
+        {
             let ended_ms = peak.ended_ms.expect("it has stopped");
             return Some(peak.world.now_ms - ended_ms);
         }
@@ -388,27 +391,27 @@
 }
 
 #[test]
-fn a_gang_of_which_one_leaves_a_vm_keeps_the_room_of_the_others() {
+fn a_gang_with_one_moving_member_keeps_the_room_of_the_others() {
     let mut peak = peak_with_gang(&["w1", "w2", "w3", "w4", "w5"]);
     let from = peak.running_on(id(1))[0].clone();
     request_wave_of(&mut peak.world, &[&format!("vm-of-{from}")]);
-    let waited_ms = wait_to_leave(&mut peak, &from);
+    let waited_ms = wait_until_moved(&mut peak, &from);
     let waited_ms = waited_ms.expect("it never starts again");
-    assert!(waited_ms <= AT_ONCE_MS, "it waited for {waited_ms} ms");
+    assert!(waited_ms <= MAX_START_DELAY_MS, "it waited for {waited_ms} ms");
 }
 
 #[test]
-fn a_gang_leaves_two_vms_of_a_wave_at_once() {
+fn a_gang_moves_off_two_vms_of_a_wave_at_once() {
     let mut peak = peak_with_gang(&["w1", "w2", "w3", "w4", "w5"]);
     let from = peak.running_on(id(1));
     let vms: Vec<String> = from.iter().map(|w| format!("vm-of-{w}")).collect();
     request_wave_of(&mut peak.world, &[&vms[0], &vms[1]]);
     let mut down = Vec::new();
-    for _ in 0..2 * MISSED_MS / 50 {
-        down.extend(peak.look());
+    for _ in 0..2 * MAX_WAIT_MS / 50 {
+        down.extend(peak.plan_round());
     }
     let on = peak.running_on(id(1));
-    assert!(peak.runs_whole(id(1)), "{on:?}");
+    assert!(peak.runs_completely(id(1)), "{on:?}");
     for vm in vms.into_iter().take(2) {
         let order = VmOrder::Maintain { vm, wave: 1 };
         assert!(down.contains(&order), "{order:?}: {on:?}");
@@ -416,33 +419,33 @@
 }
 
 #[test]
-fn a_gang_leaves_a_worker_that_ends() {
+fn a_gang_moves_off_a_terminating_worker() {
     let mut peak = peak_with_gang(&["w1", "w2", "w3", "w4", "w5"]);
     let from = peak.running_on(id(1))[0].clone();
     let mut listings = peak.world.listings.iter_mut();
     if let Some(leaving) = listings.find(|l| l.id == from) {
         leaving.draining = true;
-        leaving.remaining_ms = Some(MISSED_MS);
+        leaving.remaining_ms = Some(MAX_WAIT_MS);
     }
     peak.world.list();
-    let waited_ms = wait_to_leave(&mut peak, &from);
+    let waited_ms = wait_until_moved(&mut peak, &from);
     let waited_ms = waited_ms.expect("it never starts again");
-    assert!(waited_ms <= AT_ONCE_MS, "it waited for {waited_ms} ms");
+    assert!(waited_ms <= MAX_START_DELAY_MS, "it waited for {waited_ms} ms");
 }
 
 #[test]
-fn a_gang_that_can_not_move_whole_stays_at_work() {
+fn a_gang_that_cannot_move_completely_keeps_running() {
     let mut peak = peak_with_gang(&["w1", "w2", "w3"]);
     let from = peak.running_on(id(1))[0].clone();
     request_wave_of(&mut peak.world, &[&format!("vm-of-{from}")]);
-    for _ in 0..2 * MISSED_MS / 50 {
-        peak.look();
-        assert!(peak.runs_whole(id(1)), "it was stopped without a place");
+    for _ in 0..2 * MAX_WAIT_MS / 50 {
+        peak.plan_round();
+        assert!(peak.runs_completely(id(1)), "it was stopped without a place");
     }
 }
 
 #[test]
-fn a_gang_of_which_two_leave_for_one_place_stays_at_work() {
+fn a_gang_with_two_moving_members_and_room_for_one_keeps_running() {
     let mut peak = peak_with_gang(&["w1", "w2", "w3", "w4"]);
     let leaving = peak.running_on(id(1));
     for listing in &mut peak.world.listings {
@@ -452,23 +455,23 @@
         }
     }
     peak.world.list();
-    for _ in 0..2 * MISSED_MS / 50 {
-        peak.look();
-        assert!(peak.runs_whole(id(1)), "one was stopped, for one place");
+    for _ in 0..2 * MAX_WAIT_MS / 50 {
+        peak.plan_round();
+        assert!(peak.runs_completely(id(1)), "one was stopped, for one place");
     }
 }
 
 #[test]
-fn a_gang_that_lost_a_worker_starts_again_in_a_peak() {
+fn a_gang_that_lost_a_worker_restarts_under_load() {
     let mut peak = peak_with_gang(&["w1", "w2", "w3", "w4"]);
     let lost = peak.running_on(id(1))[0].clone();
     peak.lose(&lost);
-    peak.go_on(MISSED_MS);
-    assert!(peak.runs_whole(id(1)));
+    peak.run_for(MAX_WAIT_MS);
+    assert!(peak.runs_completely(id(1)));
 }
 
-/// Lets one thing happen, or nothing.
-fn happen(peak: &mut Peak, random: &mut StdRng) {
+/// Lets one thing random_event, or nothing.
+fn random_event(peak: &mut Peak, random: &mut StdRng) {
     match random.random_range(0..200) {
         0..3 if peak.gangs.len() < 4 => {
             let number = peak.gangs.len() as u64 + 1;
@@ -506,7 +509,7 @@
 
     /// Ends the peak and then all gangs, and checks that these ran whole and
     /// that every worker can be filled again; returns how many ran.
-    fn finish(mut self, seed: u64, look: impl Fn(&mut Peak)) -> u32 {
+    fn finish(mut self, seed: u64, step: impl Fn(&mut Peak)) -> u32 {
         self.tasks_a_round = 0;
         for number in 101..=self.next {
             let now = at(self.world.now_ms);
@@ -514,7 +517,7 @@
         }
         // All workers come back and nothing else runs: what fits starts.
         for _ in 0..6_000 / 50 {
-            look(&mut self);
+            step(&mut self);
         }
         let mut whole = 0;
         for (job, members) in self.gangs.clone() {
@@ -526,11 +529,11 @@
             self.world.scheduler.cancel(job, now);
         }
         for _ in 0..10_000 / 50 {
-            look(&mut self);
+            step(&mut self);
         }
         let workers = self.world.listings.len();
         self.submit_short(4 * workers as u32, 30_000);
-        self.go_on(1_000);
+        self.run_for(1_000);
         let running = self.world.running().len();
         assert_eq!(running, 4 * workers, "seed {seed}: room is still kept");
         whole
@@ -538,13 +541,13 @@
 }
 
 #[test]
-fn gangs_in_random_peaks_start_whole_and_leave_no_room_kept() {
+fn gangs_under_random_load_start_completely_and_leave_no_reservation() {
     let mut whole = 0;
     for seed in 0..RUNS {
         let mut random = StdRng::seed_from_u64(seed);
         let mut peak = Peak::random(&mut random);
         for _ in 0..12_000 / 50 {
-            happen(&mut peak, &mut random);
+            random_event(&mut peak, &mut random);
             peak.round();
         }
         whole += peak.finish(seed, Peak::round);
@@ -553,24 +556,24 @@
 }
 
 #[test]
-fn gangs_in_random_waves_start_whole_and_leave_no_room_kept() {
+fn gangs_in_random_waves_start_completely_and_leave_no_reservation() {
     let mut whole = 0;
-    for seed in 0..WAVES {
+    for seed in 0..WAVE_RUNS {
         let mut random = StdRng::seed_from_u64(seed);
         let mut peak = Peak::random(&mut random);
         peak.world.stops_take_ms = random.random_range(0..STOP_MS);
         let serving = [POOL.to_owned()].into();
         peak.world.scheduler.configure_pools(serving, [].into());
         for _ in 0..3_000 / 50 {
-            happen(&mut peak, &mut random);
+            random_event(&mut peak, &mut random);
             peak.maintain();
         }
         request_wave(&mut peak.world);
         for _ in 0..12_000 / 50 {
-            happen(&mut peak, &mut random);
+            random_event(&mut peak, &mut random);
             peak.maintain();
         }
         whole += peak.finish(seed, Peak::maintain);
     }
-    assert!(whole > WAVES as u32 / 2, "only {whole} gangs ran");
+    assert!(whole > WAVE_RUNS as u32 / 2, "only {whole} gangs ran");
 }
--- a/crates/dewspar/tests/schedule/long_running_capacity.rs
+++ b/crates/dewspar/tests/schedule/long_running_capacity.rs
@@ -117,45 +117,45 @@
     Resources { cpu_millis: 4_000, memory_mb: 4_000, gpus: 2 };
 
 /// A step of so many tasks that are to last, at most one on a worker.
-fn lasting(count: u32) -> StepSpec {
+fn long_running(count: u32) -> StepSpec {
     StepSpec { long_running: true, max_per_worker: 1, ..step(count) }
 }
 
 /// A step of so many tasks that are to last and ask for little processor.
-fn hungry(count: u32, memory_mb: u64, gpus: u64) -> StepSpec {
+fn low_cpu(count: u32, memory_mb: u64, gpus: u64) -> StepSpec {
     let cpu_millis = 100;
-    let long = StepSpec { max_per_worker: 0, ..lasting(count) };
+    let long = StepSpec { max_per_worker: 0, ..long_running(count) };
     StepSpec { cpu_millis, memory_mb, gpus, ..long }
 }
 
 #[test]
-fn a_vm_that_a_lasting_task_lacks_comes_before_those_of_a_peak() {
+fn a_vm_for_a_long_running_task_comes_before_those_for_a_backlog() {
     let mut fleet = Fleet::new(2, 2, 7);
     fleet.await_maintenance_but_for(1);
     fleet.world.fate = Fate::endless();
     fleet.submit(1, OTHER, vec![step(100)]);
-    fleet.submit(2, POOL, vec![lasting(3)]);
+    fleet.submit(2, POOL, vec![long_running(3)]);
     fleet.world.run_for(100);
     let moves = fleet.moves_within(1_000);
     assert_eq!(moves, Moves { here: 1, ..Moves::default() });
 }
 
 #[test]
-fn lasting_tasks_of_one_pool_come_before_short_ones_of_another() {
+fn long_running_tasks_of_one_pool_come_before_short_ones_of_another() {
     // Its equal share of the six VMs would be three.
     let mut fleet = Fleet::new(2, 4, 0);
     fleet.submit(1, OTHER, vec![step(200)]);
-    fleet.submit(2, POOL, vec![lasting(4)]);
+    fleet.submit(2, POOL, vec![long_running(4)]);
     fleet.world.run_for(100);
     let moves = fleet.moves_within(1_000);
     assert_eq!(moves, Moves { here: 2, ..Moves::default() });
 }
 
 #[test]
-fn a_short_fleet_leaves_each_pool_what_its_lasting_tasks_need() {
+fn a_fleet_short_of_vms_leaves_each_pool_enough_for_long_running_tasks() {
     let mut fleet = Fleet::new(4, 2, 0);
     fleet.world.fate = Fate::endless();
-    fleet.submit(1, POOL, vec![hungry(4, 3_000, 0)]);
+    fleet.submit(1, POOL, vec![low_cpu(4, 3_000, 0)]);
     fleet.world.run_for(500);
     fleet.world.fate = Fate::done(500);
     fleet.submit(2, OTHER, vec![step(200)]);
@@ -164,11 +164,11 @@
 }
 
 #[test]
-fn a_pool_gets_all_vms_at_once_that_its_lasting_tasks_lack() {
+fn a_pool_gets_all_vms_for_its_long_running_tasks_at_once() {
     for (memory_mb, gpus) in [(3_000, 0), (100, 2)] {
         let mut fleet = Fleet::new(2, 2, 6);
         fleet.world.fate = Fate::endless();
-        fleet.submit(1, POOL, vec![hungry(6, memory_mb, gpus)]);
+        fleet.submit(1, POOL, vec![low_cpu(6, memory_mb, gpus)]);
         fleet.world.run_for(100);
         let moves = fleet.moves_within(400);
         assert_eq!(moves, Moves { here: 4, ..Moves::default() });
@@ -176,11 +176,11 @@
 }
 
 #[test]
-fn siblings_apart_are_packed_beside_other_steps_as_they_fit() {
+fn anti_affine_tasks_are_packed_beside_those_of_other_steps() {
     // Of each step one fits on a worker, and no two of different steps.
     let mut fleet = Fleet::new(2, 2, 6);
     fleet.world.fate = Fate::endless();
-    let apart = StepSpec { memory_mb: 2_500, ..lasting(3) };
+    let apart = StepSpec { memory_mb: 2_500, ..long_running(3) };
     fleet.submit(1, POOL, vec![apart.clone(), apart]);
     fleet.world.run_for(100);
     let moves = fleet.moves_within(400);
@@ -188,10 +188,10 @@
 }
 
 #[test]
-fn no_vm_moves_for_lasting_tasks_that_have_a_place() {
+fn no_vm_moves_for_placed_long_running_tasks() {
     let mut fleet = Fleet::new(3, 2, 6);
     fleet.world.fate = Fate::endless();
-    let apart = StepSpec { memory_mb: 1_900, ..lasting(3) };
+    let apart = StepSpec { memory_mb: 1_900, ..long_running(3) };
     fleet.submit(1, POOL, vec![apart.clone(), apart]);
     fleet.world.run_for(300);
     assert_eq!(fleet.world.running().len(), 6);
@@ -199,11 +199,11 @@
 }
 
 #[test]
-fn a_pool_keeps_the_vms_that_its_lasting_tasks_will_need() {
+fn a_pool_keeps_the_vms_that_later_long_running_steps_need() {
     let mut fleet = Fleet::new(6, 2, 0);
     fleet.world.fate = Fate::done(8_000);
     let first = StepSpec { estimate_ms: 8_000, ..step(1) };
-    let then = StepSpec { after: vec![0], ..hungry(4, 3_000, 0) };
+    let then = StepSpec { after: vec![0], ..low_cpu(4, 3_000, 0) };
     fleet.submit(1, POOL, vec![first, then]);
     let moves = fleet.moves_within(7_000);
     assert_eq!(moves, Moves { off: 2, ..Moves::default() });
@@ -230,7 +230,7 @@
 }
 
 #[test]
-fn a_pool_that_lacks_little_gets_its_turn_beside_one_that_lacks_much() {
+fn a_pool_short_of_few_vms_is_served_beside_one_short_of_many() {
     let mut fleet = Fleet::new(2, 2, 16);
     fleet.await_maintenance_but_for(8);
     fleet.world.fate = Fate::endless();
--- a/crates/dewspar/tests/schedule/move_safety.rs
+++ b/crates/dewspar/tests/schedule/move_safety.rs
@@ -9,8 +9,8 @@
 
 use {
     crate::{
-        reservation_cases::{large, starts_of, submit_lasting, world_of},
-        task_moves::{STOP_MS, lasting, look},
+        reservation_cases::{large, starts_of, submit_long_running, world_of},
+        task_moves::{STOP_MS, long_running, plan_round},
         waves::request_wave_of,
         world::{POOL, ROOM, World, id, job},
     },
@@ -29,7 +29,7 @@
 /// another worker doesn't answer. Returns the task's worker.
 fn world_with_silent_worker() -> (World, WorkerId) {
     let mut world = world_of(&["w1", "w2", "w3", "w4"]);
-    submit_lasting(&mut world, 1, job(vec![large()]));
+    submit_long_running(&mut world, 1, job(vec![large()]));
     world.run_for(3_000);
     let from = world.starts[0].0.clone();
     let silent = if from == WorkerId::new("w1") { "w2" } else { "w1" };
@@ -46,26 +46,29 @@
 
 /// Goes on for so long; returns how long the task was without work in all,
 /// in milliseconds.
-fn missing_within(world: &mut World, ms: u64) -> u64 {
+fn downtime_ms_within(world: &mut World, ms: u64) -> u64 {
     let first = format!("{}.0.0.0", id(1));
     let rounds = (0..ms / 50).filter(|_| {
-        look(world);
+        plan_round(world);
         !world.running().contains(&first)
     });
     rounds.count() as u64 * 50
 }
 
 #[test]
-fn a_task_leaves_no_vm_of_a_wave_while_it_may_start_nowhere() {
+fn a_task_stays_on_a_vm_of_a_wave_while_it_may_not_start_elsewhere() {
     let (mut world, from) = world_with_silent_worker();
     request_wave_of(&mut world, &[&format!("vm-of-{from}")]);
-    let missing_ms = missing_within(&mut world, 20_000);
-    assert!(missing_ms <= MOVE_MS, "it was without work for {missing_ms} ms");
+    let downtime_ms = downtime_ms_within(&mut world, 20_000);
+    assert!(
+        downtime_ms <= MOVE_MS,
+        "it was without work for {downtime_ms} ms"
+    );
     assert_eq!(starts_of(&world, id(1)), 2, "it has moved in the end");
 }
 
 #[test]
-fn a_task_leaves_no_worker_that_ends_while_it_may_start_nowhere() {
+fn a_task_stays_on_a_terminating_worker_while_it_may_not_start_elsewhere() {
     let (mut world, from) = world_with_silent_worker();
     for listing in &mut world.listings {
         if listing.id == from {
@@ -74,14 +77,17 @@
         }
     }
     world.list();
-    let missing_ms = missing_within(&mut world, 20_000);
-    assert!(missing_ms <= MOVE_MS, "it was without work for {missing_ms} ms");
+    let downtime_ms = downtime_ms_within(&mut world, 20_000);
+    assert!(
+        downtime_ms <= MOVE_MS,
+        "it was without work for {downtime_ms} ms"
+    );
     assert_eq!(starts_of(&world, id(1)), 2, "it has moved in the end");
 }
 
 /// Carries out the moves of VMs between pools, each done at once.
-fn look_and_move(world: &mut World) -> Vec<VmOrder> {
-    let orders = look(world);
+fn plan_round_and_move_vms(world: &mut World) -> Vec<VmOrder> {
+    let orders = plan_round(world);
     for order in &orders {
         let VmOrder::Move { vm, pool } = order else { continue };
         let moved = world.listings.iter_mut().find(|l| l.vm == *vm);
@@ -101,7 +107,7 @@
 /// VM with the label that the task needs. The first VM was emptied all through
 /// the wave and never maintained.
 #[test]
-fn the_place_for_which_a_vm_was_chosen_is_not_given_away_at_once() {
+fn the_target_of_a_planned_move_does_not_change_pools() {
     let mut world = World::new(5, &["w0", "w1", "w2", "w3", "w4", "w5"]);
     for listing in &mut world.listings[..2] {
         listing.labels.push("only".to_owned());
@@ -109,8 +115,9 @@
     world.list();
     world.expect_all();
     world.run_for(100);
-    let only = StepSpec { required_label: "only".to_owned(), ..lasting() };
-    submit_lasting(&mut world, 1, job(vec![only]));
+    let only =
+        StepSpec { required_label: "only".to_owned(), ..long_running() };
+    submit_long_running(&mut world, 1, job(vec![only]));
     world.run_for(3_500);
     let (from, _) = world.starts.last().expect("it runs");
     assert_eq!(from.to_string(), "w1");
@@ -122,7 +129,7 @@
     let mut orders = Vec::new();
     // The wave's time.
     for _ in 0..200 {
-        orders.extend(look_and_move(&mut world));
+        orders.extend(plan_round_and_move_vms(&mut world));
     }
     let vm = "vm-of-w1".to_owned();
     let down = VmOrder::Maintain { vm, wave: 1 };
--- a/crates/dewspar/tests/schedule/placement.rs
+++ b/crates/dewspar/tests/schedule/placement.rs
@@ -39,14 +39,14 @@
 }
 
 #[test]
-fn best_effort_tasks_are_slowed_while_they_disturb() {
+fn best_effort_tasks_are_throttled_while_they_interfere() {
     let mut world = World::new(5, &["w1"]);
     world.list();
     world.fate = Fate::endless();
     let long = StepSpec { long_running: true, ..step(1) };
     let serving = StepSpec { target_ms: 50, ..long.clone() };
-    let filling = StepSpec { best_effort: true, ..long };
-    world.scheduler.submit(id(1), job(vec![serving, filling]), 6, None);
+    let best_effort = StepSpec { best_effort: true, ..long };
+    world.scheduler.submit(id(1), job(vec![serving, best_effort]), 6, None);
     world.run_for(500);
     assert_eq!(world.running().len(), 2);
     let paces = paces_while(&mut world, &[90, 90, 90, 90]);
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn starts_only_where_the_adviser_allows_it() {
+fn tasks_start_only_on_workers_with_a_ticket() {
     let mut world = World::new(5, &["w1", "w2", "w3"]);
     world.list();
     world.run_for(100);
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn asks_again_once_a_ticket_is_no_longer_valid() {
+fn the_adviser_is_asked_again_after_a_lost_answer() {
     let mut world = World::new(5, &["w1"]);
     world.list();
     world.run_for(100);
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn a_gang_starts_whole_or_not_at_all() {
+fn a_gang_starts_completely_or_not_at_all() {
     let mut world = World::new(5, &["w1"]);
     world.list();
     world.run_for(100);
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn workers_whose_entries_lapsed_in_an_outage_are_used_at_once() {
+fn workers_whose_entries_expired_in_an_outage_are_used_at_once() {
     let mut world = World::new(5, &["w1", "w2"]);
     world.list();
     world.run_for(5_000);
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn a_task_without_room_hides_none_that_fits() {
+fn a_task_without_room_does_not_block_smaller_tasks() {
     let mut world = World::new(5, &["w1"]);
     world.list();
     world.fate = Fate::endless();
@@ -176,8 +176,8 @@
     let large = StepSpec { cpu_millis: 2_000, ..step(1) };
     world.scheduler.submit(id(2), job(vec![large]), 7, None);
     let label = "elsewhere".to_owned();
-    let picky = StepSpec { required_label: label, ..step(1) };
-    world.scheduler.submit(id(3), job(vec![picky]), 8, None);
+    let labelled = StepSpec { required_label: label, ..step(1) };
+    world.scheduler.submit(id(3), job(vec![labelled]), 8, None);
     world.scheduler.submit(id(4), job(vec![step(2)]), 9, None);
     world.run_for(200);
     let started = &world.starts[3..];
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn a_draining_worker_gets_nothing_new() {
+fn a_draining_worker_gets_no_new_tasks() {
     let mut world = World::new(5, &["w1", "w2"]);
     world.listings[0].draining = true;
     world.list();
--- a/crates/dewspar/tests/schedule/pool_sizing.rs
+++ b/crates/dewspar/tests/schedule/pool_sizing.rs
@@ -10,7 +10,7 @@
 };
 
 #[test]
-fn a_pool_gets_a_vm_when_a_task_fits_beside_none_of_its_siblings() {
+fn a_pool_gets_a_vm_for_a_task_limited_by_max_per_worker() {
     let mut world = World::new(5, &["w1", "w2"]);
     let mut spare = listing("w3");
     spare.pool = "off".to_owned();
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_move_that_was_done_before_ends_no_worker() {
+fn a_repeated_move_ends_no_worker() {
     let mut world = World::new(5, &["w1", "w2"]);
     world.list();
     world.fate = Fate::endless();
@@ -77,18 +77,19 @@
 }
 
 #[test]
-fn a_pool_without_memory_gets_a_vm_though_it_has_processor() {
+fn a_pool_short_of_memory_gets_a_vm_despite_free_cpu() {
     let mut world = world_with_spare();
     world.fate = Fate::endless();
-    let hungry = StepSpec { memory_mb: 3_000, cpu_millis: 100, ..step(3) };
-    world.scheduler.submit(id(1), job(vec![hungry]), 6, None);
+    let memory_bound =
+        StepSpec { memory_mb: 3_000, cpu_millis: 100, ..step(3) };
+    world.scheduler.submit(id(1), job(vec![memory_bound]), 6, None);
     world.run_for(100);
     assert_eq!(world.starts.len(), 2);
     assert_eq!(vm_orders(&mut world), [move_of_spare()]);
 }
 
 #[test]
-fn a_pool_gets_a_vm_for_a_task_that_failed_wherever_it_may_run() {
+fn a_pool_gets_a_vm_for_a_task_that_failed_on_every_worker() {
     let mut world = world_with_spare();
     world.fate = Fate::failed(100);
     world.scheduler.submit(id(1), job(vec![step(1)]), 6, None);
@@ -127,7 +128,7 @@
 }
 
 #[test]
-fn no_vm_is_switched_off_before_it_is_known_what_comes() {
+fn no_vm_is_switched_off_before_demand_is_known() {
     let mut world = world_with_idle_workers();
     for _ in 0..10 {
         assert_eq!(vm_orders(&mut world), []);
--- a/crates/dewspar/tests/schedule/reservation_cases.rs
+++ b/crates/dewspar/tests/schedule/reservation_cases.rs
@@ -8,7 +8,7 @@
 
 use {
     crate::{
-        task_moves::{STOP_MS, lasting, look},
+        task_moves::{STOP_MS, long_running, plan_round},
         waves::request_wave_of,
         world::{
             POOL, ROOM, RunKind, World, at, id, job, listing, managed, step,
@@ -26,10 +26,10 @@
 
 /// How long a task that is to last may wait though there is room for it, in
 /// milliseconds.
-pub const MISSED_MS: u64 = 6_000;
+pub const MAX_WAIT_MS: u64 = 6_000;
 
 pub fn large() -> StepSpec {
-    StepSpec { cpu_millis: 3_000, ..lasting() }
+    StepSpec { cpu_millis: 3_000, ..long_running() }
 }
 
 pub fn world_of(names: &[&str]) -> World {
@@ -61,7 +61,7 @@
     world.scheduler.submit(id(number), job, number, None);
 }
 
-pub fn submit_lasting(world: &mut World, number: u64, job: AcceptedJob) {
+pub fn submit_long_running(world: &mut World, number: u64, job: AcceptedJob) {
     submit(world, number, job, Fate::endless());
 }
 
@@ -72,7 +72,7 @@
 
 /// Lets two short tasks of a quarter of a worker come, none ending together
 /// with others.
-pub fn add_to_peak(world: &mut World, next: &mut u64) {
+pub fn submit_peak_round(world: &mut World, next: &mut u64) {
     for _ in 0..2 {
         *next += 1;
         submit_short(world, *next, 1, 400 + *next % 8 * 50);
@@ -80,20 +80,20 @@
 }
 
 #[test]
-fn a_task_that_waits_for_its_place_takes_an_empty_worker() {
+fn a_task_with_a_pending_reservation_takes_an_empty_worker() {
     let mut world = world_of(&["w1", "w2"]);
     submit_short(&mut world, 100, 8, 30_000);
     world.run_for(200);
     assert_eq!(world.running().len(), 8);
-    submit_lasting(&mut world, 1, job(vec![lasting()]));
+    submit_long_running(&mut world, 1, job(vec![long_running()]));
     world.run_for(1_000);
     add_worker(&mut world, "w3");
-    world.run_for(MISSED_MS);
+    world.run_for(MAX_WAIT_MS);
     assert_eq!(starts_of(&world, id(1)), 1, "it waits beside an empty worker");
 }
 
 #[test]
-fn a_task_that_waits_for_its_place_takes_another_that_is_free_first() {
+fn a_task_with_a_pending_reservation_takes_the_first_free_worker() {
     let mut world = world_of(&["w1", "w2"]);
     // The emptier one is so for long.
     submit_short(&mut world, 100, 3, 30_000);
@@ -101,13 +101,13 @@
     submit_short(&mut world, 101, 5, 1_000);
     world.run_for(200);
     assert_eq!(world.running().len(), 8);
-    submit_lasting(&mut world, 1, job(vec![large()]));
-    world.run_for(MISSED_MS);
+    submit_long_running(&mut world, 1, job(vec![large()]));
+    world.run_for(MAX_WAIT_MS);
     assert_eq!(starts_of(&world, id(1)), 1, "it waits beside a free worker");
 }
 
 #[test]
-fn tasks_that_find_no_place_do_not_stand_in_the_way_of_others() {
+fn tasks_without_room_do_not_block_reservations_of_others() {
     let mut world = world_of(&["w1", "w2"]);
     let mut elsewhere = listing("x1");
     elsewhere.pool = "other".to_owned();
@@ -124,16 +124,16 @@
     };
     let mut of_other = job(vec![apart]);
     of_other.terms.pool = "other".to_owned();
-    submit_lasting(&mut world, 1, of_other);
+    submit_long_running(&mut world, 1, of_other);
     world.run_for(300);
     let mut next = 100;
     for _ in 0..40 {
-        add_to_peak(&mut world, &mut next);
+        submit_peak_round(&mut world, &mut next);
         world.run_for(50);
     }
-    submit_lasting(&mut world, 2, job(vec![large()]));
-    for _ in 0..MISSED_MS / 50 {
-        add_to_peak(&mut world, &mut next);
+    submit_long_running(&mut world, 2, job(vec![large()]));
+    for _ in 0..MAX_WAIT_MS / 50 {
+        submit_peak_round(&mut world, &mut next);
         world.run_for(50);
     }
     assert_eq!(starts_of(&world, id(2)), 1, "no place was kept for it");
@@ -145,12 +145,12 @@
     let mut world = world_of(&["w1", "w2", "w3"]);
     let mut moves = job(vec![large()]);
     moves.terms.priority = 1;
-    submit_lasting(&mut world, 1, moves);
+    submit_long_running(&mut world, 1, moves);
     world.run_for(3_000);
     let from = world.starts[0].0.clone();
     request_wave_of(&mut world, &[&format!("vm-of-{from}")]);
     world.stops_take_ms = STOP_MS;
-    look(&mut world);
+    plan_round(&mut world);
     let decisions = world.scheduler.take_decisions();
     let place = decisions.iter().find_map(|decision| match decision {
         Decision::Displaced { place, .. } => place.clone(),
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn a_place_that_has_shrunk_is_looked_for_anew() {
+fn a_reservation_on_a_shrunken_worker_is_replaced() {
     let (mut world, _, place) = world_with_move();
     let mut next = 100;
     let shrunk = Resources { cpu_millis: 1_000, ..ROOM };
@@ -171,22 +171,22 @@
     }
     world.list();
     // A peak goes on on the third worker.
-    for _ in 0..(STOP_MS + MISSED_MS) / 50 {
-        add_to_peak(&mut world, &mut next);
-        look(&mut world);
+    for _ in 0..(STOP_MS + MAX_WAIT_MS) / 50 {
+        submit_peak_round(&mut world, &mut next);
+        plan_round(&mut world);
     }
     assert_eq!(starts_of(&world, id(1)), 2, "it has no place, and waits");
 }
 
 #[test]
-fn a_place_in_a_pool_that_its_queue_left_is_given_up() {
+fn a_reservation_in_the_former_pool_of_a_queue_is_released() {
     let (mut world, _, place) = world_with_move();
     // The queue is served by another pool from now on, which has no worker.
     let mut terms = job(vec![]).terms;
     terms.pool = "other".to_owned();
     world.scheduler.configure([("", &terms)]);
-    for _ in 0..(STOP_MS + MISSED_MS) / 50 {
-        look(&mut world);
+    for _ in 0..(STOP_MS + MAX_WAIT_MS) / 50 {
+        plan_round(&mut world);
     }
     assert_eq!(starts_of(&world, id(1)), 1);
     let old = ["w1", "w2", "w3"].len() as u32;
@@ -200,16 +200,16 @@
 }
 
 #[test]
-fn a_large_task_leaves_a_worker_that_ends_in_a_peak_of_small_ones() {
+fn a_large_task_moves_off_a_terminating_worker_under_load() {
     let mut world = world_of(&["w1", "w2", "w3"]);
-    submit_lasting(&mut world, 1, job(vec![large()]));
+    submit_long_running(&mut world, 1, job(vec![large()]));
     world.run_for(3_000);
     let from = world.starts[0].0.clone();
     let mut next = 100;
     for _ in 0..40 {
-        add_to_peak(&mut world, &mut next);
-        add_to_peak(&mut world, &mut next);
-        look(&mut world);
+        submit_peak_round(&mut world, &mut next);
+        submit_peak_round(&mut world, &mut next);
+        plan_round(&mut world);
     }
     if let Some(leaving) = world.listings.iter_mut().find(|l| l.id == from) {
         leaving.draining = true;
@@ -217,50 +217,50 @@
     }
     world.list();
     world.stops_take_ms = STOP_MS;
-    for _ in 0..MISSED_MS / 50 {
-        add_to_peak(&mut world, &mut next);
-        add_to_peak(&mut world, &mut next);
-        look(&mut world);
+    for _ in 0..MAX_WAIT_MS / 50 {
+        submit_peak_round(&mut world, &mut next);
+        submit_peak_round(&mut world, &mut next);
+        plan_round(&mut world);
     }
     assert_eq!(starts_of(&world, id(1)), 2, "it goes down with its worker");
 }
 
 #[test]
-fn a_large_task_leaves_a_vm_of_a_wave_in_a_peak_of_small_ones() {
+fn a_large_task_moves_off_a_vm_of_a_wave_under_load() {
     let mut world = world_of(&["w1", "w2", "w3"]);
-    submit_lasting(&mut world, 1, job(vec![large()]));
+    submit_long_running(&mut world, 1, job(vec![large()]));
     world.run_for(3_000);
     let from = world.starts[0].0.clone();
     let mut next = 100;
     for _ in 0..40 {
-        add_to_peak(&mut world, &mut next);
-        add_to_peak(&mut world, &mut next);
-        look(&mut world);
+        submit_peak_round(&mut world, &mut next);
+        submit_peak_round(&mut world, &mut next);
+        plan_round(&mut world);
     }
     request_wave_of(&mut world, &[&format!("vm-of-{from}")]);
     world.stops_take_ms = STOP_MS;
-    for _ in 0..2 * MISSED_MS / 50 {
-        add_to_peak(&mut world, &mut next);
-        add_to_peak(&mut world, &mut next);
-        look(&mut world);
+    for _ in 0..2 * MAX_WAIT_MS / 50 {
+        submit_peak_round(&mut world, &mut next);
+        submit_peak_round(&mut world, &mut next);
+        plan_round(&mut world);
     }
     assert_eq!(starts_of(&world, id(1)), 2, "its VM isn't maintained");
 }
 
 #[test]
-fn a_large_gang_that_lasts_does_not_wait_for_a_peak_to_end() {
+fn a_large_long_running_gang_starts_under_load() {
     let mut world = world_of(&["w1", "w2", "w3"]);
     let mut next = 100;
     for _ in 0..40 {
-        add_to_peak(&mut world, &mut next);
-        add_to_peak(&mut world, &mut next);
+        submit_peak_round(&mut world, &mut next);
+        submit_peak_round(&mut world, &mut next);
         world.run_for(50);
     }
     let gang = StepSpec { count: 2, gang: true, ..large() };
-    submit_lasting(&mut world, 1, job(vec![gang]));
-    for _ in 0..MISSED_MS / 50 {
-        add_to_peak(&mut world, &mut next);
-        add_to_peak(&mut world, &mut next);
+    submit_long_running(&mut world, 1, job(vec![gang]));
+    for _ in 0..MAX_WAIT_MS / 50 {
+        submit_peak_round(&mut world, &mut next);
+        submit_peak_round(&mut world, &mut next);
         world.run_for(50);
     }
     assert_eq!(starts_of(&world, id(1)), 2);
@@ -283,31 +283,31 @@
 }
 
 #[test]
-fn a_large_advised_task_that_lasts_does_not_wait_for_a_peak_to_end() {
+fn a_large_advised_long_running_task_starts_under_load() {
     let mut world = world_of(&["w1", "w2"]);
     let mut next = 100;
     for _ in 0..40 {
-        add_to_peak(&mut world, &mut next);
+        submit_peak_round(&mut world, &mut next);
         advised_round(&mut world);
     }
-    submit_lasting(&mut world, 1, advised(large()));
-    for _ in 0..MISSED_MS / 50 {
-        add_to_peak(&mut world, &mut next);
+    submit_long_running(&mut world, 1, advised(large()));
+    for _ in 0..MAX_WAIT_MS / 50 {
+        submit_peak_round(&mut world, &mut next);
         advised_round(&mut world);
     }
     assert_eq!(starts_of(&world, id(1)), 1);
 }
 
 #[test]
-fn an_advised_task_that_lasts_leaves_the_vm_of_a_wave() {
+fn an_advised_long_running_task_moves_off_a_vm_of_a_wave() {
     let mut world = world_of(&["w1", "w2"]);
-    submit_lasting(&mut world, 1, advised(lasting()));
+    submit_long_running(&mut world, 1, advised(long_running()));
     for _ in 0..60 {
         advised_round(&mut world);
     }
     let from = world.starts[0].0.clone();
     request_wave_of(&mut world, &[&format!("vm-of-{from}")]);
-    for _ in 0..MISSED_MS / 50 {
+    for _ in 0..MAX_WAIT_MS / 50 {
         let vms: Vec<ManagedVm> = world.listings.iter().map(managed).collect();
         let now = at(world.now_ms);
         world.scheduler.list_vms(now, world.now_ms, &vms);
@@ -319,7 +319,7 @@
 
 /// A task that lasts on a VM of a wave and needs a label that no other VM
 /// has, and ten VMs that are switched off. Returns how many were brought.
-fn vms_brought_in_vain() -> usize {
+fn count_useless_vm_moves() -> usize {
     let mut world = World::new(5, &["w1", "w2"]);
     world.listings[0].labels.push("only".to_owned());
     for number in 0..10 {
@@ -332,13 +332,14 @@
     let serving = [POOL.to_owned()].into();
     world.scheduler.configure_pools(serving, ["off".to_owned()].into());
     world.run_for(100);
-    let only = StepSpec { required_label: "only".to_owned(), ..lasting() };
-    submit_lasting(&mut world, 1, job(vec![only]));
+    let only =
+        StepSpec { required_label: "only".to_owned(), ..long_running() };
+    submit_long_running(&mut world, 1, job(vec![only]));
     world.run_for(3_000);
     request_wave_of(&mut world, &["vm-of-w1"]);
     let mut brought = 0;
-    for _ in 0..MISSED_MS / 50 {
-        for order in look(&mut world) {
+    for _ in 0..MAX_WAIT_MS / 50 {
+        for order in plan_round(&mut world) {
             let VmOrder::Move { vm, pool } = order else { continue };
             if pool != POOL {
                 continue;
@@ -358,13 +359,13 @@
 }
 
 #[test]
-fn no_vm_is_brought_after_the_other_for_a_task_that_none_of_them_suits() {
-    let brought = vms_brought_in_vain();
+fn vms_do_not_keep_moving_for_a_task_that_none_suits() {
+    let brought = count_useless_vm_moves();
     assert!(brought <= 2, "{brought} VMs were brought in vain");
 }
 
 #[test]
-fn a_place_is_kept_until_its_worker_has_taken_the_start() {
+fn room_stays_reserved_until_the_worker_accepts_the_start() {
     let (mut world, ..) = world_with_move();
     // A queue that goes first has more than there is room for.
     submit_short(&mut world, 100, 40, 5_000);
@@ -373,17 +374,17 @@
         let first = format!("{}.0.0.0", id(1));
         let is_over = !world.running().contains(&first);
         world.loses_starts = is_over && starts_of(&world, id(1)) == 1;
-        look(&mut world);
+        plan_round(&mut world);
     }
     assert_eq!(starts_of(&world, id(1)), 3, "its place was taken by others");
 }
 
 #[test]
-fn a_task_leaves_a_worker_that_ends_though_vms_can_not_be_listed() {
+fn a_task_moves_off_a_terminating_worker_without_a_vm_list() {
     let mut world = world_of(&["w1", "w2"]);
-    submit_lasting(&mut world, 1, job(vec![lasting()]));
+    submit_long_running(&mut world, 1, job(vec![long_running()]));
     for _ in 0..60 {
-        look(&mut world);
+        plan_round(&mut world);
     }
     // The VM service doesn't answer any more.
     for _ in 0..200 {
@@ -397,7 +398,7 @@
         leaving.remaining_ms = Some(6_000);
     }
     world.list();
-    for _ in 0..MISSED_MS / 50 {
+    for _ in 0..MAX_WAIT_MS / 50 {
         let now = at(world.now_ms);
         world.scheduler.plan_vms(now);
         world.run_for(50);
--- a/crates/dewspar/tests/schedule/reservation_priority.rs
+++ b/crates/dewspar/tests/schedule/reservation_priority.rs
@@ -5,7 +5,7 @@
 
 use {
     crate::{
-        task_moves::lasting,
+        task_moves::long_running,
         world::{ROOM, RunKind, World, id, job, step},
     },
     dewspar::{job::StepSpec, schedule::Resources},
@@ -14,7 +14,7 @@
 
 /// How long room may stand idle for a task that goes last, and a little more,
 /// in milliseconds.
-const IDLE_MS: u64 = 7_000;
+const MAX_IDLE_MS: u64 = 7_000;
 
 fn submit(
     world: &mut World,
@@ -41,7 +41,7 @@
     world.run_for(100);
     submit(&mut world, 10, step(1), Fate::done(60_000), 1);
     world.run_for(100);
-    let whole = StepSpec { cpu_millis: ROOM.cpu_millis, ..lasting() };
+    let whole = StepSpec { cpu_millis: ROOM.cpu_millis, ..long_running() };
     submit(&mut world, 11, whole, Fate::endless(), priority);
     let (mut idle_since_ms, mut longest_ms) = (world.now_ms, 0);
     for number in 100..100 + 30_000 / 50 {
@@ -57,13 +57,13 @@
 }
 
 #[test]
-fn room_for_a_task_that_goes_last_does_not_stand_idle_for_long() {
+fn room_reserved_for_a_low_priority_task_is_not_idle_for_long() {
     let idle_ms = longest_idle_ms(9);
-    assert!(idle_ms <= IDLE_MS, "it stands idle for {idle_ms} ms");
+    assert!(idle_ms <= MAX_IDLE_MS, "it stands idle for {idle_ms} ms");
 }
 
 #[test]
-fn room_is_kept_on_for_a_task_that_goes_as_early_as_others() {
+fn room_stays_reserved_for_a_task_of_equal_priority() {
     let idle_ms = longest_idle_ms(1);
-    assert!(idle_ms > 2 * IDLE_MS, "it was given up after {idle_ms} ms");
+    assert!(idle_ms > 2 * MAX_IDLE_MS, "it was given up after {idle_ms} ms");
 }
--- a/crates/dewspar/tests/schedule/reservations.rs
+++ b/crates/dewspar/tests/schedule/reservations.rs
@@ -11,10 +11,10 @@
 use {
     crate::{
         reservation_cases::{
-            MISSED_MS, add_to_peak, large, starts_of, submit, submit_lasting,
-            submit_short, world_of, world_with_move,
+            MAX_WAIT_MS, large, starts_of, submit, submit_long_running,
+            submit_peak_round, submit_short, world_of, world_with_move,
         },
-        task_moves::{STOP_MS, lasting, look},
+        task_moves::{STOP_MS, long_running, plan_round},
         waves::request_wave_of,
         world::{POOL, World, at, id, job, step},
     },
@@ -28,7 +28,7 @@
 
 /// How long a task that was moved may wait after its end was heard, in
 /// milliseconds: a plan or two.
-const AT_ONCE_MS: u64 = 100;
+const MAX_START_DELAY_MS: u64 = 100;
 
 const OTHER: &str = "other";
 const OFF: &str = "off";
@@ -36,7 +36,7 @@
 /// Six workers, on the second of which a task runs that may only go to the
 /// first two, and is being stopped for a long time. So room is kept on the
 /// first, which is idle and would be the first to be taken for anything else.
-fn world_with_idle_place() -> World {
+fn world_with_idle_reserved_worker() -> World {
     let mut world = World::new(5, &["w0", "w1", "w2", "w3", "w4", "w5"]);
     for listing in &mut world.listings[..2] {
         listing.labels.push("only".to_owned());
@@ -47,14 +47,15 @@
     // What isn't asked for is only known beside a short job.
     submit_short(&mut world, 100, 1, 60_000);
     world.run_for(100);
-    let only = StepSpec { required_label: "only".to_owned(), ..lasting() };
-    submit_lasting(&mut world, 1, job(vec![only]));
+    let only =
+        StepSpec { required_label: "only".to_owned(), ..long_running() };
+    submit_long_running(&mut world, 1, job(vec![only]));
     world.run_for(3_500);
     let (from, _) = world.starts.last().expect("it runs");
     assert_eq!(from.to_string(), "w1");
     request_wave_of(&mut world, &["vm-of-w1"]);
     world.stops_take_ms = 8_000;
-    look(&mut world);
+    plan_round(&mut world);
     let decisions = world.scheduler.take_decisions();
     let place = Some(WorkerId::new("w0"));
     let is_displaced = |decision: &Decision| match decision {
@@ -65,7 +66,7 @@
     world
 }
 
-fn switch_off_what_is_idle(world: &mut World) {
+fn switch_off_idle_vms(world: &mut World) {
     let serving = [POOL.to_owned()].into();
     world.scheduler.configure_pools(serving, [OFF.to_owned()].into());
 }
@@ -81,12 +82,12 @@
 }
 
 #[test]
-fn an_idle_worker_with_kept_room_is_not_switched_off() {
-    let mut world = world_with_idle_place();
-    switch_off_what_is_idle(&mut world);
+fn an_idle_worker_with_reserved_room_is_not_switched_off() {
+    let mut world = world_with_idle_reserved_worker();
+    switch_off_idle_vms(&mut world);
     let mut off = BTreeSet::new();
     for _ in 0..100 {
-        for order in look(&mut world) {
+        for order in plan_round(&mut world) {
             if let VmOrder::Move { vm, .. } = order {
                 off.insert(vm);
             }
@@ -97,16 +98,16 @@
 }
 
 #[test]
-fn a_worker_with_kept_room_does_not_go_to_another_pool() {
-    let mut world = world_with_idle_place();
+fn a_worker_with_reserved_room_does_not_change_pools() {
+    let mut world = world_with_idle_reserved_worker();
     let serving = [POOL.to_owned(), OTHER.to_owned()].into();
     world.scheduler.configure_pools(serving, [].into());
     let mut wanted = job(vec![StepSpec { count: 4, ..large() }]);
     wanted.terms.pool = OTHER.to_owned();
-    submit_lasting(&mut world, 2, wanted);
+    submit_long_running(&mut world, 2, wanted);
     let mut taken = BTreeSet::new();
     for _ in 0..20 {
-        look(&mut world);
+        plan_round(&mut world);
         taken.extend(emptied(&mut world));
     }
     assert!(!taken.is_empty(), "others go to the pool that lacks some");
@@ -114,8 +115,8 @@
 }
 
 #[test]
-fn a_wave_takes_a_worker_with_kept_room_later() {
-    let mut world = world_with_idle_place();
+fn a_wave_takes_a_worker_with_reserved_room_later() {
+    let mut world = world_with_idle_reserved_worker();
     let request = WaveRequest {
         wave: 2,
         vms: ["vm-of-w0", "vm-of-w2"].map(str::to_owned).to_vec(),
@@ -126,7 +127,7 @@
     world.scheduler.request_waves(now, &[request], &none, &[]);
     let mut taken = BTreeSet::new();
     for _ in 0..60 {
-        look(&mut world);
+        plan_round(&mut world);
         taken.extend(emptied(&mut world));
     }
     assert!(taken.contains("w2"), "the wave goes on: {taken:?}");
@@ -134,7 +135,7 @@
 }
 
 #[test]
-fn a_worker_on_which_a_task_lasts_does_not_go_to_another_pool() {
+fn a_worker_with_a_long_running_task_does_not_change_pools() {
     let mut world = World::new(5, &["w0", "w1", "w2", "w3", "w4"]);
     for (number, listing) in world.listings.iter_mut().enumerate() {
         let label = if number == 0 { "lasting" } else { "short" };
@@ -149,9 +150,9 @@
     let light = StepSpec {
         cpu_millis: 100,
         required_label: "lasting".to_owned(),
-        ..lasting()
+        ..long_running()
     };
-    submit_lasting(&mut world, 1, job(vec![light]));
+    submit_long_running(&mut world, 1, job(vec![light]));
     let short = StepSpec {
         max_per_worker: 1,
         required_label: "short".to_owned(),
@@ -162,10 +163,10 @@
     assert_eq!(world.running().len(), 5);
     let mut wanted = job(vec![large()]);
     wanted.terms.pool = OTHER.to_owned();
-    submit_lasting(&mut world, 2, wanted);
+    submit_long_running(&mut world, 2, wanted);
     let mut taken = BTreeSet::new();
     for _ in 0..20 {
-        look(&mut world);
+        plan_round(&mut world);
         taken.extend(emptied(&mut world));
     }
     assert!(!taken.is_empty(), "others go to the pool that lacks some");
@@ -173,11 +174,11 @@
 }
 
 #[test]
-fn no_place_is_kept_behind_a_run_that_a_new_holder_found_and_that_lasts() {
+fn no_room_is_reserved_behind_a_long_running_task_found_after_a_takeover() {
     let mut world = world_of(&["w1", "w2"]);
     // Beside it a little is always left, so its worker is the emptier one.
-    let odd = || job(vec![StepSpec { cpu_millis: 2_500, ..lasting() }]);
-    submit_lasting(&mut world, 1, odd());
+    let odd = || job(vec![StepSpec { cpu_millis: 2_500, ..long_running() }]);
+    submit_long_running(&mut world, 1, odd());
     world.run_for(500);
     assert_eq!(starts_of(&world, id(1)), 1);
     world.take_over(9);
@@ -191,11 +192,11 @@
     }
     world.run_for(500);
     assert_eq!(world.running().len(), 6);
-    submit_lasting(&mut world, 2, job(vec![large()]));
+    submit_long_running(&mut world, 2, job(vec![large()]));
     world.run_for(500);
     let mut next = 200;
-    for _ in 0..MISSED_MS / 50 {
-        add_to_peak(&mut world, &mut next);
+    for _ in 0..MAX_WAIT_MS / 50 {
+        submit_peak_round(&mut world, &mut next);
         world.run_for(50);
     }
     assert_eq!(starts_of(&world, id(2)), 1, "it waits behind one that lasts");
@@ -215,67 +216,73 @@
 }
 
 #[test]
-fn a_task_stays_at_work_until_short_ones_have_left_its_place() {
+fn a_task_keeps_running_until_short_tasks_free_its_reserved_room() {
     let mut world = world_of(&["w1", "w2", "w3"]);
-    submit_lasting(&mut world, 1, job(vec![large()]));
+    submit_long_running(&mut world, 1, job(vec![large()]));
     world.run_for(3_000);
     let from = world.starts[0].0.clone();
     let mut next = 100;
     for _ in 0..40 {
-        add_to_peak(&mut world, &mut next);
-        add_to_peak(&mut world, &mut next);
-        look(&mut world);
+        submit_peak_round(&mut world, &mut next);
+        submit_peak_round(&mut world, &mut next);
+        plan_round(&mut world);
     }
     request_wave_of(&mut world, &[&format!("vm-of-{from}")]);
     // Sooner than the short ones end.
     world.stops_take_ms = 50;
     let _ = world.scheduler.take_decisions();
     let mut waits = Vec::new();
-    for _ in 0..2 * MISSED_MS / 50 {
-        add_to_peak(&mut world, &mut next);
-        add_to_peak(&mut world, &mut next);
-        look(&mut world);
+    for _ in 0..2 * MAX_WAIT_MS / 50 {
+        submit_peak_round(&mut world, &mut next);
+        submit_peak_round(&mut world, &mut next);
+        plan_round(&mut world);
         waits.extend(waits_of(&mut world, 1));
     }
     assert_eq!(waits.len(), 1, "it has moved");
-    assert!(waits[0] <= AT_ONCE_MS, "it was without work for {waits:?} ms");
+    assert!(
+        waits[0] <= MAX_START_DELAY_MS,
+        "it was without work for {waits:?} ms"
+    );
 }
 
 #[test]
-fn another_place_is_kept_at_once_for_a_task_that_lost_its_one() {
+fn a_lost_reservation_is_replaced_at_once() {
     let (mut world, _, place) = world_with_move();
     let mut next = 100;
     // A peak has begun on the third worker.
     for _ in 0..2 {
-        add_to_peak(&mut world, &mut next);
-        add_to_peak(&mut world, &mut next);
-        look(&mut world);
+        submit_peak_round(&mut world, &mut next);
+        submit_peak_round(&mut world, &mut next);
+        plan_round(&mut world);
     }
     world.scheduler.worker_gone(&place, "test", at(world.now_ms));
     world.listings.retain(|listing| listing.id != place);
     let _ = world.scheduler.take_decisions();
     let mut waits = Vec::new();
-    for _ in 0..MISSED_MS / 50 {
-        add_to_peak(&mut world, &mut next);
-        add_to_peak(&mut world, &mut next);
-        look(&mut world);
+    for _ in 0..MAX_WAIT_MS / 50 {
+        submit_peak_round(&mut world, &mut next);
+        submit_peak_round(&mut world, &mut next);
+        plan_round(&mut world);
         waits.extend(waits_of(&mut world, 1));
     }
     assert_eq!(waits.len(), 1, "it has moved");
-    assert!(waits[0] <= AT_ONCE_MS, "it was without work for {waits:?} ms");
+    assert!(
+        waits[0] <= MAX_START_DELAY_MS,
+        "it was without work for {waits:?} ms"
+    );
 }
 
 #[test]
-fn two_of_a_step_do_not_go_to_one_worker_that_takes_one_of_them() {
+fn two_tasks_of_a_step_reserve_different_workers() {
     let mut world = world_of(&["w1", "w2", "w3", "w4"]);
     let apart = StepSpec {
         count: 2,
         max_per_worker: 1,
         max_unavailable: 2,
         cpu_millis: 500,
-        ..lasting()
+        ..long_running()
     };
-    submit_lasting(&mut world, 1, job(vec![apart]));
+    submit_long_running(&mut world, 1, job(vec![apart]));
     world.run_for(3_000);
     let from: BTreeSet<WorkerId> =
         world.starts.iter().map(|(worker, _)| worker.clone()).collect();
@@ -290,7 +297,7 @@
     world.stops_take_ms = STOP_MS;
     let mut places = BTreeSet::new();
     for _ in 0..(STOP_MS / 50 + 4) {
-        look(&mut world);
+        plan_round(&mut world);
         for decision in world.scheduler.take_decisions() {
             if let Decision::Displaced { place: Some(place), .. } = decision {
                 places.insert(place);
@@ -302,10 +309,10 @@
 }
 
 #[test]
-fn workers_that_end_let_go_of_a_step_one_task_at_a_time() {
+fn terminating_workers_stop_a_step_one_task_at_a_time() {
     let mut world = world_of(&["w1", "w2", "w3", "w4"]);
-    let apart = StepSpec { count: 2, max_per_worker: 1, ..lasting() };
-    submit_lasting(&mut world, 1, job(vec![apart]));
+    let apart = StepSpec { count: 2, max_per_worker: 1, ..long_running() };
+    submit_long_running(&mut world, 1, job(vec![apart]));
     world.run_for(3_000);
     let from: BTreeSet<WorkerId> =
         world.starts.iter().map(|(worker, _)| worker.clone()).collect();
@@ -318,14 +325,14 @@
     world.list();
     world.stops_take_ms = STOP_MS;
     for _ in 0..60 {
-        look(&mut world);
+        plan_round(&mut world);
         assert!(!world.running().is_empty(), "both were stopped at once");
     }
     assert_eq!(starts_of(&world, id(1)), 4, "both have moved");
 }
 
 #[test]
-fn a_short_task_is_left_to_end_on_a_worker_that_ends() {
+fn a_short_task_finishes_on_a_terminating_worker() {
     let mut world = world_of(&["w1", "w2"]);
     submit_short(&mut world, 100, 1, 8_000);
     world.run_for(200);
@@ -338,14 +345,16 @@
     }
     world.list();
     for _ in 0..8_500 / 50 {
-        look(&mut world);
+        plan_round(&mut world);
     }
     assert_eq!(starts_of(&world, id(100)), 1, "it was stopped");
 }
 
 /// What is told of tasks that wait: the job's number, for how long, why, and
 /// what the workers lack.
-fn told(world: &mut World) -> Vec<(TaskId, u64, &'static str, UnfitWorkers)> {
+fn long_waits(
+    world: &mut World,
+) -> Vec<(TaskId, u64, &'static str, UnfitWorkers)> {
     let decisions = world.scheduler.take_decisions();
     let told = decisions.into_iter().filter_map(|decision| match decision {
         Decision::LongWait {
@@ -357,20 +366,21 @@
 }
 
 #[test]
-fn what_a_waiting_task_lacks_is_told_worker_by_worker() {
+fn a_long_wait_counts_unfit_workers_by_cause() {
     let mut world = world_of(&["w1", "w2", "w3", "w4"]);
     // One of its step on one, one short of processors, one of memory.
     let waits = StepSpec {
         count: 2,
         max_per_worker: 1,
         memory_mb: 1_000,
-        ..lasting()
+        ..long_running()
     };
-    let large = StepSpec { cpu_millis: 3_000, ..lasting() };
-    let memory = StepSpec { memory_mb: 3_950, cpu_millis: 100, ..lasting() };
-    submit_lasting(&mut world, 1, job(vec![large]));
+    let large = StepSpec { cpu_millis: 3_000, ..long_running() };
+    let memory =
+        StepSpec { memory_mb: 3_950, cpu_millis: 100, ..long_running() };
+    submit_long_running(&mut world, 1, job(vec![large]));
     world.run_for(200);
-    submit_lasting(&mut world, 2, job(vec![memory]));
+    submit_long_running(&mut world, 2, job(vec![memory]));
     world.run_for(200);
     let used: BTreeSet<WorkerId> =
         world.starts.iter().map(|(worker, _)| worker.clone()).collect();
@@ -380,12 +390,12 @@
         idle.draining = true;
     }
     world.list();
-    submit_lasting(&mut world, 3, job(vec![waits]));
+    submit_long_running(&mut world, 3, job(vec![waits]));
     world.run_for(450);
     assert_eq!(starts_of(&world, id(3)), 1);
-    assert_eq!(told(&mut world), [], "it may start soon");
+    assert_eq!(long_waits(&mut world), [], "it may start soon");
     world.run_for(600);
-    let first = told(&mut world);
+    let first = long_waits(&mut world);
     let lack = UnfitWorkers {
         workers: 4,
         closed: 1,
@@ -401,23 +411,23 @@
     assert_eq!(*reason, "no worker of its pool can take it");
     assert_eq!(*lacks, lack);
     world.run_for(1_400);
-    assert_eq!(told(&mut world), [], "it was told of late");
+    assert_eq!(long_waits(&mut world), [], "it was told of late");
     world.run_for(1_000);
-    assert_eq!(told(&mut world).len(), 1, "it still waits");
+    assert_eq!(long_waits(&mut world).len(), 1, "it still waits");
 }
 
 #[test]
-fn a_pool_without_a_worker_does_not_fill_the_log_with_what_waits() {
+fn long_waits_of_a_pool_without_workers_are_rate_limited() {
     let mut world = world_of(&["w1"]);
     let steps: Vec<StepSpec> = (0..30).map(|_| large()).collect();
     let mut nowhere = job(steps);
     nowhere.terms.pool = OTHER.to_owned();
-    submit_lasting(&mut world, 1, nowhere);
+    submit_long_running(&mut world, 1, nowhere);
     world.run_for(450);
     let mut steps = BTreeSet::new();
     for _ in 0..4 {
         world.run_for(500);
-        let told = told(&mut world);
+        let told = long_waits(&mut world);
         assert!(told.len() <= 4, "{} in half a second", told.len());
         steps.extend(told.iter().map(|(task, ..)| task.step));
     }
@@ -425,7 +435,7 @@
 }
 
 #[test]
-fn a_wait_says_whether_a_worker_was_not_asked_yet() {
+fn a_long_wait_names_a_worker_that_was_not_asked_yet() {
     let mut world = world_of(&["w1", "w2"]);
     world.cut.push(WorkerId::new("w1"));
     world.take_over(9);
@@ -433,7 +443,7 @@
     world.expect_all();
     world.scheduler.submit(id(1), job(vec![large()]), 6, None);
     world.run_for(1_200);
-    let told = told(&mut world);
+    let told = long_waits(&mut world);
     let reasons: Vec<&str> = told.iter().map(|(_, _, why, _)| *why).collect();
     assert_eq!(reasons, ["a worker that may run it wasn't asked yet"]);
 }
@@ -449,14 +459,14 @@
     let _ = world.scheduler.take_decisions();
     let mut chosen = BTreeSet::new();
     for _ in 0..40 {
-        look(world);
+        plan_round(world);
         chosen.extend(emptied(world));
     }
     chosen
 }
 
 #[test]
-fn a_wave_that_has_time_waits_for_a_calm_pool() {
+fn a_wave_with_time_left_waits_for_spare_capacity() {
     for (duration_ms, chosen) in [(200_000, 0), (10_000, 1)] {
         let mut world = world_of(&["w1", "w2", "w3", "w4"]);
         submit_short(&mut world, 100, 16, 60_000);
@@ -467,7 +477,7 @@
 }
 
 #[test]
-fn a_wave_takes_vms_of_the_pool_that_misses_them_least() {
+fn a_wave_takes_vms_from_the_least_loaded_pool() {
     let mut world = World::new(5, &["w1", "w2", "w3", "w4"]);
     for listing in &mut world.listings[..2] {
         listing.pool = OTHER.to_owned();
--- a/crates/dewspar/tests/schedule/restarted_workers.rs
+++ b/crates/dewspar/tests/schedule/restarted_workers.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         crashing::{MAX_STARTS, first_task, starts_of},
-        task_moves::look,
+        task_moves::plan_round,
         world::{RunKind, World, at, id, job, next_hold, step},
     },
     dewspar::{
@@ -449,7 +449,7 @@
     }
     world.list();
     for _ in 0..4 {
-        look(&mut world);
+        plan_round(&mut world);
     }
     world.start_again(&to);
     world.list();
--- a/crates/dewspar/tests/schedule/task_moves.rs
+++ b/crates/dewspar/tests/schedule/task_moves.rs
@@ -31,10 +31,10 @@
 
 /// How long a task that was moved may wait after its end was heard, in
 /// milliseconds: a plan or two.
-const AT_ONCE_MS: u64 = 100;
+const MAX_START_DELAY_MS: u64 = 100;
 
 /// A step of one task that lasts and takes half a worker.
-pub fn lasting() -> StepSpec {
+pub fn long_running() -> StepSpec {
     StepSpec {
         long_running: true,
         max_unavailable: 1,
@@ -45,15 +45,15 @@
 
 /// Three tasks that last, two of them on one worker and one on another, which
 /// has room for one more. Returns the fuller worker too.
-fn world_with_one_place() -> (World, WorkerId) {
+fn world_with_room_for_one_move() -> (World, WorkerId) {
     let mut world = World::new(5, &["w1", "w2"]);
     world.list();
     world.expect_all();
     world.fate = Fate::endless();
     world.run_for(100);
     for number in 1..=3 {
-        let lasting = job(vec![lasting()]);
-        world.scheduler.submit(id(number), lasting, 5 + number, None);
+        let job = job(vec![long_running()]);
+        world.scheduler.submit(id(number), job, 5 + number, None);
         world.run_for(100);
     }
     // Later than any stop that a former holder may have ordered.
@@ -70,7 +70,7 @@
 
 /// Plans VMs and tasks for 50 ms, without carrying out what is ordered of VMs;
 /// returns those orders.
-pub fn look(world: &mut World) -> Vec<VmOrder> {
+pub fn plan_round(world: &mut World) -> Vec<VmOrder> {
     let vms: Vec<ManagedVm> = world.listings.iter().map(managed).collect();
     let now = at(world.now_ms);
     world.scheduler.list_vms(now, world.now_ms, &vms);
@@ -91,13 +91,13 @@
 }
 
 #[test]
-fn one_place_is_kept_for_one_task_only() {
-    let (mut world, fuller) = world_with_one_place();
+fn room_is_reserved_for_one_task_only() {
+    let (mut world, fuller) = world_with_room_for_one_move();
     let vm = format!("vm-of-{fuller}");
     request_wave_of(&mut world, &[&vm]);
     world.stops_take_ms = STOP_MS;
     for _ in 0..100 {
-        look(&mut world);
+        plan_round(&mut world);
         let running = world.running().len();
         assert!(running >= 2, "{running} of 3 run: two had to leave at once");
     }
@@ -105,13 +105,13 @@
 }
 
 #[test]
-fn a_place_is_kept_while_a_run_is_being_stopped() {
-    let (mut world, fuller) = world_with_one_place();
+fn room_stays_reserved_while_a_run_is_being_stopped() {
+    let (mut world, fuller) = world_with_room_for_one_move();
     let vm = format!("vm-of-{fuller}");
     request_wave_of(&mut world, &[&vm]);
     world.stops_take_ms = STOP_MS;
-    look(&mut world);
-    look(&mut world);
+    plan_round(&mut world);
+    plan_round(&mut world);
     let _ = world.scheduler.take_decisions();
     // A peak begins, of tasks that take longer than a stop.
     world.fate = Fate::done(3_000);
@@ -122,7 +122,7 @@
     }
     let before = world.starts.len();
     for _ in 0..(STOP_MS / 50 + 4) {
-        look(&mut world);
+        plan_round(&mut world);
     }
     let moved = world.starts[before..]
         .iter()
@@ -132,8 +132,8 @@
 }
 
 #[test]
-fn a_task_that_has_no_place_gets_a_vm_before_it_is_stopped() {
-    let (mut world, fuller) = world_with_one_place();
+fn a_task_without_room_elsewhere_gets_a_vm_before_it_is_stopped() {
+    let (mut world, fuller) = world_with_room_for_one_move();
     let mut spare = listing("w3");
     spare.pool = "off".to_owned();
     world.listings.push(spare);
@@ -164,27 +164,29 @@
     world.expect_all();
     let _ = world.scheduler.take_decisions();
     for _ in 0..60 {
-        orders.extend(look(&mut world));
+        orders.extend(plan_round(&mut world));
     }
     assert_eq!(world.running().len(), 3);
-    assert!(longest_wait_ms(&mut world).is_some_and(|ms| ms <= AT_ONCE_MS));
+    assert!(
+        longest_wait_ms(&mut world).is_some_and(|ms| ms <= MAX_START_DELAY_MS)
+    );
     let down = VmOrder::Maintain { vm, wave: 1 };
     assert!(orders.contains(&down), "{orders:?}");
 }
 
 #[test]
-fn a_place_that_is_lost_is_looked_for_anew() {
+fn a_reservation_on_a_lost_worker_is_replaced() {
     let mut world = World::new(5, &["w1", "w2", "w3"]);
     world.list();
     world.expect_all();
     world.fate = Fate::endless();
     world.run_for(100);
-    world.scheduler.submit(id(1), job(vec![lasting()]), 6, None);
+    world.scheduler.submit(id(1), job(vec![long_running()]), 6, None);
     world.run_for(3_000);
     let from = world.starts[0].0.clone();
     request_wave_of(&mut world, &[&format!("vm-of-{from}")]);
     world.stops_take_ms = STOP_MS;
-    look(&mut world);
+    plan_round(&mut world);
     let decisions = world.scheduler.take_decisions();
     let place = decisions.iter().find_map(|decision| match decision {
         Decision::Displaced { place, .. } => place.clone(),
@@ -194,7 +196,7 @@
     world.scheduler.worker_gone(&place, "test", at(world.now_ms));
     world.listings.retain(|listing| listing.id != place);
     for _ in 0..(STOP_MS / 50 + 4) {
-        look(&mut world);
+        plan_round(&mut world);
     }
     assert_eq!(world.running().len(), 1);
     let (to, _) = world.starts.last().expect("it was started again");
@@ -203,7 +205,7 @@
 
 /// Lets a peak of short tasks go on for 50 ms, each of a quarter of a worker
 /// and none ending together with others.
-fn go_on_with_peak(world: &mut World, next: &mut u64) {
+fn continue_peak(world: &mut World, next: &mut u64) {
     for _ in 0..2 {
         *next += 1;
         let short = StepSpec { estimate_ms: 500, ..step(1) };
@@ -214,24 +216,24 @@
 }
 
 #[test]
-fn a_peak_of_small_tasks_does_not_keep_a_large_one_that_lasts_waiting() {
+fn a_large_long_running_task_starts_under_a_load_of_small_tasks() {
     let mut world = World::new(5, &["w1", "w2"]);
     world.list();
     world.expect_all();
     world.run_for(100);
     let mut next = 100;
     for _ in 0..40 {
-        go_on_with_peak(&mut world, &mut next);
+        continue_peak(&mut world, &mut next);
     }
     // Three quarters of a worker are never free at once.
-    let large = StepSpec { cpu_millis: 3_000, ..lasting() };
+    let large = StepSpec { cpu_millis: 3_000, ..long_running() };
     world.scheduler.submit(id(1), job(vec![large]), 50, None);
     let submitted_ms = world.now_ms;
     let is_large = |world: &World| {
         world.starts.iter().any(|(_, order)| order.task.job == id(1))
     };
     while !is_large(&world) && world.now_ms < submitted_ms + 6_000 {
-        go_on_with_peak(&mut world, &mut next);
+        continue_peak(&mut world, &mut next);
     }
     // The longest of the short ones takes 0.75 s.
     let waited_ms = world.now_ms - submitted_ms;
@@ -239,13 +241,13 @@
 }
 
 #[test]
-fn a_task_that_lasts_leaves_a_worker_that_is_about_to_end() {
+fn a_long_running_task_moves_off_a_terminating_worker() {
     let mut world = World::new(5, &["w1", "w2"]);
     world.list();
     world.expect_all();
     world.fate = Fate::endless();
     world.run_for(100);
-    world.scheduler.submit(id(1), job(vec![lasting()]), 6, None);
+    world.scheduler.submit(id(1), job(vec![long_running()]), 6, None);
     world.run_for(3_000);
     let from = world.starts[0].0.clone();
     let _ = world.scheduler.take_decisions();
@@ -257,9 +259,11 @@
     world.list();
     world.stops_take_ms = STOP_MS;
     for _ in 0..(STOP_MS / 50 + 4) {
-        look(&mut world);
+        plan_round(&mut world);
     }
     let (to, _) = world.starts.last().expect("it was started");
     assert!(*to != from, "it was left to go down with its worker");
-    assert!(longest_wait_ms(&mut world).is_some_and(|ms| ms <= AT_ONCE_MS));
+    assert!(
+        longest_wait_ms(&mut world).is_some_and(|ms| ms <= MAX_START_DELAY_MS)
+    );
 }
--- a/crates/dewspar/tests/schedule/task_moves_random.rs
+++ b/crates/dewspar/tests/schedule/task_moves_random.rs
@@ -1,7 +1,7 @@
 //! Random waves over workers on which tasks that last stand beside peaks of
 //! short ones, with cancelled jobs and lost workers between.
 //!
-//! What is promised: a task for which a place was kept starts there as soon as
+//! What is reserved: a task for which a place was kept starts there as soon as
 //! its run has ended, unless that place was lost; and nothing stays kept that
 //! nobody needs any more.
 
@@ -24,7 +24,7 @@
 
 /// How long a task may wait once its end was heard, in milliseconds: two plans
 /// and a half.
-const AT_ONCE_MS: u64 = 125;
+const MAX_START_DELAY_MS: u64 = 125;
 
 /// For how long each run goes on with its faults, in milliseconds.
 const RUN_MS: u64 = 12_000;
@@ -33,10 +33,10 @@
     world: World,
     random: StdRng,
     next_job: u64,
-    lasting: Vec<JobId>,
+    long_running: Vec<JobId>,
     /// The tasks that have a place kept, with the worker that keeps it.
-    promised: BTreeMap<TaskId, String>,
-    /// How many tasks moved as promised.
+    reserved: BTreeMap<TaskId, String>,
+    /// How many tasks moved as reserved.
     moved: u32,
 }
 
@@ -58,8 +58,8 @@
             world,
             random,
             next_job: 100,
-            lasting: Vec::new(),
-            promised: BTreeMap::new(),
+            long_running: Vec::new(),
+            reserved: BTreeMap::new(),
             moved: 0,
         }
     }
@@ -75,7 +75,7 @@
         id
     }
 
-    fn submit_lasting(&mut self) {
+    fn submit_long_running(&mut self) {
         let spec = StepSpec {
             long_running: true,
             max_per_worker: self.random.random_range(0..2),
@@ -84,7 +84,7 @@
             ..step(self.random.random_range(1..4))
         };
         let id = self.submit(spec, Fate::endless());
-        self.lasting.push(id);
+        self.long_running.push(id);
     }
 
     fn submit_short(&mut self) {
@@ -97,21 +97,23 @@
         self.submit(spec, Fate::done(work_ms));
     }
 
-    /// Lets one thing happen, or nothing.
-    fn happen(&mut self) {
+    /// Lets one thing random_event, or nothing.
+    fn random_event(&mut self) {
         match self.random.random_range(0..100) {
             0..30 => self.submit_short(),
-            30..33 if self.lasting.len() < 4 => self.submit_lasting(),
-            33 if !self.lasting.is_empty() => self.cancel_one(),
+            30..33 if self.long_running.len() < 4 => {
+                self.submit_long_running()
+            }
+            33 if !self.long_running.is_empty() => self.cancel_one(),
             34 => self.lose_worker(),
             _ => {}
         }
     }
 
     fn cancel_one(&mut self) {
-        let index = self.random.random_range(0..self.lasting.len());
-        let id = self.lasting.swap_remove(index);
-        self.promised.retain(|task, _| task.job != id);
+        let index = self.random.random_range(0..self.long_running.len());
+        let id = self.long_running.swap_remove(index);
+        self.reserved.retain(|task, _| task.job != id);
         self.world.scheduler.cancel(id, at(self.world.now_ms));
     }
 
@@ -122,32 +124,35 @@
         self.world.crash_vm(&vm);
     }
 
-    /// Notes what was promised and checks what was started.
+    /// Notes what was reserved and checks what was started.
     fn check(&mut self) {
         for decision in self.world.scheduler.take_decisions() {
             match decision {
                 Decision::Displaced { task, place: Some(place), .. } => {
-                    self.promised.insert(task, place.to_string());
+                    self.reserved.insert(task, place.to_string());
                 }
                 Decision::Started { task, worker, waited_ms, .. } => {
-                    let Some(place) = self.promised.remove(&task) else {
+                    let Some(place) = self.reserved.remove(&task) else {
                         continue;
                     };
                     self.moved += 1;
-                    assert!(waited_ms <= AT_ONCE_MS, "{task}: {waited_ms} ms");
+                    assert!(
+                        waited_ms <= MAX_START_DELAY_MS,
+                        "{task}: {waited_ms} ms"
+                    );
                     assert_eq!(worker.to_string(), place, "{task}");
                 }
                 // Whose place was there has to look for another.
                 Decision::WorkerGone { worker, .. } => {
                     let gone = worker.to_string();
-                    self.promised.retain(|_, place| *place != gone);
+                    self.reserved.retain(|_, place| *place != gone);
                 }
                 _ => {}
             }
         }
     }
 
-    fn go_on(&mut self) {
+    fn advance(&mut self) {
         maintain_for_a_while(&mut self.world);
         self.check();
     }
@@ -173,24 +178,24 @@
     }
 }
 
-/// Makes a random run; returns how many tasks moved as promised.
+/// Makes a random run; returns how many tasks moved as reserved.
 fn run(seed: u64) -> u32 {
     let mut moves = Moves::new(seed);
     for _ in 0..3 {
-        moves.submit_lasting();
+        moves.submit_long_running();
     }
     moves.world.run_for(3_000);
     moves.check();
     request_wave(&mut moves.world);
     for _ in 0..RUN_MS / 50 {
-        moves.happen();
-        moves.go_on();
+        moves.random_event();
+        moves.advance();
     }
     moves.finish()
 }
 
 #[test]
-fn places_are_kept_until_they_are_used_and_no_longer() {
+fn reservations_last_until_used_and_no_longer() {
     let moved: u32 = (0..RUNS).map(run).sum();
     assert!(moved > RUNS as u32, "only {moved} moves were seen");
 }
@@ -200,6 +205,6 @@
 /// kept for a task that lasts. So this was stopped for a place which it couldn't
 /// have any more, and was without work for 1.65 s in this run.
 #[test]
-fn a_worker_with_a_kept_place_is_not_kept_free_for_a_suspect() {
+fn a_worker_with_reserved_room_is_not_reserved_for_a_suspect() {
     run(269);
 }
--- a/crates/dewspar/tests/schedule/worker_answers.rs
+++ b/crates/dewspar/tests/schedule/worker_answers.rs
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_run_that_began_late_isnt_taken_to_stand_still() {
+fn a_run_that_began_late_is_not_treated_as_stalled() {
     let (mut world, worker, order) =
         world_with_late_start(Fate::done(400_000));
     let task = order.task;
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_run_that_is_to_stop_before_it_began_is_stopped_when_it_begins() {
+fn a_run_stopped_before_it_began_is_stopped_once_it_begins() {
     let (mut world, worker, order) = world_with_late_start(Fate::endless());
     world.scheduler.cancel(id(1), at(world.now_ms));
     world.now_ms += 20;
@@ -127,8 +127,8 @@
     world.fate = Fate::endless();
     let long = StepSpec { long_running: true, ..step(1) };
     let serves = StepSpec { target_ms: 50, ..long.clone() };
-    let fills = StepSpec { best_effort: true, ..long };
-    world.scheduler.submit(id(1), job(vec![serves, fills]), 6, None);
+    let best_effort = StepSpec { best_effort: true, ..long };
+    world.scheduler.submit(id(1), job(vec![serves, best_effort]), 6, None);
     world.run_for(300);
     assert_eq!(world.running().len(), 2);
     world
@@ -178,7 +178,7 @@
 }
 
 #[test]
-fn a_pace_that_wasnt_set_is_ordered_again() {
+fn a_pace_order_without_a_result_is_repeated() {
     let mut world = world_with_best_effort();
     let percents = |paces: &[PaceOrder]| -> Vec<u8> {
         paces.iter().map(|pace| pace.percent).collect()
@@ -223,7 +223,7 @@
 }
 
 #[test]
-fn a_task_waits_on_while_its_starts_are_refused() {
+fn waiting_time_includes_refused_starts() {
     let mut world = World::new(5, &["w1"]);
     let since_ms = refuse_first_start(&mut world);
     world.scheduler.take_decisions();
@@ -239,7 +239,7 @@
 }
 
 #[test]
-fn a_start_that_was_refused_is_noted_as_over() {
+fn a_refused_start_is_recorded_as_ended() {
     let mut world = World::new(5, &["w1"]);
     refuse_first_start(&mut world);
     let decisions = world.scheduler.take_decisions();
@@ -260,7 +260,7 @@
 }
 
 #[test]
-fn a_worker_that_refuses_start_after_start_is_asked_less_and_less_often() {
+fn starts_on_a_refusing_worker_back_off_exponentially() {
     let mut world = World::new(5, &["w1"]);
     world.list();
     world.expect_all();
@@ -287,7 +287,7 @@
 }
 
 #[test]
-fn a_holder_whose_tokens_for_a_worker_are_used_up_says_so() {
+fn a_holder_reports_exhausted_tokens() {
     let mut world = World::new(5, &["w1"]);
     world.list();
     world.expect_all();
@@ -318,7 +318,7 @@
 /// of many at fault the lease went from hand to hand, each time with all jobs to
 /// be loaded again.
 #[test]
-fn one_worker_of_many_whose_tokens_are_used_up_is_left_out() {
+fn one_worker_of_many_with_exhausted_tokens_is_skipped() {
     let names: Vec<String> = (0..20).map(|n| format!("w{n}")).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
     let mut world = World::new(5, &names);
@@ -365,7 +365,7 @@
 /// of these. One of ten used its up in 231 s, and the lease went to another node
 /// for it: again and again, since new tokens went the same way.
 #[test]
-fn a_tenth_of_the_workers_that_answer_no_start_costs_no_lease() {
+fn a_tenth_of_the_workers_not_answering_starts_costs_no_lease() {
     let names: Vec<String> = (0..10).map(|n| format!("w{n}")).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
     let mut world = World::new(5, &names);
@@ -410,7 +410,7 @@
 /// What a worker says of a later token counts until the lease was renewed in
 /// answer to a call that was sent after it; and says nothing more then.
 #[test]
-fn a_claim_of_a_later_token_counts_until_the_lease_is_renewed() {
+fn a_claim_of_a_later_token_holds_until_the_lease_is_renewed() {
     let mut world = World::new(5, &["w1", "w2"]);
     world.list();
     world.expect_all();
@@ -442,7 +442,7 @@
 
 /// Lets a worker refuse every start of one burst; returns how long it then
 /// gets none, in milliseconds.
-fn paused_after_burst(starts: u32, refusal: Refusal) -> u64 {
+fn pause_after_burst_ms(starts: u32, refusal: Refusal) -> u64 {
     let mut world = World::new(5, &["w1"]);
     world.list();
     world.expect_all();
@@ -479,7 +479,7 @@
 
 #[test]
 fn one_burst_of_refusals_counts_as_one() {
-    assert!(paused_after_burst(2, Refusal::NoRoom) <= 100);
-    assert!(paused_after_burst(5, Refusal::LeaseOver) <= 100);
-    assert!(paused_after_burst(5, Refusal::Unhealthy) <= 1_000);
+    assert!(pause_after_burst_ms(2, Refusal::NoRoom) <= 100);
+    assert!(pause_after_burst_ms(5, Refusal::LeaseOver) <= 100);
+    assert!(pause_after_burst_ms(5, Refusal::Unhealthy) <= 1_000);
 }
--- a/crates/dewspar/tests/schedule/worker_capacity.rs
+++ b/crates/dewspar/tests/schedule/worker_capacity.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn starts_fit_what_a_worker_says_of_itself_now() {
+fn starts_fit_the_newest_reported_capacity() {
     let mut world = world_of_one();
     world.scheduler.submit(id(1), job(vec![step(4)]), 6, None);
     world.run_for(100);
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn what_is_being_stopped_takes_its_room_until_its_end_is_listed() {
+fn a_stopping_run_uses_its_room_until_its_end_is_reported() {
     let mut world = world_of_one();
     world.scheduler.guard_pools([POOL.to_owned()].into());
     world.scheduler.submit(id(1), job(vec![step(4)]), 6, None);
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_room_that_is_not_guarded_must_have_been_told_of_late() {
+fn unenforced_capacity_must_be_reported_recently() {
     for guarded in [true, false] {
         let mut world = world_of_one();
         if !guarded {
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn nothing_starts_in_an_unguarded_room_beside_a_run_of_unknown_size() {
+fn nothing_starts_beside_a_run_of_unknown_size_on_unenforced_capacity() {
     for guarded in [true, false] {
         let mut world = World::new(5, &["w1"]);
         world.list();
