--- a/crates/dewspard/tests/jobs_records.rs
+++ b/crates/dewspard/tests/jobs_records.rs
@@ -46,24 +46,24 @@
 const WORK_MS: u64 = 60;
 
 /// A node over a store and a fleet, and no callers.
-struct Alone {
+struct Fixture {
     store: Store,
     store_faults: Faults,
     fleet: TaskFleet,
     node: Option<JobNode>,
-    lapsing: JoinHandle<()>,
+    lease_expiry: JoinHandle<()>,
 }
 
-impl Drop for Alone {
+impl Drop for Fixture {
     fn drop(&mut self) {
-        self.lapsing.abort();
+        self.lease_expiry.abort();
     }
 }
 
-impl Alone {
+impl Fixture {
     /// Starts a node on a store that holds this much, where the answers of
     /// lists are under way for so long, and waits until it holds the lease.
-    async fn start(stored: &Batch, list_delay_us: u64) -> Alone {
+    async fn start(stored: &Batch, list_delay_us: u64) -> Fixture {
         // All tests share one start of the clock: it must not be that of a
         // test whose paused clock has run ahead.
         clock::now_ms();
@@ -80,21 +80,22 @@
             ..Queue::default()
         };
         fleet.configure(QueueSet::new(1, vec![queue]));
-        let lapsed = store.clone();
-        let lapsing = tokio::spawn(async move {
+        let expiring = store.clone();
+        let lease_expiry = tokio::spawn(async move {
             loop {
                 sleep(Duration::from_millis(50)).await;
-                lapsed.lapse_leases();
+                expiring.lapse_leases();
             }
         });
         let node = None;
-        let mut alone = Alone { store, store_faults, fleet, node, lapsing };
-        alone.take_over().await;
-        alone
+        let mut fixture =
+            Fixture { store, store_faults, fleet, node, lease_expiry };
+        fixture.start_node().await;
+        fixture
     }
 
     /// Starts a node and waits until it holds the lease.
-    async fn take_over(&mut self) {
+    async fn start_node(&mut self) {
         let platform = JobPlatform {
             store: self.store.clone(),
             workers: self.fleet.clone(),
@@ -108,45 +109,45 @@
         let log = logs::discard();
         let node = JobNode::start(&settings, platform, None, &log).await;
         self.node = Some(node.expect("a started node"));
-        until(async || self.lease().await > 0).await;
+        wait_until(async || self.lease_revision().await > 0).await;
     }
 
     /// Stops the node, and waits until nobody holds the lease.
-    async fn leave(&mut self) {
+    async fn stop_node(&mut self) {
         let node = self.node.take().expect("a node");
         node.stop().await;
-        until(async || self.lease().await == 0).await;
+        wait_until(async || self.lease_revision().await == 0).await;
     }
 
     /// Returns the revision of the lease's key; 0 while nobody holds it.
-    async fn lease(&self) -> u64 {
+    async fn lease_revision(&self) -> u64 {
         self.store.version("q/owner").await.expect("a store")
     }
 
-    async fn hand_in(&self, id: JobId, job: &AcceptedJob) {
-        self.write(&accepted(id, job)).await;
+    async fn submit(&self, id: JobId, job: &AcceptedJob) {
+        self.commit(&accepted(id, job)).await;
     }
 
-    async fn write(&self, batch: &Batch) {
+    async fn commit(&self, batch: &Batch) {
         self.store.commit(batch).await.expect("a store");
     }
 
     async fn phase(&self, id: JobId) -> Option<Phase> {
-        let found = self.store.get(&record(id)).await.expect("a store")?;
+        let found = self.store.get(&record_key(id)).await.expect("a store")?;
         let progress: Progress = serde_json::from_slice(&found.value).ok()?;
         Some(progress.phase)
     }
 
     async fn wait_for_phase(&self, id: JobId, phase: Phase) {
-        until(async || self.phase(id).await == Some(phase)).await;
+        wait_until(async || self.phase(id).await == Some(phase)).await;
     }
 
     /// Writes a job's record again as it is, as no holder would.
-    async fn touch(&self, id: JobId) {
-        let key = record(id);
+    async fn rewrite_record(&self, id: JobId) {
+        let key = record_key(id);
         let found = self.store.get(&key).await.expect("a store");
         if let Some(found) = found {
-            self.write(&Batch::default().put(&key, found.value)).await;
+            self.commit(&Batch::default().put(&key, found.value)).await;
         }
     }
 
@@ -165,7 +166,7 @@
 }
 
 /// Waits until something holds.
-async fn until<F: Future<Output = bool>>(mut holds: impl FnMut() -> F) {
+async fn wait_until<F: Future<Output = bool>>(mut holds: impl FnMut() -> F) {
     let waiting = async {
         while !holds().await {
             sleep(Duration::from_millis(5)).await;
@@ -187,7 +188,7 @@
     format!("{number:016x}").parse().expect("an identifier")
 }
 
-fn record(id: JobId) -> String {
+fn record_key(id: JobId) -> String {
     format!("run/{id}")
 }
 
@@ -220,161 +221,194 @@
 /// How long the answers of lists are under way, in microseconds: the first two
 /// readings take 800 ms; the third is of what was there then, and is taken in
 /// 400 ms later.
-const LATE_LISTS_US: u64 = 400_000;
+const SLOW_LIST_DELAY_US: u64 = 400_000;
 
 /// More steps than end before that: a record is written with each end.
 const STEPS: u32 = 30;
 
 #[tokio::test(start_paused = true)]
-async fn a_reading_from_before_a_write_does_not_replace_what_is_known_since() {
-    let alone = Alone::start(&Batch::default(), LATE_LISTS_US).await;
-    let lease = alone.lease().await;
-    alone.hand_in(id(1), &chain(STEPS)).await;
-    alone.wait_for_phase(id(1), Phase::Completed).await;
-    assert_eq!(alone.lease().await, lease, "the lease has changed hands");
+async fn a_stale_read_does_not_replace_a_newer_known_version() {
+    let fixture = Fixture::start(&Batch::default(), SLOW_LIST_DELAY_US).await;
+    let lease = fixture.lease_revision().await;
+    fixture.submit(id(1), &chain(STEPS)).await;
+    fixture.wait_for_phase(id(1), Phase::Completed).await;
+    assert_eq!(
+        fixture.lease_revision().await,
+        lease,
+        "the lease has changed hands"
+    );
     for step in 0..STEPS {
-        assert_eq!(alone.starts(id(1), step), 1, "step {step}");
+        assert_eq!(fixture.starts(id(1), step), 1, "step {step}");
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_job_that_is_loaded_twice_keeps_what_is_known_since_the_first_time()
-{
+async fn a_job_loaded_twice_keeps_the_newer_known_version() {
     // Its identifier begins with the digit that is read alone at first.
     let progress = br#"{"phase":"running","done":["0.0:0-0"]}"#;
-    let stored =
-        accepted(id(1), &chain(STEPS)).put(&record(id(1)), progress.to_vec());
-    let alone = Alone::start(&stored, LATE_LISTS_US).await;
-    let lease = alone.lease().await;
-    alone.wait_for_phase(id(1), Phase::Completed).await;
-    assert_eq!(alone.lease().await, lease, "the lease has changed hands");
-    assert_eq!(alone.starts(id(1), 0), 0, "it was done before");
+    let stored = accepted(id(1), &chain(STEPS))
+        .put(&record_key(id(1)), progress.to_vec());
+    let fixture = Fixture::start(&stored, SLOW_LIST_DELAY_US).await;
+    let lease = fixture.lease_revision().await;
+    fixture.wait_for_phase(id(1), Phase::Completed).await;
+    assert_eq!(
+        fixture.lease_revision().await,
+        lease,
+        "the lease has changed hands"
+    );
+    assert_eq!(fixture.starts(id(1), 0), 0, "it was done before");
     for step in 1..STEPS {
-        assert_eq!(alone.starts(id(1), step), 1, "step {step}");
+        assert_eq!(fixture.starts(id(1), step), 1, "step {step}");
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_record_at_another_version_costs_neither_the_lease_nor_other_jobs() {
-    let alone = Alone::start(&Batch::default(), 0).await;
-    let lease = alone.lease().await;
+async fn an_unexpected_record_version_affects_neither_the_lease_nor_other_jobs()
+ {
+    let fixture = Fixture::start(&Batch::default(), 0).await;
+    let lease = fixture.lease_revision().await;
     for job in [1, 2] {
-        alone.hand_in(id(job), &chain(10)).await;
+        fixture.submit(id(job), &chain(10)).await;
     }
-    alone.wait_for_phase(id(1), Phase::Running).await;
-    alone.touch(id(1)).await;
+    fixture.wait_for_phase(id(1), Phase::Running).await;
+    fixture.rewrite_record(id(1)).await;
     for job in [1, 2] {
-        alone.wait_for_phase(id(job), Phase::Completed).await;
+        fixture.wait_for_phase(id(job), Phase::Completed).await;
         for step in 0..10 {
-            assert_eq!(alone.starts(id(job), step), 1, "{job}, {step}");
+            assert_eq!(fixture.starts(id(job), step), 1, "{job}, {step}");
         }
     }
-    assert_eq!(alone.lease().await, lease, "the lease has changed hands");
+    assert_eq!(
+        fixture.lease_revision().await,
+        lease,
+        "the lease has changed hands"
+    );
 }
 
 /// How often a record is rewritten by someone else, and how many times: for
 /// ten seconds, between any two writes of the holder.
-const TOUCH_PAUSE: Duration = Duration::from_millis(5);
-const TOUCHES: u64 = 2_000;
+const REWRITE_INTERVAL: Duration = Duration::from_millis(5);
+const REWRITES: u64 = 2_000;
 
 /// More than the lease, the counts of waiting jobs and the other job take of
 /// writes in that time, and a tenth of what one every 20 ms would come to.
-const FEW_WRITES: u64 = 100;
+const MAX_WRITES: u64 = 100;
 
 #[tokio::test(start_paused = true)]
-async fn a_record_that_is_always_another_is_not_written_without_pause() {
-    let alone = Alone::start(&Batch::default(), 0).await;
-    let lease = alone.lease().await;
-    alone.hand_in(id(1), &chain(3)).await;
-    alone.wait_for_phase(id(1), Phase::Running).await;
-    alone.hand_in(id(2), &chain(10)).await;
-    let before = alone.store_faults.writes();
-    for _ in 0..TOUCHES {
-        alone.touch(id(1)).await;
-        sleep(TOUCH_PAUSE).await;
+async fn writes_of_a_constantly_changing_record_are_throttled() {
+    let fixture = Fixture::start(&Batch::default(), 0).await;
+    let lease = fixture.lease_revision().await;
+    fixture.submit(id(1), &chain(3)).await;
+    fixture.wait_for_phase(id(1), Phase::Running).await;
+    fixture.submit(id(2), &chain(10)).await;
+    let before = fixture.store_faults.writes();
+    for _ in 0..REWRITES {
+        fixture.rewrite_record(id(1)).await;
+        sleep(REWRITE_INTERVAL).await;
     }
-    let writes = alone.store_faults.writes() - before - TOUCHES;
-    assert_eq!(alone.lease().await, lease, "the lease has changed hands");
-    assert_eq!(alone.phase(id(2)).await, Some(Phase::Completed));
-    assert!(writes < FEW_WRITES, "{writes} writes");
-    alone.wait_for_phase(id(1), Phase::Completed).await;
-    assert_eq!(alone.lease().await, lease, "the lease has changed hands");
+    let writes = fixture.store_faults.writes() - before - REWRITES;
+    assert_eq!(
+        fixture.lease_revision().await,
+        lease,
+        "the lease has changed hands"
+    );
+    assert_eq!(fixture.phase(id(2)).await, Some(Phase::Completed));
+    assert!(writes < MAX_WRITES, "{writes} writes");
+    fixture.wait_for_phase(id(1), Phase::Completed).await;
+    assert_eq!(
+        fixture.lease_revision().await,
+        lease,
+        "the lease has changed hands"
+    );
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_an_unexpected_record_names_as_done_is_not_run_again() {
-    let alone = Alone::start(&Batch::default(), 0).await;
-    let lease = alone.lease().await;
+async fn tasks_done_in_an_unexpected_record_are_not_run_again() {
+    let fixture = Fixture::start(&Batch::default(), 0).await;
+    let lease = fixture.lease_revision().await;
     // As if a former holder had stored it and this one had overlooked it.
     let progress = br#"{"phase":"running","done":["0.0:0-0","0.1:0-0"]}"#;
     let job =
-        accepted(id(1), &chain(4)).put(&record(id(1)), progress.to_vec());
-    alone.write(&job).await;
-    alone.wait_for_phase(id(1), Phase::Completed).await;
-    assert_eq!(alone.lease().await, lease, "the lease has changed hands");
-    let starts = [0, 1, 2, 3].map(|step| alone.starts(id(1), step));
+        accepted(id(1), &chain(4)).put(&record_key(id(1)), progress.to_vec());
+    fixture.commit(&job).await;
+    fixture.wait_for_phase(id(1), Phase::Completed).await;
+    assert_eq!(
+        fixture.lease_revision().await,
+        lease,
+        "the lease has changed hands"
+    );
+    let starts = [0, 1, 2, 3].map(|step| fixture.starts(id(1), step));
     // The first was started before the first write of the record.
     assert_eq!(starts, [1, 0, 1, 1]);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_job_that_is_over_on_record_stays_as_it_is_there() {
-    let alone = Alone::start(&Batch::default(), 0).await;
-    let lease = alone.lease().await;
-    alone.fleet.set_work_ms(600_000);
-    alone.hand_in(id(1), &chain(2)).await;
-    alone.wait_for_phase(id(1), Phase::Running).await;
+async fn a_job_finished_on_record_stays_finished() {
+    let fixture = Fixture::start(&Batch::default(), 0).await;
+    let lease = fixture.lease_revision().await;
+    fixture.fleet.set_work_ms(600_000);
+    fixture.submit(id(1), &chain(2)).await;
+    fixture.wait_for_phase(id(1), Phase::Running).await;
     let over = br#"{"phase":"completed","finished_at_ms":5}"#.to_vec();
-    alone.write(&Batch::default().put(&record(id(1)), over)).await;
+    fixture.commit(&Batch::default().put(&record_key(id(1)), over)).await;
     // The holder looks at the record when it next writes it.
     let stop = format!("q/stop/{}", id(1));
-    alone.write(&Batch::default().put(&stop, Vec::new())).await;
-    until(async || !alone.is_open(id(1)).await).await;
-    until(async || alone.fleet.running().is_empty()).await;
-    assert_eq!(alone.phase(id(1)).await, Some(Phase::Completed));
-    assert_eq!(alone.lease().await, lease, "the lease has changed hands");
+    fixture.commit(&Batch::default().put(&stop, Vec::new())).await;
+    wait_until(async || !fixture.is_open(id(1)).await).await;
+    wait_until(async || fixture.fleet.running().is_empty()).await;
+    assert_eq!(fixture.phase(id(1)).await, Some(Phase::Completed));
+    assert_eq!(
+        fixture.lease_revision().await,
+        lease,
+        "the lease has changed hands"
+    );
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_record_that_cannot_be_read_costs_its_own_job_alone() {
-    let alone = Alone::start(&Batch::default(), 0).await;
-    let lease = alone.lease().await;
-    let odd = accepted(id(1), &chain(3)).put(&record(id(1)), b"odd".to_vec());
-    alone.write(&odd).await;
-    alone.hand_in(id(2), &chain(3)).await;
-    alone.wait_for_phase(id(2), Phase::Completed).await;
+async fn an_unreadable_record_affects_only_its_own_job() {
+    let fixture = Fixture::start(&Batch::default(), 0).await;
+    let lease = fixture.lease_revision().await;
+    let unreadable =
+        accepted(id(1), &chain(3)).put(&record_key(id(1)), b"odd".to_vec());
+    fixture.commit(&unreadable).await;
+    fixture.submit(id(2), &chain(3)).await;
+    fixture.wait_for_phase(id(2), Phase::Completed).await;
     sleep(Duration::from_secs(5)).await;
-    assert_eq!(alone.lease().await, lease, "the lease has changed hands");
+    assert_eq!(
+        fixture.lease_revision().await,
+        lease,
+        "the lease has changed hands"
+    );
     // All of it may have been done: it isn't gone on with.
-    assert_eq!(alone.starts(id(1), 1), 0);
-    let left = alone.store.get(&record(id(1))).await.expect("a store");
+    assert_eq!(fixture.starts(id(1), 1), 0);
+    let left = fixture.store.get(&record_key(id(1))).await.expect("a store");
     assert_eq!(left.map(|item| item.value), Some(b"odd".to_vec()));
 }
 
 /// How long a holder has to hear of all that has ended and to say that it
 /// needn't be told again.
-const HEARD: Duration = Duration::from_secs(5);
+const ACKNOWLEDGE_TIME: Duration = Duration::from_secs(5);
 
 /// A job's record as a later holder can read it.
 const READABLE: &[u8] = br#"{"phase":"running"}"#;
 
-impl Alone {
+impl Fixture {
     /// Has another holder take over that can read the job's record, and checks
     /// that the job is completed and its tasks were started once each.
-    async fn go_on_where_it_can_be_read(&mut self, id: JobId, steps: u32) {
-        self.leave().await;
-        self.write(&Batch::default().put(&record(id), READABLE.to_vec()))
+    async fn complete_with_readable_record(&mut self, id: JobId, steps: u32) {
+        self.stop_node().await;
+        self.commit(&Batch::default().put(&record_key(id), READABLE.to_vec()))
             .await;
-        self.take_over().await;
+        self.start_node().await;
         self.wait_for_phase(id, Phase::Completed).await;
         for step in 0..steps {
             assert_eq!(self.starts(id, step), 1, "step {step}");
         }
-        self.wait_until_no_end_is_set_aside().await;
+        self.wait_until_no_deferred_ends().await;
     }
 
-    async fn wait_until_no_end_is_set_aside(&self) {
-        until(async || {
+    async fn wait_until_no_deferred_ends(&self) {
+        wait_until(async || {
             let (_, ends) = self.store.list("end/").await.expect("a store");
             ends.is_empty()
         })
@@ -383,98 +417,106 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_ended_before_a_holder_that_cannot_read_its_job_is_not_run_again()
+async fn runs_ended_before_takeover_of_an_unreadable_record_are_not_repeated()
 {
-    let mut alone = Alone::start(&Batch::default(), 0).await;
-    alone.fleet.set_work_ms(2_000);
-    alone.hand_in(id(1), &chain(2)).await;
-    alone.wait_for_phase(id(1), Phase::Running).await;
-    alone.leave().await;
-    alone.fleet.set_work_ms(WORK_MS);
-    alone.write(&Batch::default().put(&record(id(1)), b"odd".to_vec())).await;
+    let mut fixture = Fixture::start(&Batch::default(), 0).await;
+    fixture.fleet.set_work_ms(2_000);
+    fixture.submit(id(1), &chain(2)).await;
+    fixture.wait_for_phase(id(1), Phase::Running).await;
+    fixture.stop_node().await;
+    fixture.fleet.set_work_ms(WORK_MS);
+    fixture
+        .commit(&Batch::default().put(&record_key(id(1)), b"odd".to_vec()))
+        .await;
     sleep(Duration::from_secs(2)).await;
-    assert!(alone.fleet.running().is_empty(), "it has ended, unheard");
-    alone.take_over().await;
-    sleep(HEARD).await;
-    alone.go_on_where_it_can_be_read(id(1), 2).await;
+    assert!(fixture.fleet.running().is_empty(), "it has ended, unheard");
+    fixture.start_node().await;
+    sleep(ACKNOWLEDGE_TIME).await;
+    fixture.complete_with_readable_record(id(1), 2).await;
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_ended_before_its_jobs_record_was_found_odd_is_not_run_again() {
-    let mut alone = Alone::start(&Batch::default(), 0).await;
-    sleep(HEARD).await;
+async fn runs_ended_before_the_record_was_found_unreadable_are_not_repeated() {
+    let mut fixture = Fixture::start(&Batch::default(), 0).await;
+    sleep(ACKNOWLEDGE_TIME).await;
     // The run ends before the first write of the record is answered.
-    alone.store_faults.set_delay_us(300_000);
-    let odd = accepted(id(1), &chain(2)).put(&record(id(1)), b"odd".to_vec());
-    alone.write(&odd).await;
-    sleep(HEARD).await;
-    alone.store_faults.set_delay_us(0);
-    assert_eq!(alone.starts(id(1), 0), 1);
+    fixture.store_faults.set_delay_us(300_000);
+    let unreadable =
+        accepted(id(1), &chain(2)).put(&record_key(id(1)), b"odd".to_vec());
+    fixture.commit(&unreadable).await;
+    sleep(ACKNOWLEDGE_TIME).await;
+    fixture.store_faults.set_delay_us(0);
+    assert_eq!(fixture.starts(id(1), 0), 1);
     // With whatever is stored, ends are acknowledged.
-    alone.hand_in(id(2), &chain(2)).await;
-    sleep(HEARD).await;
-    alone.go_on_where_it_can_be_read(id(1), 2).await;
+    fixture.submit(id(2), &chain(2)).await;
+    sleep(ACKNOWLEDGE_TIME).await;
+    fixture.complete_with_readable_record(id(1), 2).await;
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_ended_of_a_job_that_cannot_be_read_is_not_run_again() {
-    let mut alone = Alone::start(&Batch::default(), 0).await;
-    alone.fleet.set_work_ms(2_000);
-    alone.hand_in(id(1), &chain(2)).await;
-    alone.wait_for_phase(id(1), Phase::Running).await;
-    alone.leave().await;
-    alone.fleet.set_work_ms(WORK_MS);
-    let odd =
+async fn runs_of_an_unreadable_job_are_not_repeated() {
+    let mut fixture = Fixture::start(&Batch::default(), 0).await;
+    fixture.fleet.set_work_ms(2_000);
+    fixture.submit(id(1), &chain(2)).await;
+    fixture.wait_for_phase(id(1), Phase::Running).await;
+    fixture.stop_node().await;
+    fixture.fleet.set_work_ms(WORK_MS);
+    let unreadable =
         Batch::default().put(&format!("q/in/{}", id(1)), b"odd".to_vec());
-    alone.write(&odd).await;
+    fixture.commit(&unreadable).await;
     sleep(Duration::from_secs(2)).await;
-    alone.take_over().await;
-    sleep(HEARD).await;
-    alone.leave().await;
-    alone.hand_in(id(1), &chain(2)).await;
-    alone.take_over().await;
-    alone.wait_for_phase(id(1), Phase::Completed).await;
+    fixture.start_node().await;
+    sleep(ACKNOWLEDGE_TIME).await;
+    fixture.stop_node().await;
+    fixture.submit(id(1), &chain(2)).await;
+    fixture.start_node().await;
+    fixture.wait_for_phase(id(1), Phase::Completed).await;
     for step in 0..2 {
-        assert_eq!(alone.starts(id(1), step), 1, "step {step}");
+        assert_eq!(fixture.starts(id(1), step), 1, "step {step}");
     }
-    alone.wait_until_no_end_is_set_aside().await;
+    fixture.wait_until_no_deferred_ends().await;
 }
 
 /// How many tasks run of a job when its record goes bad.
-const RUNNING: u32 = 12;
+const RUNNING_TASKS: u32 = 12;
 
 /// Nobody but a holder that reads the job deletes what was set aside of it. That
 /// is as much as ran when its record went bad, since nothing of it starts any more:
 /// no holder adds to it.
 #[tokio::test(start_paused = true)]
-async fn what_is_set_aside_of_a_job_does_not_grow_from_holder_to_holder() {
-    let mut alone = Alone::start(&Batch::default(), 0).await;
-    alone.fleet.set_work_ms(2_000);
+async fn deferred_ends_do_not_grow_with_takeovers() {
+    let mut fixture = Fixture::start(&Batch::default(), 0).await;
+    fixture.fleet.set_work_ms(2_000);
     let mut wide = chain(2);
-    wide.spec.steps[0].count = RUNNING;
-    alone.hand_in(id(1), &wide).await;
-    until(async || alone.fleet.running().len() == RUNNING as usize).await;
-    alone.wait_for_phase(id(1), Phase::Running).await;
-    alone.leave().await;
-    let read = alone.store.get(&record(id(1))).await.expect("a store");
-    alone.write(&Batch::default().put(&record(id(1)), b"odd".to_vec())).await;
+    wide.spec.steps[0].count = RUNNING_TASKS;
+    fixture.submit(id(1), &wide).await;
+    wait_until(async || {
+        fixture.fleet.running().len() == RUNNING_TASKS as usize
+    })
+    .await;
+    fixture.wait_for_phase(id(1), Phase::Running).await;
+    fixture.stop_node().await;
+    let read = fixture.store.get(&record_key(id(1))).await.expect("a store");
+    fixture
+        .commit(&Batch::default().put(&record_key(id(1)), b"odd".to_vec()))
+        .await;
     for holder in 0..6 {
-        alone.take_over().await;
+        fixture.start_node().await;
         // Others go on, and are forgotten as ever.
-        alone.hand_in(id(2 + holder), &chain(2)).await;
-        alone.wait_for_phase(id(2 + holder), Phase::Completed).await;
-        sleep(HEARD).await;
-        assert_eq!(alone.store.count("end/"), RUNNING as usize);
-        alone.leave().await;
+        fixture.submit(id(2 + holder), &chain(2)).await;
+        fixture.wait_for_phase(id(2 + holder), Phase::Completed).await;
+        sleep(ACKNOWLEDGE_TIME).await;
+        assert_eq!(fixture.store.count("end/"), RUNNING_TASKS as usize);
+        fixture.stop_node().await;
     }
-    assert_eq!(alone.starts(id(1), 0), RUNNING as usize);
+    assert_eq!(fixture.starts(id(1), 0), RUNNING_TASKS as usize);
 
     let read = read.expect("a record").value;
-    alone.write(&Batch::default().put(&record(id(1)), read)).await;
-    alone.take_over().await;
-    alone.wait_for_phase(id(1), Phase::Completed).await;
-    assert_eq!(alone.starts(id(1), 0), RUNNING as usize);
-    alone.wait_until_no_end_is_set_aside().await;
+    fixture.commit(&Batch::default().put(&record_key(id(1)), read)).await;
+    fixture.start_node().await;
+    fixture.wait_for_phase(id(1), Phase::Completed).await;
+    assert_eq!(fixture.starts(id(1), 0), RUNNING_TASKS as usize);
+    fixture.wait_until_no_deferred_ends().await;
 }
 
 /// Holders that can read a job's record and holders that can't follow each other,
@@ -482,118 +524,126 @@
 /// and the next took in stayed in the store until the job was over, and a job whose
 /// task lasts had one more end there each time.
 #[tokio::test(start_paused = true)]
-async fn what_was_taken_in_of_a_job_that_goes_on_is_deleted() {
-    let mut alone = Alone::start(&Batch::default(), 0).await;
-    alone.fleet.set_work_ms(6_000_000);
+async fn applied_deferred_ends_of_a_running_job_are_deleted() {
+    let mut fixture = Fixture::start(&Batch::default(), 0).await;
+    fixture.fleet.set_work_ms(6_000_000);
     let mut lasting = chain(1);
     lasting.spec.steps[0].long_running = true;
-    alone.hand_in(id(1), &lasting).await;
-    let runs = async |alone: &Alone, run: usize| {
-        until(async || alone.starts(id(1), 0) == run).await;
-        alone.wait_for_phase(id(1), Phase::Running).await;
-        sleep(HEARD).await;
-        assert_eq!(alone.fleet.running().len(), 1);
+    fixture.submit(id(1), &lasting).await;
+    let runs = async |fixture: &Fixture, run: usize| {
+        wait_until(async || fixture.starts(id(1), 0) == run).await;
+        fixture.wait_for_phase(id(1), Phase::Running).await;
+        sleep(ACKNOWLEDGE_TIME).await;
+        assert_eq!(fixture.fleet.running().len(), 1);
     };
-    runs(&alone, 1).await;
+    runs(&fixture, 1).await;
     for holder in 1..6 {
-        alone.leave().await;
-        let read = alone.store.get(&record(id(1))).await.expect("a store");
-        let odd = Batch::default().put(&record(id(1)), b"odd".to_vec());
-        alone.write(&odd).await;
-        alone.take_over().await;
-        sleep(HEARD).await;
-        assert_eq!(alone.store.count("end/"), 1, "holder {holder}");
-        assert!(alone.fleet.running().is_empty());
-
-        alone.leave().await;
+        fixture.stop_node().await;
+        let read =
+            fixture.store.get(&record_key(id(1))).await.expect("a store");
+        let unreadable =
+            Batch::default().put(&record_key(id(1)), b"odd".to_vec());
+        fixture.commit(&unreadable).await;
+        fixture.start_node().await;
+        sleep(ACKNOWLEDGE_TIME).await;
+        assert_eq!(fixture.store.count("end/"), 1, "holder {holder}");
+        assert!(fixture.fleet.running().is_empty());
+
+        fixture.stop_node().await;
         let read = read.expect("a record").value;
-        alone.write(&Batch::default().put(&record(id(1)), read)).await;
-        alone.take_over().await;
-        runs(&alone, holder + 1).await;
-        alone.wait_until_no_end_is_set_aside().await;
+        fixture.commit(&Batch::default().put(&record_key(id(1)), read)).await;
+        fixture.start_node().await;
+        runs(&fixture, holder + 1).await;
+        fixture.wait_until_no_deferred_ends().await;
     }
 }
 
 /// Where its record is gone as well, nobody will ever read the job.
 #[tokio::test(start_paused = true)]
-async fn what_was_set_aside_of_a_job_that_is_gone_is_deleted() {
-    let mut alone = Alone::start(&Batch::default(), 0).await;
-    alone.fleet.set_work_ms(2_000);
-    alone.hand_in(id(1), &chain(2)).await;
-    alone.wait_for_phase(id(1), Phase::Running).await;
-    alone.leave().await;
-    alone.write(&Batch::default().put(&record(id(1)), b"odd".to_vec())).await;
-    alone.take_over().await;
-    sleep(HEARD).await;
-    assert_eq!(alone.store.count("end/"), 1);
-    alone.leave().await;
+async fn deferred_ends_of_a_deleted_job_are_deleted() {
+    let mut fixture = Fixture::start(&Batch::default(), 0).await;
+    fixture.fleet.set_work_ms(2_000);
+    fixture.submit(id(1), &chain(2)).await;
+    fixture.wait_for_phase(id(1), Phase::Running).await;
+    fixture.stop_node().await;
+    fixture
+        .commit(&Batch::default().put(&record_key(id(1)), b"odd".to_vec()))
+        .await;
+    fixture.start_node().await;
+    sleep(ACKNOWLEDGE_TIME).await;
+    assert_eq!(fixture.store.count("end/"), 1);
+    fixture.stop_node().await;
     let gone = Batch::default().delete(&format!("q/in/{}", id(1)));
-    alone.write(&gone.delete(&record(id(1)))).await;
-    alone.take_over().await;
-    alone.wait_until_no_end_is_set_aside().await;
+    fixture.commit(&gone.delete(&record_key(id(1)))).await;
+    fixture.start_node().await;
+    fixture.wait_until_no_deferred_ends().await;
 }
 
 #[tokio::test(start_paused = true)]
-async fn nothing_is_written_of_jobs_once_another_node_holds_the_lease() {
-    let alone = Alone::start(&Batch::default(), 0).await;
-    alone.hand_in(id(1), &chain(3)).await;
-    alone.wait_for_phase(id(1), Phase::Running).await;
+async fn no_job_is_written_once_another_node_holds_the_lease() {
+    let fixture = Fixture::start(&Batch::default(), 0).await;
+    fixture.submit(id(1), &chain(3)).await;
+    fixture.wait_for_phase(id(1), Phase::Running).await;
     let owner = br#"{"node":"other","incarnation":1}"#.to_vec();
     // At once, so that only the refused write can tell of the new holder.
-    alone.store_faults.set_silent(true);
-    alone.write(&Batch::default().put("q/owner", owner)).await;
+    fixture.store_faults.set_silent(true);
+    fixture.commit(&Batch::default().put("q/owner", owner)).await;
     sleep(Duration::from_secs(5)).await;
-    assert_eq!(alone.phase(id(1)).await, Some(Phase::Running));
+    assert_eq!(fixture.phase(id(1)).await, Some(Phase::Running));
 }
 
 /// How many jobs end at once: four more than the eight writes carry that may be
 /// under way.
-const ENDING: u64 = 60;
+const ENDING_JOBS: u64 = 60;
 
 #[tokio::test(start_paused = true)]
-async fn a_holder_that_leaves_stores_all_but_what_is_refused() {
-    let mut alone = Alone::start(&Batch::default(), 0).await;
-    alone.fleet.set_work_ms(600_000);
+async fn a_stopping_holder_stores_everything_but_conflicting_records() {
+    let mut fixture = Fixture::start(&Batch::default(), 0).await;
+    fixture.fleet.set_work_ms(600_000);
     let (mut jobs, mut stops) = (Batch::default(), Batch::default());
-    for job in 1..=ENDING {
+    for job in 1..=ENDING_JOBS {
         let accepted = accepted(id(job), &chain(1));
         jobs.puts.extend(accepted.puts);
         stops = stops.put(&format!("q/stop/{}", id(job)), Vec::new());
     }
-    alone.write(&jobs).await;
+    fixture.commit(&jobs).await;
     sleep(Duration::from_secs(1)).await;
     // One of the four whose end waits to be written.
-    let odd = br#"{"phase":"queued"}"#.to_vec();
-    alone.write(&Batch::default().put(&record(id(ENDING - 1)), odd)).await;
-    alone.write(&stops).await;
+    let changed = br#"{"phase":"queued"}"#.to_vec();
+    fixture
+        .commit(
+            &Batch::default().put(&record_key(id(ENDING_JOBS - 1)), changed),
+        )
+        .await;
+    fixture.commit(&stops).await;
     // So that the holder leaves while the others are being written.
-    alone.store_faults.set_delay_us(300_000);
+    fixture.store_faults.set_delay_us(300_000);
     sleep(Duration::from_millis(50)).await;
-    let node = alone.node.take().expect("a node");
+    let node = fixture.node.take().expect("a node");
     node.stop().await;
-    alone.store_faults.set_delay_us(0);
-    for job in [ENDING - 3, ENDING - 2, ENDING] {
-        let phase = alone.phase(id(job)).await;
+    fixture.store_faults.set_delay_us(0);
+    for job in [ENDING_JOBS - 3, ENDING_JOBS - 2, ENDING_JOBS] {
+        let phase = fixture.phase(id(job)).await;
         assert_eq!(phase, Some(Phase::Cancelled), "{job}");
     }
     // Left to the next holder.
-    assert_eq!(alone.phase(id(ENDING - 1)).await, Some(Phase::Queued));
+    assert_eq!(fixture.phase(id(ENDING_JOBS - 1)).await, Some(Phase::Queued));
 }
 
 #[tokio::test(start_paused = true)]
-async fn lost_answers_of_the_store_cost_no_lease() {
-    let alone = Alone::start(&Batch::default(), 0).await;
-    let lease = alone.lease().await;
-    alone.store_faults.set_lost_per_mille(300);
+async fn lost_store_answers_do_not_cost_the_lease() {
+    let fixture = Fixture::start(&Batch::default(), 0).await;
+    let lease = fixture.lease_revision().await;
+    fixture.store_faults.set_lost_per_mille(300);
     let jobs = 1..=20;
     let mut batch = Batch::default();
     for job in jobs.clone() {
         batch.puts.extend(accepted(id(job), &chain(5)).puts);
     }
     // Done in any case, whether or not that is answered.
-    let _ = alone.store.commit(&batch).await;
+    let _ = fixture.store.commit(&batch).await;
     let all_over = async || {
-        let (_, records) = match alone.store.list("run/").await {
+        let (_, records) = match fixture.store.list("run/").await {
             Ok(listed) => listed,
             Err(_) => return false,
         };
@@ -603,34 +653,38 @@
         });
         over.count() == 20
     };
-    until(all_over).await;
-    alone.store_faults.set_lost_per_mille(0);
-    assert_eq!(alone.lease().await, lease, "the lease has changed hands");
+    wait_until(all_over).await;
+    fixture.store_faults.set_lost_per_mille(0);
+    assert_eq!(
+        fixture.lease_revision().await,
+        lease,
+        "the lease has changed hands"
+    );
     for job in jobs {
         for step in 0..5 {
-            assert_eq!(alone.starts(id(job), step), 1, "{job}, {step}");
+            assert_eq!(fixture.starts(id(job), step), 1, "{job}, {step}");
         }
     }
 }
 
 /// Has the first write of a record be done after all of a wave is, and returns
 /// what the record was before and after that.
-async fn around_a_late_write(key: &str) -> [Option<Vec<u8>>; 2] {
-    let alone = Alone::start(&Batch::default(), 0).await;
+async fn record_around_delayed_write(key: &str) -> [Option<Vec<u8>>; 2] {
+    let fixture = Fixture::start(&Batch::default(), 0).await;
     // All is loaded by then.
     sleep(Duration::from_secs(3)).await;
-    alone.store.delay_next_write(key, Duration::from_secs(90));
-    alone.fleet.request_wave(WaveRequest {
+    fixture.store.delay_next_write(key, Duration::from_secs(90));
+    fixture.fleet.request_wave(WaveRequest {
         wave: 1,
         vms: (0..4).map(|vm| format!("vm-{vm}")).collect(),
         duration_ms: 5_000,
         max_down: 2,
     });
-    until(async || alone.fleet.maintained().len() == 4).await;
+    wait_until(async || fixture.fleet.maintained().len() == 4).await;
     // What follows from the last of them is written.
     sleep(Duration::from_secs(5)).await;
     let read = async || {
-        let found = alone.store.get(key).await.expect("a store");
+        let found = fixture.store.get(key).await.expect("a store");
         found.map(|item| item.value)
     };
     let before = read().await;
@@ -639,8 +693,8 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_late_write_of_a_waves_state_does_not_replace_a_newer_one() {
-    let [before, after] = around_a_late_write("wave/1").await;
+async fn a_delayed_write_of_a_waves_state_does_not_replace_a_newer_one() {
+    let [before, after] = record_around_delayed_write("wave/1").await;
     let done = |value: &Option<Vec<u8>>| -> usize {
         let value = value.as_ref().expect("a record");
         let record: WaveRecord = serde_json::from_slice(value).expect("JSON");
@@ -650,79 +704,79 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_late_write_of_the_vms_ordered_does_not_replace_a_newer_one() {
-    let [before, after] = around_a_late_write("vm-orders").await;
+async fn a_delayed_write_of_vm_orders_does_not_replace_a_newer_one() {
+    let [before, after] = record_around_delayed_write("vm-orders").await;
     assert!(before.is_some(), "orders went out");
     assert_eq!(before, after, "an older record replaced a newer one");
 }
 
 /// How many jobs have been over for long: at 15 each 5 s their records would
 /// take two minutes and more.
-const EXPIRED: u64 = 400;
+const EXPIRED_JOBS: u64 = 400;
 
 #[tokio::test(start_paused = true)]
-async fn records_of_jobs_that_are_over_for_long_are_gone_within_seconds() {
+async fn expired_job_records_are_deleted_within_seconds() {
     let over = br#"{"phase":"completed","finished_at_ms":5}"#;
     let mut stored = Batch::default();
-    for job in 1..=EXPIRED {
-        stored = stored.put(&record(id(job)), over.to_vec());
+    for job in 1..=EXPIRED_JOBS {
+        stored = stored.put(&record_key(id(job)), over.to_vec());
     }
-    let alone = Alone::start(&stored, 0).await;
-    assert_eq!(alone.store.count("run/"), EXPIRED as usize);
+    let fixture = Fixture::start(&stored, 0).await;
+    assert_eq!(fixture.store.count("run/"), EXPIRED_JOBS as usize);
     sleep(Duration::from_secs(15)).await;
-    assert_eq!(alone.store.count("run/"), 0);
+    assert_eq!(fixture.store.count("run/"), 0);
 }
 
 /// How long the answer of each list is under way for a holder that takes over.
-const SLOW_LISTS: Duration = Duration::from_millis(600);
+const SLOW_LIST_DELAY: Duration = Duration::from_millis(600);
 
 /// A job that fails while another of its tasks runs, under a holder whose orders
 /// to stop that come to nothing. The next holder left the run alone, and renewed
 /// its lease, until it had loaded all jobs.
 #[tokio::test(start_paused = true)]
-async fn runs_of_a_job_that_failed_are_stopped_before_all_jobs_are_loaded() {
-    let mut alone = Alone::start(&Batch::default(), 0).await;
-    alone.fleet.set_work_ms(600_000);
-    alone.fleet.set_stops_lost(true);
-    alone.fleet.fail_step(1);
+async fn runs_of_a_failed_job_are_stopped_before_all_jobs_are_loaded() {
+    let mut fixture = Fixture::start(&Batch::default(), 0).await;
+    fixture.fleet.set_work_ms(600_000);
+    fixture.fleet.set_stops_lost(true);
+    fixture.fleet.fail_step(1);
     // It is loaded last.
     let last = id(0xf << 60);
     let mut both = chain(2);
     both.spec.steps[1].after.clear();
-    alone.hand_in(last, &both).await;
-    alone.wait_for_phase(last, Phase::Failed).await;
-    assert_eq!(alone.fleet.running().len(), 1);
-    alone.leave().await;
-    alone.fleet.set_stops_lost(false);
-    alone.store_faults.set_list_delay_us(SLOW_LISTS.as_micros() as u64);
-    alone.take_over().await;
-    assert_eq!(alone.fleet.running().len(), 1);
+    fixture.submit(last, &both).await;
+    fixture.wait_for_phase(last, Phase::Failed).await;
+    assert_eq!(fixture.fleet.running().len(), 1);
+    fixture.stop_node().await;
+    fixture.fleet.set_stops_lost(false);
+    fixture.store_faults.set_list_delay_us(SLOW_LIST_DELAY.as_micros() as u64);
+    fixture.start_node().await;
+    assert_eq!(fixture.fleet.running().len(), 1);
     // The first lists have come, and those of the last jobs haven't.
-    sleep(SLOW_LISTS * 5 / 2).await;
-    assert!(alone.fleet.running().is_empty(), "it goes on");
-    assert_eq!(alone.phase(last).await, Some(Phase::Failed));
+    sleep(SLOW_LIST_DELAY * 5 / 2).await;
+    assert!(fixture.fleet.running().is_empty(), "it goes on");
+    assert_eq!(fixture.phase(last).await, Some(Phase::Failed));
     // What told the next holder isn't kept for good.
-    alone.store_faults.set_list_delay_us(0);
+    fixture.store_faults.set_list_delay_us(0);
     sleep(Duration::from_secs(30)).await;
-    assert_eq!(alone.store.count("q/stop/"), 0);
+    assert_eq!(fixture.store.count("q/stop/"), 0);
 }
 
 // A VM that was ordered long ago counted as ordered of late for each new holder, which
 // counted no crash there in its first seconds: 6 crashes of one task, 5 allowed.
 #[tokio::test(start_paused = true)]
-async fn vms_that_were_ordered_long_ago_are_no_longer_on_record() {
-    let alone = Alone::start(&Batch::default(), 0).await;
+async fn old_vm_orders_are_removed_from_the_record() {
+    let fixture = Fixture::start(&Batch::default(), 0).await;
     // All is loaded by then.
     sleep(Duration::from_secs(3)).await;
-    alone.fleet.request_wave(WaveRequest {
+    fixture.fleet.request_wave(WaveRequest {
         wave: 1,
         vms: (0..4).map(|vm| format!("vm-{vm}")).collect(),
         duration_ms: 5_000,
         max_down: 2,
     });
-    until(async || alone.fleet.maintained().len() == 4).await;
+    wait_until(async || fixture.fleet.maintained().len() == 4).await;
     sleep(Duration::from_secs(10)).await;
-    let found = alone.store.get("vm-orders").await.expect("a store");
+    let found = fixture.store.get("vm-orders").await.expect("a store");
     let record = found.expect("orders went out").value;
     assert_eq!(String::from_utf8_lossy(&record), "[]");
 }
--- a/crates/dewspard/tests/late_orders.rs
+++ b/crates/dewspard/tests/late_orders.rs
@@ -36,30 +36,30 @@
 const SUSPENDED_MS: u64 = 1_000;
 
 /// How long an order that goes out takes to be carried out, many times over.
-const CARRIED: Duration = Duration::from_millis(500);
+const DELIVERY_TIME: Duration = Duration::from_millis(500);
 
 const POOL: &str = "registry";
 
 /// Held by the test that is under way: both suspend the same process.
-static UNDER_WAY: tokio::sync::Mutex<()> = tokio::sync::Mutex::const_new(());
+static SERIAL: tokio::sync::Mutex<()> = tokio::sync::Mutex::const_new(());
 
 /// A line that the VM falls asleep at, once, and with it the store's outage.
 #[derive(Clone)]
-struct SleepAt {
+struct SuspendAtLine {
     line: Arc<Mutex<Option<&'static str>>>,
     store_faults: Faults,
     lines: Arc<Mutex<Vec<String>>>,
 }
 
-impl Drain for SleepAt {
+impl Drain for SuspendAtLine {
     type Ok = ();
     type Err = Never;
 
     fn log(&self, line: &Record<'_>, _: &OwnedKVList) -> Result<(), Never> {
         let text = line.msg().to_string();
-        let mut at = self.line.lock().expect("a line");
-        if at.is_some_and(|at| at == text) {
-            *at = None;
+        let mut trigger = self.line.lock().expect("a line");
+        if trigger.is_some_and(|trigger| trigger == text) {
+            *trigger = None;
             self.store_faults.set_outage(true);
             clock::suppose_suspension(SUSPENDED_MS);
         }
@@ -68,18 +68,18 @@
     }
 }
 
-impl SleepAt {
-    fn next(&self, line: &'static str) {
+impl SuspendAtLine {
+    fn suspend_at(&self, line: &'static str) {
         *self.line.lock().expect("a line") = Some(line);
     }
 
-    fn has(&self, line: &str) -> bool {
+    fn has_logged(&self, line: &str) -> bool {
         let lines = self.lines.lock().expect("lines");
         lines.iter().any(|text| text == line)
     }
 }
 
-async fn until<F: Future<Output = bool>>(mut holds: impl FnMut() -> F) {
+async fn wait_until<F: Future<Output = bool>>(mut holds: impl FnMut() -> F) {
     let waiting = async {
         while !holds().await {
             sleep(Duration::from_millis(5)).await;
@@ -97,7 +97,7 @@
     }
 }
 
-async fn hand_in(store: &Store, id: JobId) {
+async fn submit(store: &Store, id: JobId) {
     let step = StepSpec { count: 1, cpu_millis: 100, ..StepSpec::default() };
     let spec = JobSpec {
         queue: "extracts".to_owned(),
@@ -112,16 +112,16 @@
 }
 
 /// A node that schedules, and what it reaches.
-struct Site {
+struct Fixture {
     _node: JobNode,
     store: Store,
     store_faults: Faults,
     fleet: TaskFleet,
-    sleeps: SleepAt,
+    suspension: SuspendAtLine,
 }
 
-impl Site {
-    async fn start() -> Site {
+impl Fixture {
+    async fn start() -> Fixture {
         let store_faults = Faults::new(1);
         let store = Store::new(store_faults.clone());
         let fleet = TaskFleet::new(Faults::new(2), POOL, 4);
@@ -132,7 +132,7 @@
             ..Queue::default()
         };
         fleet.configure(QueueSet::new(1, vec![queue]));
-        let sleeps = SleepAt {
+        let suspension = SuspendAtLine {
             line: Arc::default(),
             store_faults: store_faults.clone(),
             lines: Arc::default(),
@@ -146,59 +146,68 @@
             traffic: Traffic::default(),
             unreadable: UnreadableNotes::default(),
         };
-        let log = Logger::root(sleeps.clone().fuse(), o!());
+        let log = Logger::root(suspension.clone().fuse(), o!());
         let settings = JobSettings::loopback("node-0");
         let node = JobNode::start(&settings, platform, None, &log).await;
         let _node = node.expect("a started node");
-        Site { _node, store, store_faults, fleet, sleeps }
+        Fixture { _node, store, store_faults, fleet, suspension }
     }
 
     /// Waits until the VM has slept, and until orders that went out after it
     /// are carried out.
-    async fn sleep(&self) {
-        until(async || self.sleeps.has("holder: was suspended")).await;
-        sleep(CARRIED).await;
+    async fn wait_for_resume(&self) {
+        wait_until(async || {
+            self.suspension.has_logged("holder: was suspended")
+        })
+        .await;
+        sleep(DELIVERY_TIME).await;
     }
 }
 
 #[tokio::test]
-async fn what_was_ordered_before_a_suspension_is_not_sent_after_it() {
-    let _alone = UNDER_WAY.lock().await;
-    let site = Site::start().await;
+async fn orders_decided_before_a_suspension_are_not_sent_after_it() {
+    let _serial = SERIAL.lock().await;
+    let fixture = Fixture::start().await;
     let id: JobId = format!("{:016x}", 1).parse().expect("an identifier");
     let starts = || {
-        let started = site.fleet.started();
+        let started = fixture.fleet.started();
         started.iter().filter(|(task, _)| task.job == id).count()
     };
-    site.sleeps.next("task: start ordered");
-    hand_in(&site.store, id).await;
-    site.sleep().await;
+    fixture.suspension.suspend_at("task: start ordered");
+    submit(&fixture.store, id).await;
+    fixture.wait_for_resume().await;
     assert_eq!(starts(), 0, "by an order of before");
 
     // Once the store has renewed the lease the task starts.
-    site.store_faults.set_outage(false);
-    until(async || starts() == 1).await;
-    assert!(site.sleeps.has("worker: order gave no result"), "it is told");
+    fixture.store_faults.set_outage(false);
+    wait_until(async || starts() == 1).await;
+    assert!(
+        fixture.suspension.has_logged("worker: order gave no result"),
+        "it is told"
+    );
 }
 
 #[tokio::test]
-async fn vms_are_not_ordered_after_a_suspension_by_what_was_planned_before() {
-    let _alone = UNDER_WAY.lock().await;
-    let site = Site::start().await;
+async fn vm_orders_planned_before_a_suspension_are_not_sent_after_it() {
+    let _serial = SERIAL.lock().await;
+    let fixture = Fixture::start().await;
     let vms = vec!["vm-0".to_owned(), "vm-1".to_owned()];
     // Both are ordered at once, and the VM sleeps when one of them is.
-    site.sleeps.next("vm: ordered");
-    site.fleet.request_wave(WaveRequest {
+    fixture.suspension.suspend_at("vm: ordered");
+    fixture.fleet.request_wave(WaveRequest {
         wave: 7,
         vms,
         duration_ms: 1_000,
         max_down: 2,
     });
-    site.sleep().await;
-    let ordered = site.fleet.maintained().len();
+    fixture.wait_for_resume().await;
+    let ordered = fixture.fleet.maintained().len();
     assert_eq!(ordered, 1, "the other by an order of before");
 
-    site.store_faults.set_outage(false);
-    until(async || site.fleet.maintained().len() == 2).await;
-    assert!(site.sleeps.has("vm: order gave no result"), "it is told");
+    fixture.store_faults.set_outage(false);
+    wait_until(async || fixture.fleet.maintained().len() == 2).await;
+    assert!(
+        fixture.suspension.has_logged("vm: order gave no result"),
+        "it is told"
+    );
 }
--- a/crates/dewspard/tests/later_tokens.rs
+++ b/crates/dewspard/tests/later_tokens.rs
@@ -38,19 +38,19 @@
 const WORKERS: usize = 4;
 
 /// What one worker has of its processor, in thousandths of a core.
-const ALL: u64 = 4_000;
+const WORKER_CPU_MILLIS: u64 = 4_000;
 
 /// How long the lease lasts without renewal.
-const LEASE: Duration = Duration::from_millis(1_500);
+const LEASE_TTL: Duration = Duration::from_millis(1_500);
 
 /// How often a holder plans and looks at its lease, at least.
-const TICK: Duration = Duration::from_millis(25);
+const PLAN_INTERVAL: Duration = Duration::from_millis(25);
 
 /// Keeps what was logged of elections, each line with its reason.
 #[derive(Clone, Default)]
-struct Reasons(Arc<Mutex<Vec<String>>>);
+struct StepDownReasons(Arc<Mutex<Vec<String>>>);
 
-impl Serializer for Reasons {
+impl Serializer for StepDownReasons {
     fn emit_arguments(
         &mut self,
         key: slog::Key,
@@ -63,7 +63,7 @@
     }
 }
 
-impl Drain for Reasons {
+impl Drain for StepDownReasons {
     type Ok = ();
     type Err = Never;
 
@@ -76,23 +76,23 @@
     }
 }
 
-impl Reasons {
+impl StepDownReasons {
     fn all(&self) -> Vec<String> {
         self.0.lock().expect("lines").clone()
     }
 }
 
 /// A node over a store and a fleet, and no callers.
-struct Alone {
+struct Fixture {
     store: Store,
     faults: Faults,
     fleet: TaskFleet,
-    reasons: Reasons,
+    reasons: StepDownReasons,
     _node: JobNode,
 }
 
-impl Alone {
-    async fn start() -> Alone {
+impl Fixture {
+    async fn start() -> Fixture {
         clock::now_ms();
         let faults = Faults::new(1);
         let store = Store::new(faults.clone());
@@ -104,11 +104,11 @@
             ..Queue::default()
         };
         fleet.configure(QueueSet::new(1, vec![queue]));
-        let lapsed = store.clone();
+        let expiring = store.clone();
         tokio::spawn(async move {
             loop {
                 sleep(Duration::from_millis(50)).await;
-                lapsed.lapse_leases();
+                expiring.lapse_leases();
             }
         });
         let platform = JobPlatform {
@@ -120,21 +120,25 @@
             traffic: Traffic::default(),
             unreadable: UnreadableNotes::default(),
         };
-        let reasons = Reasons::default();
+        let reasons = StepDownReasons::default();
         let log = Logger::root(reasons.clone().fuse(), o!());
         let settings = JobSettings::loopback("node-0");
         let node = JobNode::start(&settings, platform, None, &log).await;
         let _node = node.expect("a started node");
-        let alone = Alone { store, faults, fleet, reasons, _node };
-        until(async || alone.store.version("q/owner").await != Ok(0)).await;
-        alone
+        let fixture = Fixture { store, faults, fleet, reasons, _node };
+        wait_until(async || fixture.store.version("q/owner").await != Ok(0))
+            .await;
+        fixture
     }
 
     /// Hands in a job for each worker, of two tasks one after the other that
     /// take all of its room; returns once the first ones run.
-    async fn begin_jobs(&self) {
-        let first =
-            StepSpec { count: 1, cpu_millis: ALL, ..StepSpec::default() };
+    async fn start_jobs(&self) {
+        let first = StepSpec {
+            count: 1,
+            cpu_millis: WORKER_CPU_MILLIS,
+            ..StepSpec::default()
+        };
         let second = StepSpec { after: vec![0], ..first.clone() };
         let spec = JobSpec {
             queue: "extracts".to_owned(),
@@ -149,7 +153,7 @@
             let batch = Batch::default().put(&key, job.clone());
             self.store.commit(&batch).await.expect("a store");
         }
-        until(async || self.fleet.started().len() == WORKERS).await;
+        wait_until(async || self.fleet.started().len() == WORKERS).await;
         assert_eq!(self.fleet.running().len(), WORKERS);
     }
 
@@ -163,7 +167,7 @@
     }
 
     /// Gives one worker a token that is no holder's.
-    async fn give_later_token(&self) {
+    async fn send_later_token(&self) {
         let claim = HoldOrder {
             fence: 1 << 50,
             acknowledged: 0,
@@ -177,9 +181,9 @@
 
     /// Waits until all jobs are done; what the worker did that can't be asked
     /// any more is done again, and nothing else.
-    async fn complete_jobs(&self) {
+    async fn wait_for_jobs(&self) {
         for number in 0..WORKERS {
-            until(async || self.is_completed(number).await).await;
+            wait_until(async || self.is_completed(number).await).await;
         }
         let twice = self.fleet.ran_twice();
         assert!(twice.len() <= 1, "{twice:?}");
@@ -200,7 +204,7 @@
 }
 
 /// Waits until something holds.
-async fn until<F: Future<Output = bool>>(mut holds: impl FnMut() -> F) {
+async fn wait_until<F: Future<Output = bool>>(mut holds: impl FnMut() -> F) {
     let waiting = async {
         while !holds().await {
             sleep(Duration::from_millis(5)).await;
@@ -210,34 +214,38 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_holder_that_hears_of_a_later_token_orders_nothing_and_leaves() {
-    let alone = Alone::start().await;
-    alone.fleet.set_work_ms(400);
-    alone.begin_jobs().await;
-    alone.faults.set_outage(true);
-    alone.give_later_token().await;
-    let heard = Instant::now();
-    until(async || !alone.reasons.all().is_empty()).await;
-    assert!(heard.elapsed() <= LEASE + TICK, "{:?}", heard.elapsed());
-    assert_eq!(alone.reasons.all(), ["a worker has seen a newer holder"]);
-    assert!(alone.fleet.running().is_empty(), "the first ones have ended");
-    assert_eq!(alone.fleet.started().len(), WORKERS, "nothing is ordered");
-
-    alone.faults.set_outage(false);
-    alone.complete_jobs().await;
+async fn a_holder_told_of_a_later_token_sends_no_orders_and_steps_down() {
+    let fixture = Fixture::start().await;
+    fixture.fleet.set_work_ms(400);
+    fixture.start_jobs().await;
+    fixture.faults.set_outage(true);
+    fixture.send_later_token().await;
+    let told_at = Instant::now();
+    wait_until(async || !fixture.reasons.all().is_empty()).await;
+    assert!(
+        told_at.elapsed() <= LEASE_TTL + PLAN_INTERVAL,
+        "{:?}",
+        told_at.elapsed()
+    );
+    assert_eq!(fixture.reasons.all(), ["a worker has seen a newer holder"]);
+    assert!(fixture.fleet.running().is_empty(), "the first ones have ended");
+    assert_eq!(fixture.fleet.started().len(), WORKERS, "nothing is ordered");
+
+    fixture.faults.set_outage(false);
+    fixture.wait_for_jobs().await;
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_holder_that_is_renewed_before_its_lease_is_over_stays() {
-    let alone = Alone::start().await;
-    alone.fleet.set_work_ms(400);
-    alone.begin_jobs().await;
-    let lease = alone.store.version("q/owner").await;
-    alone.faults.set_outage(true);
-    alone.give_later_token().await;
-    sleep(LEASE / 2).await;
-    alone.faults.set_outage(false);
-    alone.complete_jobs().await;
-    assert_eq!(alone.reasons.all(), Vec::<String>::new());
-    assert_eq!(alone.store.version("q/owner").await, lease);
+async fn a_holder_renewed_before_its_lease_expires_keeps_it() {
+    let fixture = Fixture::start().await;
+    fixture.fleet.set_work_ms(400);
+    fixture.start_jobs().await;
+    let lease = fixture.store.version("q/owner").await;
+    fixture.faults.set_outage(true);
+    fixture.send_later_token().await;
+    sleep(LEASE_TTL / 2).await;
+    fixture.faults.set_outage(false);
+    fixture.wait_for_jobs().await;
+    assert_eq!(fixture.reasons.all(), Vec::<String>::new());
+    assert_eq!(fixture.store.version("q/owner").await, lease);
 }
--- a/crates/dewspard/tests/newer_records.rs
+++ b/crates/dewspard/tests/newer_records.rs
@@ -32,9 +32,9 @@
 
 /// Keeps the messages of all lines.
 #[derive(Clone, Default)]
-struct Lines(Arc<Mutex<Vec<String>>>);
+struct LogLines(Arc<Mutex<Vec<String>>>);
 
-impl Drain for Lines {
+impl Drain for LogLines {
     type Ok = ();
     type Err = Never;
 
@@ -45,32 +45,32 @@
     }
 }
 
-impl Lines {
+impl LogLines {
     /// Returns how many lines tell of what can't be read.
-    fn on_unreadable(&self) -> usize {
+    fn count_unreadable(&self) -> usize {
         let lines = self.0.lock().expect("lines");
-        let tells = |line: &&String| {
+        let is_about_unreadable = |line: &&String| {
             line.contains("can't be read") || line.contains("passed over")
         };
-        lines.iter().filter(tells).count()
+        lines.iter().filter(is_about_unreadable).count()
     }
 }
 
-struct Site {
+struct Fixture {
     store: Store,
     fleet: TaskFleet,
-    lines: Lines,
-    lapsing: tokio::task::JoinHandle<()>,
+    lines: LogLines,
+    lease_expiry: tokio::task::JoinHandle<()>,
 }
 
-impl Drop for Site {
+impl Drop for Fixture {
     fn drop(&mut self) {
-        self.lapsing.abort();
+        self.lease_expiry.abort();
     }
 }
 
-impl Site {
-    fn new() -> Site {
+impl Fixture {
+    fn new() -> Fixture {
         let store = Store::new(Faults::new(1));
         let fleet = TaskFleet::new(Faults::new(2), POOL, 4);
         let queue = Queue {
@@ -80,14 +80,14 @@
             ..Queue::default()
         };
         fleet.configure(QueueSet::new(1, vec![queue]));
-        let lapsed = store.clone();
-        let lapsing = tokio::spawn(async move {
+        let expiring = store.clone();
+        let lease_expiry = tokio::spawn(async move {
             loop {
                 sleep(Duration::from_millis(50)).await;
-                lapsed.lapse_leases();
+                expiring.lapse_leases();
             }
         });
-        Site { store, fleet, lines: Lines::default(), lapsing }
+        Fixture { store, fleet, lines: LogLines::default(), lease_expiry }
     }
 
     async fn put(&self, key: &str, value: &[u8]) {
@@ -160,29 +160,31 @@
 }
 
 /// Adds a field that nobody knows to each object of a document.
-fn with_fields_more(value: Value) -> Value {
+fn with_unknown_fields(value: Value) -> Value {
     match value {
         Value::Object(fields) => {
             let fields = fields.into_iter();
             let mut fields: Map<String, Value> = fields
-                .map(|(name, value)| (name, with_fields_more(value)))
+                .map(|(name, value)| (name, with_unknown_fields(value)))
                 .collect();
             fields.insert("of_a_newer_version".to_owned(), json!([{}]));
             Value::Object(fields)
         }
-        Value::Array(rows) => rows.into_iter().map(with_fields_more).collect(),
+        Value::Array(rows) => {
+            rows.into_iter().map(with_unknown_fields).collect()
+        }
         other => other,
     }
 }
 
 #[tokio::test]
 async fn records_with_fields_more_are_read() {
-    let site = Site::new();
-    let newer = |value: Value| with_fields_more(value).to_string();
+    let fixture = Fixture::new();
+    let newer = |value: Value| with_unknown_fields(value).to_string();
     // Its fields but one are names of VMs.
     let by = json!({ "node": "node-9", "incarnation": 1, "newer": 1 });
     let orders = json!([{ "by": by, "ages_ms": { "vm-0": 5 }, "newer": 1 }]);
-    site.put("vm-orders", orders.to_string().as_bytes()).await;
+    fixture.put("vm-orders", orders.to_string().as_bytes()).await;
     let task = json!({ "round": 0, "step": 0, "index": 0, "run": 3,
         "done": true });
     let progress = json!({ "phase": "completed", "finished_at_ms": 9,
@@ -196,43 +198,43 @@
         ("wave/7".to_owned(), wave),
         ("q/claim".to_owned(), claim),
     ] {
-        site.put(&key, newer(value).as_bytes()).await;
+        fixture.put(&key, newer(value).as_bytes()).await;
     }
-    let _node = site.start().await;
-    assert!(site.completes(id(1)).await);
-    assert!(!site.has_started(id(2)), "it was completed before");
+    let _node = fixture.start().await;
+    assert!(fixture.completes(id(1)).await);
+    assert!(!fixture.has_started(id(2)), "it was completed before");
 }
 
 /// An older version goes on with a wave, and hands in a claim of its own: what
 /// it doesn't know of these records must be there when a newer one reads them.
 #[tokio::test]
 async fn what_is_not_known_of_a_wave_and_a_claim_stays_on_record() {
-    let site = Site::new();
+    let fixture = Fixture::new();
     let wave = json!({ "since_unix_ms": 5, "done": ["vm-0"], "newer": [1] });
-    site.put("wave/7", wave.to_string().as_bytes()).await;
+    fixture.put("wave/7", wave.to_string().as_bytes()).await;
     let vms = vec!["vm-0".to_owned(), "vm-1".to_owned()];
     // It began long ago by the record, and isn't to end.
     let duration_ms = u64::MAX / 2;
-    site.fleet.request_wave(WaveRequest {
+    fixture.fleet.request_wave(WaveRequest {
         wave: 7,
         vms,
         duration_ms,
         max_down: 1,
     });
     let claim = json!({ "node": "node-9", "strength": 1, "newer": [1] });
-    site.put("q/claim", claim.to_string().as_bytes()).await;
+    fixture.put("q/claim", claim.to_string().as_bytes()).await;
     // Weak beside the one that starts, which claims its lease.
-    let lease = site.store.grant(1_000).await.expect("a lease");
+    let lease = fixture.store.grant(1_000).await.expect("a lease");
     let owner = json!({ "node": "node-8", "incarnation": 1, "strength": 1 });
     let owner = Batch::default().put_leased(
         "q/owner",
         owner.to_string().into_bytes(),
         lease,
     );
-    site.store.commit(&owner).await.expect("a store");
-    let _node = site.start().await;
+    fixture.store.commit(&owner).await.expect("a store");
+    let _node = fixture.start().await;
     let record = async |key: &str| -> Value {
-        let found = site.store.get(key).await.expect("a store");
+        let found = fixture.store.get(key).await.expect("a store");
         let found = found.expect("a record");
         serde_json::from_slice(&found.value).expect("JSON")
     };
@@ -265,31 +267,34 @@
         "node/node-9".to_owned(),
         "starts/1/1".to_owned(),
     ] {
-        let site = Site::new();
-        site.put(&key, b"\xff no record").await;
-        let _node = site.start().await;
-        site.put(&format!("q/in/{}", id(1)), job().to_string().as_bytes())
+        let fixture = Fixture::new();
+        fixture.put(&key, b"\xff no record").await;
+        let _node = fixture.start().await;
+        fixture
+            .put(&format!("q/in/{}", id(1)), job().to_string().as_bytes())
             .await;
-        assert!(site.completes(id(1)).await, "beside {key}");
-        assert!(!site.has_started(id(7)), "by {key}");
+        assert!(fixture.completes(id(1)).await, "beside {key}");
+        assert!(!fixture.has_started(id(7)), "by {key}");
     }
 }
 
 // One start that can't be read hid all that its holder had logged.
 #[tokio::test]
 async fn a_logged_start_that_cant_be_read_hides_itself_alone() {
-    let site = Site::new();
-    site.put(&format!("q/in/{}", id(1)), job().to_string().as_bytes()).await;
+    let fixture = Fixture::new();
+    fixture
+        .put(&format!("q/in/{}", id(1)), job().to_string().as_bytes())
+        .await;
     let task = format!("{}.0.0.0", id(1));
     let good = json!({ "task": task, "run": 8, "worker": "gone", "unseen": 1,
         "newer": true });
     let rows = json!([{ "task": 7 }, null, good, "no row"]);
-    site.put("starts/1/1", rows.to_string().as_bytes()).await;
-    let _node = site.start().await;
-    assert!(site.completes(id(1)).await);
+    fixture.put("starts/1/1", rows.to_string().as_bytes()).await;
+    let _node = fixture.start().await;
+    assert!(fixture.completes(id(1)).await);
     // Once its job's record holds what it says, the log isn't needed any more.
     let began = Instant::now();
-    while site.store.get("starts/1/1").await.expect("a store").is_some() {
+    while fixture.store.get("starts/1/1").await.expect("a store").is_some() {
         assert!(began.elapsed() < LIMIT, "the log is still there");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
@@ -299,15 +304,15 @@
 /// ends it.
 #[tokio::test]
 async fn a_lease_that_cant_be_read_is_anothers_until_it_lapses() {
-    let site = Site::new();
-    let lease = site.store.grant(3_000).await.expect("a lease");
+    let fixture = Fixture::new();
+    let lease = fixture.store.grant(3_000).await.expect("a lease");
     let owner = Batch::default()
         .put_leased("q/owner", b"\xff".to_vec(), lease)
         .put(&format!("q/in/{}", id(1)), job().to_string().into_bytes());
-    site.store.commit(&owner).await.expect("a store");
-    let _node = site.start().await;
+    fixture.store.commit(&owner).await.expect("a store");
+    let _node = fixture.start().await;
     let began = Instant::now();
-    assert!(site.completes(id(1)).await);
+    assert!(fixture.completes(id(1)).await);
     let until = Duration::from_millis(2_500);
     assert!(began.elapsed() > until, "taken from its holder");
 }
@@ -316,22 +321,22 @@
 #[tokio::test]
 async fn a_holder_of_any_strength_is_waited_for() {
     for strength in [0, u64::MAX] {
-        let site = Site::new();
-        let lease = site.store.grant(2_000).await.expect("a lease");
+        let fixture = Fixture::new();
+        let lease = fixture.store.grant(2_000).await.expect("a lease");
         let owner = json!({ "node": "node-9", "incarnation": 1,
             "strength": strength });
         let owner = Batch::default()
             .put_leased("q/owner", owner.to_string().into_bytes(), lease)
             .put("node/node-9", strength.to_string().into_bytes())
             .put(&format!("q/in/{}", id(1)), job().to_string().into_bytes());
-        site.store.commit(&owner).await.expect("a store");
-        let _node = site.start().await;
-        assert!(site.completes(id(1)).await, "strength {strength}");
+        fixture.store.commit(&owner).await.expect("a store");
+        let _node = fixture.start().await;
+        assert!(fixture.completes(id(1)).await, "strength {strength}");
     }
 }
 
 /// A job in which some field holds something else.
-fn odd_job(chance: &mut Gen) -> Value {
+fn malformed_job(random: &mut Gen) -> Value {
     let values = [json!(null), json!([]), json!({}), json!("x"), json!(-1)];
     let mut job = job();
     let path = [
@@ -345,54 +350,62 @@
         "/spec/payload",
         "/accepted_at_ms",
     ];
-    let path = path[usize::arbitrary(chance) % path.len()];
-    let value = &values[usize::arbitrary(chance) % values.len()];
+    let path = path[usize::arbitrary(random) % path.len()];
+    let value = &values[usize::arbitrary(random) % values.len()];
     *job.pointer_mut(path).expect("a field") = value.clone();
     job
 }
 
 #[tokio::test]
 async fn whatever_jobs_hold_the_others_run() {
-    let mut chance = Gen::from_size_and_seed(1_000, 17);
-    let site = Site::new();
+    let mut random = Gen::from_size_and_seed(1_000, 17);
+    let fixture = Fixture::new();
     for number in 100..300 {
-        let odd = odd_job(&mut chance).to_string();
-        site.put(&format!("q/in/{}", id(number)), odd.as_bytes()).await;
+        let malformed = malformed_job(&mut random).to_string();
+        fixture
+            .put(&format!("q/in/{}", id(number)), malformed.as_bytes())
+            .await;
     }
-    site.put(&format!("q/in/{}", id(1)), job().to_string().as_bytes()).await;
-    let _node = site.start().await;
-    assert!(site.completes(id(1)).await);
+    fixture
+        .put(&format!("q/in/{}", id(1)), job().to_string().as_bytes())
+        .await;
+    let _node = fixture.start().await;
+    assert!(fixture.completes(id(1)).await);
     // And those that are handed in later.
-    site.put(&format!("q/in/{}", id(2)), job().to_string().as_bytes()).await;
-    assert!(site.completes(id(2)).await);
+    fixture
+        .put(&format!("q/in/{}", id(2)), job().to_string().as_bytes())
+        .await;
+    assert!(fixture.completes(id(2)).await);
 }
 
 /// Not more than a hundred lines and one for each second, however many
 /// records can't be read and however often they are.
 #[tokio::test]
 async fn lines_do_not_grow_with_the_number_of_records_that_cant_be_read() {
-    let site = Site::new();
+    let fixture = Fixture::new();
     for number in 100..400 {
-        site.put(&format!("q/in/{}", id(number)), b"\xff").await;
-        site.put(&format!("run/{}", id(number)), b"\xff").await;
+        fixture.put(&format!("q/in/{}", id(number)), b"\xff").await;
+        fixture.put(&format!("run/{}", id(number)), b"\xff").await;
     }
     for number in 0..300 {
-        site.put(&format!("wave/{number}"), b"\xff").await;
+        fixture.put(&format!("wave/{number}"), b"\xff").await;
     }
     let began = Instant::now();
-    let node = site.start().await;
-    site.put(&format!("q/in/{}", id(1)), job().to_string().as_bytes()).await;
-    assert!(site.completes(id(1)).await);
+    let node = fixture.start().await;
+    fixture
+        .put(&format!("q/in/{}", id(1)), job().to_string().as_bytes())
+        .await;
+    assert!(fixture.completes(id(1)).await);
     // Other tests of this process may have told much, so that these are told
     // with the next look, in one line.
-    let told = async {
-        while site.lines.on_unreadable() == 0 {
+    let logged = async {
+        while fixture.lines.count_unreadable() == 0 {
             sleep(Duration::from_millis(20)).await;
         }
     };
-    timeout(LIMIT, told).await.expect("not in silence");
+    timeout(LIMIT, logged).await.expect("not in silence");
     drop(node);
     let seconds = began.elapsed().as_secs() as usize;
-    let lines = site.lines.on_unreadable();
+    let lines = fixture.lines.count_unreadable();
     assert!(lines <= 110 + 2 * seconds, "{lines} lines in {seconds} s");
 }
--- a/crates/dewspard/tests/suspension.rs
+++ b/crates/dewspard/tests/suspension.rs
@@ -32,7 +32,7 @@
 
 const POOL: &str = "registry";
 
-async fn until<F: Future<Output = bool>>(mut holds: impl FnMut() -> F) {
+async fn wait_until<F: Future<Output = bool>>(mut holds: impl FnMut() -> F) {
     let waiting = async {
         while !holds().await {
             sleep(Duration::from_millis(20)).await;
@@ -62,14 +62,14 @@
     AcceptedJob { spec, terms: terms(), accepted_at_ms: clock::unix_ms() }
 }
 
-async fn hand_in(store: &Store, id: JobId) {
+async fn submit(store: &Store, id: JobId) {
     let job = serde_json::to_vec(&two_steps()).expect("plain JSON");
     let batch = Batch::default().put(&format!("q/in/{id}"), job);
     store.commit(&batch).await.expect("a store");
 }
 
 /// Asks how many jobs wait; returns the answer's status.
-async fn ask_count(address: SocketAddr) -> StatusCode {
+async fn request_count(address: SocketAddr) -> StatusCode {
     let url = format!("http://{address}/v1/queues/extracts");
     let request = empty_request("test", Method::GET, &url);
     let client = Client::builder(TokioExecutor::new()).build_http();
@@ -79,7 +79,7 @@
 }
 
 #[tokio::test]
-async fn nothing_is_ordered_after_a_suspension_before_the_store_confirms() {
+async fn no_order_is_sent_after_a_suspension_before_the_lease_is_renewed() {
     let store_faults = Faults::new(1);
     let store = Store::new(store_faults.clone());
     let fleet = TaskFleet::new(Faults::new(2), POOL, 4);
@@ -112,8 +112,8 @@
             let started = fleet.started();
             started.iter().filter(|(task, _)| task.job == id).count()
         };
-        hand_in(&store, id).await;
-        until(async || starts() == 1).await;
+        submit(&store, id).await;
+        wait_until(async || starts() == 1).await;
         store_faults.set_outage(true);
         if suspended {
             clock::suppose_suspension(1_000);
@@ -123,16 +123,16 @@
         let expected = if suspended { 1 } else { 2 };
         assert_eq!(starts(), expected, "suspended: {suspended}");
         store_faults.set_outage(false);
-        until(async || starts() == 2).await;
-        until(async || fleet.running().is_empty()).await;
+        wait_until(async || starts() == 2).await;
+        wait_until(async || fleet.running().is_empty()).await;
     }
 
     // Counts that were read just now are answered from memory for 0.5 s.
     let address = node.caller_address();
-    until(async || ask_count(address).await == StatusCode::OK).await;
+    wait_until(async || request_count(address).await == StatusCode::OK).await;
     store_faults.set_outage(true);
     clock::suppose_suspension(1_000);
-    assert_ne!(ask_count(address).await, StatusCode::OK);
+    assert_ne!(request_count(address).await, StatusCode::OK);
     store_faults.set_outage(false);
-    until(async || ask_count(address).await == StatusCode::OK).await;
+    wait_until(async || request_count(address).await == StatusCode::OK).await;
 }
--- a/crates/dewspard/tests/worker_lookups.rs
+++ b/crates/dewspard/tests/worker_lookups.rs
@@ -19,25 +19,30 @@
 };
 
 /// How long the store takes to answer.
-const ANSWER: Duration = Duration::from_millis(20);
+const STORE_LATENCY: Duration = Duration::from_millis(20);
 
-type Tries = Arc<Mutex<BTreeMap<WorkerId, u32>>>;
+type Attempts = Arc<Mutex<BTreeMap<WorkerId, u32>>>;
 
 fn worker(number: u32) -> WorkerId {
     WorkerId::new(&format!("life-{number}"))
 }
 
 /// Looks a life up that is there at its `found_at`th look-up.
-fn start(lookups: &WorkerLookups, id: WorkerId, found_at: u32, tries: &Tries) {
-    let tries = tries.clone();
+fn start(
+    lookups: &WorkerLookups,
+    id: WorkerId,
+    found_at: u32,
+    attempts: &Attempts,
+) {
+    let attempts = attempts.clone();
     lookups.start(&id.clone(), move || {
-        let (tries, id) = (tries.clone(), id.clone());
+        let (attempts, id) = (attempts.clone(), id.clone());
         async move {
-            sleep(ANSWER).await;
-            let mut tries = tries.lock().unwrap();
-            let tried = tries.entry(id).or_default();
-            *tried += 1;
-            if *tried >= found_at {
+            sleep(STORE_LATENCY).await;
+            let mut attempts = attempts.lock().unwrap();
+            let attempt_counts = attempts.entry(id).or_default();
+            *attempt_counts += 1;
+            if *attempt_counts >= found_at {
                 LookupOutcome::Done
             } else {
                 LookupOutcome::Retry
@@ -46,63 +51,68 @@
     });
 }
 
-fn tried(tries: &Tries) -> Vec<u32> {
-    tries.lock().unwrap().values().copied().collect()
+fn attempt_counts(attempts: &Attempts) -> Vec<u32> {
+    attempts.lock().unwrap().values().copied().collect()
 }
 
 #[tokio::test(start_paused = true)]
-async fn hundreds_of_lives_are_found_within_a_few_answers() {
-    let (lookups, tries) = (WorkerLookups::default(), Tries::default());
+async fn hundreds_of_workers_are_found_within_a_few_round_trips() {
+    let (lookups, attempts) = (WorkerLookups::default(), Attempts::default());
     let began = Instant::now();
     for number in 0..408 {
-        start(&lookups, worker(number), 1, &tries);
+        start(&lookups, worker(number), 1, &attempts);
     }
-    while tried(&tries).len() < 408 {
+    while attempt_counts(&attempts).len() < 408 {
         sleep(Duration::from_millis(1)).await;
     }
-    assert!(began.elapsed() < ANSWER * 20, "{:?}", began.elapsed());
+    assert!(began.elapsed() < STORE_LATENCY * 20, "{:?}", began.elapsed());
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_life_that_is_named_again_is_looked_up_once() {
-    let (lookups, tries) = (WorkerLookups::default(), Tries::default());
+async fn a_worker_listed_again_is_looked_up_once() {
+    let (lookups, attempts) = (WorkerLookups::default(), Attempts::default());
     for _ in 0..3 {
-        start(&lookups, worker(1), 1, &tries);
+        start(&lookups, worker(1), 1, &attempts);
     }
     sleep(Duration::from_secs(5)).await;
-    assert_eq!(tried(&tries), [1]);
+    assert_eq!(attempt_counts(&attempts), [1]);
     // Once that is over it may be looked up anew.
-    start(&lookups, worker(1), 1, &tries);
+    start(&lookups, worker(1), 1, &attempts);
     sleep(Duration::from_secs(5)).await;
-    assert_eq!(tried(&tries), [2]);
+    assert_eq!(attempt_counts(&attempts), [2]);
 }
 
 /// The list of VMs names every life each time it is read. One that never
 /// enters itself was looked up 5 times a second, without end.
 #[tokio::test(start_paused = true)]
-async fn a_life_that_never_enters_itself_is_looked_up_less_and_less() {
-    let (lookups, tries) = (WorkerLookups::default(), Tries::default());
-    let mut tried_by = Vec::new();
+async fn a_worker_that_never_registers_is_looked_up_less_and_less_often() {
+    let (lookups, attempts) = (WorkerLookups::default(), Attempts::default());
+    let mut attempts_by_minute = Vec::new();
     for _ in 0..4 {
         for _ in 0..600 {
-            start(&lookups, worker(1), u32::MAX, &tries);
+            start(&lookups, worker(1), u32::MAX, &attempts);
             sleep(Duration::from_millis(100)).await;
         }
-        tried_by.push(tried(&tries)[0]);
+        attempts_by_minute.push(attempt_counts(&attempts)[0]);
     }
     // Each minute has fewer than the first.
-    assert!((5..50).contains(&tried_by[0]), "{tried_by:?}");
-    assert!(tried_by[3] - tried_by[2] <= 15, "{tried_by:?}");
+    assert!(
+        (5..50).contains(&attempts_by_minute[0]),
+        "{attempts_by_minute:?}"
+    );
+    assert!(
+        attempts_by_minute[3] - attempts_by_minute[2] <= 15,
+        "{attempts_by_minute:?}"
+    );
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_life_that_enters_itself_late_is_found_and_one_that_never_does_ends()
-{
-    let (lookups, tries) = (WorkerLookups::default(), Tries::default());
-    start(&lookups, worker(1), 4, &tries);
-    start(&lookups, worker(2), u32::MAX, &tries);
+async fn a_late_worker_is_found_and_lookups_of_a_missing_one_end() {
+    let (lookups, attempts) = (WorkerLookups::default(), Attempts::default());
+    start(&lookups, worker(1), 4, &attempts);
+    start(&lookups, worker(2), u32::MAX, &attempts);
     sleep(Duration::from_secs(60)).await;
-    let tried = tried(&tries);
-    assert_eq!(tried[0], 4);
-    assert!((5..20).contains(&tried[1]), "{tried:?}");
+    let counts = attempt_counts(&attempts);
+    assert_eq!(counts[0], 4);
+    assert!((5..20).contains(&counts[1]), "{counts:?}");
 }
