--- a/crates/dewspar/src/schedule/mod.rs
+++ b/crates/dewspar/src/schedule/mod.rs
@@ -107,9 +107,9 @@
         Forecast, InvalidPolicy, Orders, Placing, Policy, Sizing, Watching,
     },
     scheduler::Scheduler,
-    set_aside::{EndSetAside, EndsSetAside},
     start_log::{LoggedStart, StartLog},
     storing::Changes,
+    unreadable_jobs::{DeferredEnd, DeferredEndBatch},
     vm::{
         ManagedVm, VmOrder, VmOrderError, VmStatus, WaveRecord, WaveRequest,
     },
@@ -123,13 +123,13 @@
 };
 
 mod advice;
-mod answers;
 mod cancelled;
-mod crash_series;
+mod crash_bursts;
 mod directory;
 mod duty;
 mod forecast;
 mod full_pools;
+mod hold_answers;
 mod in_doubt;
 mod job_state;
 mod jobs;
@@ -139,26 +139,26 @@
 mod maintenance;
 mod options;
 mod order;
+mod order_answers;
 mod pacing;
 mod placement;
 mod policy;
 mod processes;
 mod projection;
 mod questions;
-mod records;
-mod report;
+mod record_merge;
 mod reservations;
 mod scheduler;
-mod set_aside;
 mod sizing;
 mod start_log;
-mod steadiness;
 mod stopping;
 mod storing;
 mod suspects;
 mod token_claims;
+mod unreadable_jobs;
 mod unseen_starts;
 mod vm;
+mod vm_stability;
 mod wave_account;
 mod wave_choice;
 mod wave_state;
--- a/crates/dewspar/src/schedule/answers.rs
+++ b/crates/dewspar/src/schedule/order_answers.rs
@@ -25,13 +25,13 @@
             worker.runs.get(task).filter(|known| known.run == run)
         });
         let sent_ms = known.map_or(0, |run| run.since_ms);
-        let end = start_ended(known, &result, now);
+        let end = start_call_end(known, &result, now);
         self.window.ended(end);
         self.order_ended(sent_ms, end, now);
         let Some(worker) = self.workers.get_mut(worker_id) else { return };
         let known = worker.runs.get_mut(task).filter(|r| r.run == run);
         let Some(known) = known else { return };
-        if known.is_outlived {
+        if known.process_has_ended {
             self.outlived_start_answered(worker_id, task, run, result, now);
             return;
         }
@@ -44,7 +44,7 @@
                 }
                 known.confirm(clock_ms);
                 worker.read_clock(clock_ms, now.steady_ms);
-                worker.start_taken();
+                worker.start_accepted();
                 self.note_begun(task.job, now);
                 return;
             }
@@ -66,14 +66,14 @@
                 self.note_in_doubt(task, worker_id, run, sent_ms);
                 // OK because the worker was found above.
                 let worker = self.workers.get_mut(worker_id).expect("known");
-                worker.note_unanswered(now.steady_ms);
+                worker.record_unanswered(now.steady_ms);
                 if worker.fence() != fence {
                     return;
                 }
                 worker.raise_fence(now.steady_ms);
                 // Each costs a token: without pauses they lasted 52 to 231 s,
                 // and a tenth of such workers cost the lease each time.
-                if worker.leaves_unanswered_again() {
+                if worker.count_unanswered_start() {
                     self.suspend(worker_id, error.name(), now);
                 }
             }
@@ -122,7 +122,7 @@
         run: u64,
         worker: &WorkerId,
     ) {
-        self.note_suspect_over(task);
+        self.note_suspect_ended(task);
         self.note(Decision::RunLost {
             task: *task,
             run,
@@ -144,7 +144,7 @@
         match refusal {
             Refusal::Fenced if under_current_fence => {
                 self.later_token_seen(worker_id, now);
-                self.look_again(worker_id, now);
+                self.query_under_new_token(worker_id, now);
             }
             Refusal::OtherLife => {
                 self.worker_gone(worker_id, "another life answers", now);
@@ -159,7 +159,7 @@
                 };
                 worker.raise_fence(now.steady_ms);
                 // What it lists didn't explain the refusal before this one.
-                if worker.refuses_again() {
+                if worker.repeats_refusal() {
                     self.suspend(worker_id, refusal.name(), now);
                 }
             }
@@ -184,7 +184,7 @@
         now: Now,
     ) {
         let Err(error) = result else {
-            self.stop_taken(worker_id, task);
+            self.note_stop_accepted(worker_id, task);
             return;
         };
         self.note(Decision::OrderFailed {
@@ -201,7 +201,7 @@
             OrderError::Refused(Refusal::Fenced) => {
                 let worker = self.workers.get(worker_id);
                 if worker.is_some_and(|worker| worker.synced) {
-                    self.look_again(worker_id, now);
+                    self.query_under_new_token(worker_id, now);
                 }
             }
             // It is sent again until the end is listed.
@@ -215,11 +215,11 @@
     fn is_stopped_there(&self, worker_id: &WorkerId, task: &TaskId) -> bool {
         let worker = self.workers.get(worker_id);
         let run = worker.and_then(|worker| worker.runs.get(task));
-        run.is_some_and(|run| run.is_stopping() && !run.is_outlived)
+        run.is_some_and(|run| run.is_stopping() && !run.process_has_ended)
     }
 
     /// Asks a worker under a new token, which shows who holds the lease.
-    fn look_again(&mut self, worker_id: &WorkerId, now: Now) {
+    fn query_under_new_token(&mut self, worker_id: &WorkerId, now: Now) {
         if let Some(worker) = self.workers.get_mut(worker_id) {
             worker.raise_fence(now.steady_ms);
         }
@@ -227,7 +227,7 @@
 }
 
 /// Returns what the end of an order to start says of this node.
-fn start_ended(
+fn start_call_end(
     known: Option<&Run>,
     result: &Result<u64, OrderError>,
     now: Now,
--- a/crates/dewspar/src/schedule/scheduler.rs
+++ b/crates/dewspar/src/schedule/scheduler.rs
@@ -8,26 +8,26 @@
             QueueTerms, Resources, SentHold, WorkerId,
             advice::StepAdvice,
             cancelled::Cancelled,
-            crash_series::{CrashSeries, KeptFor},
+            crash_bursts::{CrashBursts, ReservedFor},
             duty::InheritedOrder,
             forecast::Arrivals,
             job_state::Job,
             jobs::Jobs,
             loading::Loading,
-            long_running::LastingNeed,
+            long_running::LongRunningNeed,
             long_waits::LongWaits,
             placement::Candidates,
             processes::FormerProcesses,
             questions::Questions,
-            reservations::KeptPlaces,
-            set_aside::SetAside,
+            reservations::Reservations,
             sizing::{Moving, PoolLoad},
             start_log::StartLogs,
-            steadiness::VmCrashes,
-            token_claims::Claims,
-            unseen_starts::ToldStart,
+            token_claims::TokenClaims,
+            unreadable_jobs::UnreadableJobs,
+            unseen_starts::RecordedStart,
+            vm_stability::VmCrashes,
             wave_state::WaveState,
-            worker::{OwedHold, Worker},
+            worker::{DueHold, Worker},
             workers::{WorkerNumber, Workers},
             write_ahead::WriteAhead,
         },
@@ -52,7 +52,7 @@
     pub(super) loading: Loading,
     pub(super) cancelled: Cancelled,
     /// The jobs that can't be read, and the ends of their runs.
-    pub(super) set_aside: SetAside,
+    pub(super) unreadable_jobs: UnreadableJobs,
     pub(super) workers: Workers,
     /// Jobs whose progress is to be stored, each with the number of the first
     /// change that isn't.
@@ -69,18 +69,18 @@
     pub(super) finished: BTreeMap<JobId, u64>,
     pub(super) decisions: Vec<Decision>,
     /// What workers have said of later tokens.
-    pub(super) claims: Claims,
+    pub(super) claims: TokenClaims,
     /// The workers that aren't used any more.
     pub(super) former: FormerProcesses,
     /// Whether any task was suspected so far: looking for them costs time.
     pub(super) knows_suspects: bool,
     /// How many workers of each pool were lost before they had named their runs.
-    pub(super) unheard_losses: BTreeMap<String, u32>,
+    pub(super) unsynced_losses: BTreeMap<String, u32>,
     /// The pools of which some task may wait for which these don't count yet.
     pub(super) uncounted_pools: BTreeSet<String>,
     /// The starts that former holders told of, with their workers, until it is
     /// known what became of each.
-    pub(super) told_starts: BTreeMap<TaskId, ToldStart>,
+    pub(super) recorded_starts: BTreeMap<TaskId, RecordedStart>,
     /// The starts that wait until they are on record.
     pub(super) write_ahead: WriteAhead,
     /// Where such starts are put on record together.
@@ -88,9 +88,9 @@
     /// The tasks some start of which is in doubt.
     pub(super) tasks_in_doubt: BTreeSet<TaskId>,
     /// The pools whose workers crash one after the other.
-    pub(super) crash_series: CrashSeries,
+    pub(super) crash_bursts: CrashBursts,
     /// The workers that are kept free for tasks that are to be found out about.
-    pub(super) reserved: BTreeMap<WorkerId, KeptFor>,
+    pub(super) reserved: BTreeMap<WorkerId, ReservedFor>,
     /// The crashes on each VM of late.
     pub(super) vm_crashes: BTreeMap<String, VmCrashes>,
     /// When the directory of workers was last read; 0 for not yet.
@@ -113,7 +113,7 @@
     pub(super) vms: BTreeMap<String, ManagedVm>,
     pub(super) moving: BTreeMap<String, Moving>,
     /// The places that are kept for tasks.
-    pub(super) places: KeptPlaces,
+    pub(super) places: Reservations,
     /// Moves that the VM service will never take.
     pub(super) refused_moves: BTreeSet<(String, String)>,
     pub(super) serving_pools: BTreeSet<String>,
@@ -140,7 +140,7 @@
     /// wanted soon.
     pub(super) lasting_steps: Vec<TaskId>,
     /// What each pool's tasks that are to last need of VMs.
-    pub(super) lasting_needs: BTreeMap<String, LastingNeed>,
+    pub(super) lasting_needs: BTreeMap<String, LongRunningNeed>,
     /// How many VMs pools got that lacked most, since the one that lacked
     /// fewest had its turn.
     pub(super) vms_to_most: u32,
@@ -187,7 +187,7 @@
             candidates: Candidates::default(),
             loading: Loading::Done,
             cancelled: Cancelled::default(),
-            set_aside: SetAside::default(),
+            unreadable_jobs: UnreadableJobs::default(),
             workers: Workers::default(),
             changed: BTreeMap::new(),
             storing: BTreeMap::new(),
@@ -195,16 +195,16 @@
             sequence: 0,
             finished: BTreeMap::new(),
             decisions: Vec::new(),
-            claims: Claims::default(),
+            claims: TokenClaims::default(),
             former: FormerProcesses::default(),
             knows_suspects: false,
-            unheard_losses: BTreeMap::new(),
+            unsynced_losses: BTreeMap::new(),
             uncounted_pools: BTreeSet::new(),
-            told_starts: BTreeMap::new(),
+            recorded_starts: BTreeMap::new(),
             write_ahead: WriteAhead::default(),
             start_logs: StartLogs::default(),
             tasks_in_doubt: BTreeSet::new(),
-            crash_series: CrashSeries::default(),
+            crash_bursts: CrashBursts::default(),
             reserved: BTreeMap::new(),
             vm_crashes: BTreeMap::new(),
             directory_ms: 0,
@@ -218,7 +218,7 @@
             waves: BTreeMap::new(),
             vms: BTreeMap::new(),
             moving: BTreeMap::new(),
-            places: KeptPlaces::default(),
+            places: Reservations::default(),
             refused_moves: BTreeSet::new(),
             serving_pools: BTreeSet::new(),
             free_pools: BTreeSet::new(),
@@ -292,22 +292,22 @@
         if revision > self.lease_revision {
             self.new_jobs.push(id);
         } else {
-            job.note_may_have_begun();
+            job.mark_may_have_begun();
         }
         self.jobs.insert(id, job);
         if let Some(progress) = progress {
-            self.note_told_starts(id, progress);
+            self.note_recorded_starts(id, progress);
             self.note_loaded_in_doubt(id);
         }
-        self.take_in_logged_starts(id);
+        self.merge_logged_starts(id);
     }
 
     /// Cancels a job; one that is over or unknown stays as it is, unless jobs
     /// are still being loaded. What runs of it is stopped either way, under
     /// the next holders as well, until
-    /// [`Scheduler::take_settled_cancellings`] names it.
+    /// [`Scheduler::take_settled_cancellations`] names it.
     pub fn cancel(&mut self, id: JobId, now: Now) {
-        let kept = self.keep_cancellation(id);
+        let kept = self.defer_cancellation(id);
         self.cancelled.insert(id);
         if kept {
             return;
@@ -333,7 +333,7 @@
     pub fn unconfirmed(&self) -> BTreeMap<String, u64> {
         let mut unconfirmed = BTreeMap::new();
         for (id, job) in self.jobs.iter() {
-            let ordered = job.placed(*id).next().is_some();
+            let ordered = job.placements(*id).next().is_some();
             if job.phase == Phase::Queued && ordered {
                 *unconfirmed.entry(job.spec.queue.clone()).or_insert(0) += 1;
             }
@@ -401,17 +401,17 @@
         }
         let mut actions = Vec::new();
         self.link.refill(now.steady_ms);
-        self.cancel_loaded(now);
-        self.drop_lapsed(now);
-        self.settle_told_starts(now);
+        self.apply_deferred_cancellations(now);
+        self.drop_lapsed_workers(now);
+        self.settle_recorded_starts(now);
         self.order_withheld(now, &mut actions);
         self.look_after_runs(now, &mut actions);
         // First of all orders: this holder may be gone any moment.
         self.order_stops(now, &mut actions);
         self.fence_workers(now, &mut actions);
-        self.keep_places(now);
+        self.update_reservations(now);
         self.start_waiting(now, &mut actions);
-        self.tell_long_waits(now);
+        self.report_long_waits(now);
         self.hold_workers(now, &mut actions);
         actions
     }
@@ -445,7 +445,7 @@
         }
         let after_ms = now.unix_ms.saturating_sub(job.accepted_at_ms);
         let placed: Vec<(TaskId, WorkerId)> = job
-            .placed(id)
+            .placements(id)
             .map(|(task, worker)| (task, worker.clone()))
             .collect();
         for (task, worker) in placed {
@@ -492,8 +492,8 @@
         }
         let begun = run.is_none_or(|run| run.has_begun());
         self.free_task(task, worker_id, begun, now);
-        if !begun || self.is_lasting_gang(task) {
-            self.keep_place_again(task, worker_id, now);
+        if !begun || self.is_long_running_gang(task) {
+            self.reserve_again(task, worker_id, now);
         }
     }
 
@@ -512,8 +512,8 @@
         let Some(state) = step.tasks.get_mut(task.index as usize) else {
             return;
         };
-        state.on.retain(|on| on != worker_id);
-        if state.on.is_empty() && !state.done && !over {
+        state.workers.retain(|on| on != worker_id);
+        if state.workers.is_empty() && !state.done && !over {
             step.waiting.insert(task.index);
             // Else it has waited all the while.
             if begun {
@@ -656,7 +656,7 @@
     pub(super) fn due_workers(&mut self, now: Now) -> Vec<WorkerNumber> {
         let due = self.workers.due(now.steady_ms, &self.options);
         debug_assert!(
-            self.workers.are_due(&due, now.steady_ms, &self.options),
+            self.workers.match_full_scan(&due, now.steady_ms, &self.options),
             "other workers want something than are due"
         );
         due
@@ -688,8 +688,8 @@
     now: Now,
     options: &Options,
 ) -> Option<Action> {
-    let OwedHold { order, fencing } =
-        worker.owed_hold(now.steady_ms, options)?;
+    let DueHold { order, fencing } =
+        worker.take_due_hold(now.steady_ms, options)?;
     let sent_ms = now.steady_ms;
     let silent = worker.silent_since_ms.is_some();
     let session = worker.session;
--- a/crates/dewspar/src/schedule/worker/succession.rs
+++ b/crates/dewspar/src/schedule/worker/restart.rs
@@ -5,7 +5,7 @@
 */
 
 use {
-    super::{FENCES_A_LEASE, Run, RunState, TokensUsed, Worker},
+    super::{Run, RunState, TOKENS_PER_LEASE, TokensUsed, Worker},
     crate::{
         job::TaskId,
         schedule::{Now, Options, WorkerListing},
@@ -20,7 +20,7 @@
     ///
     /// It goes on from the tokens of before: an order under one of these may
     /// still be on its way.
-    pub(crate) fn listed_again(
+    pub(crate) fn relisted(
         listing: WorkerListing,
         lease_revision: u64,
         tokens_used: TokensUsed,
@@ -29,7 +29,7 @@
     ) -> Worker {
         let TokensUsed(fences) = tokens_used;
         Worker {
-            fences: (fences + 1).min(FENCES_A_LEASE - 1),
+            fences: (fences + 1).min(TOKENS_PER_LEASE - 1),
             synced: true,
             lease_over_ms: now_ms,
             silent_since_ms: Some(now_ms),
@@ -48,7 +48,7 @@
     ///
     /// The runs that are left are those whose orders the next process may carry
     /// out in place of this one.
-    pub(crate) fn followed_by(
+    pub(crate) fn next_process(
         self,
         listing: WorkerListing,
         now: Now,
@@ -56,15 +56,15 @@
     ) -> Worker {
         let now_ms = now.steady_ms;
         let mut next = Worker {
-            fences: (self.fences + 1).min(FENCES_A_LEASE - 1),
+            fences: (self.fences + 1).min(TOKENS_PER_LEASE - 1),
             synced: self.synced,
-            kept: self.kept,
+            reserved: self.reserved,
             listed: self.listed,
             ..Worker::new(listing, self.lease_revision, now_ms, options)
         };
-        next.sum_kept();
+        next.sum_reserved();
         for (task, run) in self.runs {
-            next.insert(task, run.outliving_its_process());
+            next.insert(task, run.carried_over());
         }
         next
     }
@@ -73,7 +73,7 @@
 impl Run {
     /// Makes it one that was ordered of a process that has ended, and may begin
     /// on the next.
-    fn outliving_its_process(self) -> Run {
+    fn carried_over(self) -> Run {
         let state = match self.state {
             RunState::Starting | RunState::Running => RunState::Starting,
             RunState::Stopping(mut stop) => {
@@ -81,6 +81,6 @@
                 RunState::Stopping(stop)
             }
         };
-        Run { state, confirmed_from_ms: None, is_outlived: true, ..self }
+        Run { state, confirmed_from_ms: None, process_has_ended: true, ..self }
     }
 }
--- a/crates/dewspar/tests/schedule/storing.rs
+++ b/crates/dewspar/tests/schedule/storing.rs
@@ -25,7 +25,7 @@
 /// Changes a job.
 fn change(world: &mut World, number: u64) {
     let now = at(world.now_ms);
-    world.scheduler.go_on_from(id(number), &Progress::default(), now);
+    world.scheduler.merge_record(id(number), &Progress::default(), now);
 }
 
 fn jobs_of(changes: &Changes) -> Vec<JobId> {
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_job_that_could_not_be_stored_keeps_its_turn() {
+fn a_job_that_could_not_be_stored_keeps_its_position() {
     let mut world = world_with_jobs(2);
     change(&mut world, 2);
     change(&mut world, 1);
--- a/crates/dewspard/src/jobs/records.rs
+++ b/crates/dewspard/src/jobs/records.rs
@@ -152,7 +152,7 @@
     pub(super) fn delete_settled_cancellations(&mut self, now: Now) {
         let settled = self
             .scheduler
-            .take_settled_cancellings(now, MAX_CANCELLATIONS_PER_WRITE);
+            .take_settled_cancellations(now, MAX_CANCELLATIONS_PER_WRITE);
         if settled.is_empty() {
             return;
         }
