--- a/crates/dewspard/src/jobs/backoff.rs
+++ b/crates/dewspard/src/jobs/backoff.rs
@@ -1,5 +1,5 @@
 /*!
-Pauses between the tries of one call.
+Exponential backoff between the attempts of one call.
 */
 
 use {
@@ -7,14 +7,15 @@
     tokio::time::{Instant, sleep},
 };
 
-/// The pause before a call is tried again, the first time.
+/// The delay before the first retry.
 pub(super) const MIN_RETRY_DELAY: Duration = Duration::from_millis(40);
 
-/// The longest pause between two tries: pauses double, because a store that
-/// is out stays so for seconds, and every call counts against its limits.
+/// The longest delay between two attempts. Delays double, because a store
+/// outage lasts for seconds and every call counts against the store's limits.
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(320);
 
-/// The pauses between the tries of one call, each twice as long as the last.
+/// The delays between the attempts of one call; each is twice the previous
+/// one, up to a limit.
 pub(super) struct Backoff {
     next: Duration,
 }
@@ -26,7 +27,8 @@
 }
 
 impl Backoff {
-    /// Waits before the next try; returns false if the deadline would pass.
+    /// Waits before the next attempt; returns false at once if the deadline
+    /// would pass meanwhile.
     pub(super) async fn wait_before(&mut self, deadline: Instant) -> bool {
         if Instant::now() + self.next >= deadline {
             return false;
@@ -35,7 +37,7 @@
         true
     }
 
-    /// Waits before the next try.
+    /// Waits before the next attempt.
     pub(super) async fn wait(&mut self) {
         sleep(self.next).await;
         self.next = (self.next * 2).min(MAX_RETRY_DELAY);
--- a/crates/dewspard/src/jobs/election.rs
+++ b/crates/dewspard/src/jobs/election.rs
@@ -1,25 +1,26 @@
 /*!
-The scheduler lease: which node schedules.
-
-The lease is a key in the store tied to a store lease that its holder renews.
-Everybody else watches the key and tries to write it once it is gone; the
-store lets one succeed. The revision of that write is the holder's fencing
-token.
-
-Nodes differ in what they can schedule. Each writes its strength once, and one
-that is much weaker than the strongest waits a moment before it tries, so that
-it only schedules when no stronger one does. If it schedules all the same,
-because no stronger one was there, the first one that comes back writes a
-claim, and the weak holder hands the lease over as before a planned stop. So
-does a holder that can't keep up; it then lets all others go first for a while.
-
-What lies under the key and can't be read counts as another node's: a newer
-version may write it otherwise. The store ends it with its lease. If no lease
-ends it and it isn't written again for a while, nobody keeps it, and it is
+The scheduler lease, which decides which node schedules.
+
+The lease is a key in the store, tied to a store lease that its holder renews.
+All other nodes watch the key and try to write it once it is gone; a
+compare-and-swap lets one of them succeed. The revision of that write is the
+holder's fencing token.
+
+Nodes differ in their scheduling capacity, called strength. Each node writes
+its strength when it starts. A node that is much weaker than the strongest one
+delays its attempt to take the lease, so that it only schedules when no
+stronger node does. If a weak node holds the lease nevertheless, the first
+stronger node that comes back writes a claim, and the weak holder hands the
+lease over as before a planned stop. An overloaded holder also hands the lease
+over, and then yields to all other nodes for a while.
+
+An unreadable value under the lease's key counts as another node's, because a
+newer version may use another format. The store deletes it with its lease. If
+it has no lease and isn't written again for a while, it is orphaned and gets
 replaced.
 
-A node that finds its own name under an older incarnation was restarted: that
-holder is gone for certain, and the key is replaced without waiting.
+A node that finds its own name with an older incarnation was restarted: that
+holder is certainly gone, and its key is replaced without waiting.
 */
 
 use {
@@ -45,37 +46,41 @@
     },
 };
 
-/// How long the store lease lasts without renewal, in milliseconds, unless
-/// the store's shortest is longer: a holder's death costs that long.
+/// How long the store lease lasts without renewal, in milliseconds, unless the
+/// store's minimum is longer. Scheduling stops for that long when a holder
+/// fails.
 const STORE_LEASE_MS: u64 = 1_500;
 
-/// How often the key is read outright, in case its watch went silent.
+/// How often the key is read even though it is watched, in case the watch went
+/// silent.
 const POLL_INTERVAL: Duration = Duration::from_millis(1_500);
 
-/// The pause after a call to the store that gave no result.
+/// The delay after a call to the store that gave no result.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// The longest that a node waits before it tries to take the lease, so that
-/// they don't all call at once, in milliseconds.
+/// The upper bound of the random delay before a node tries to take the lease,
+/// in milliseconds; it keeps nodes from calling the store all at once.
 const MAX_JITTER_MS: u64 = 30;
 
 /// How long the weakest node waits for a stronger one to take the lease, in
-/// milliseconds: several calls to the store, and short beside the lease.
+/// milliseconds: enough for several calls to the store, and short compared to
+/// the lease.
 const MAX_WEAK_DELAY_MS: u64 = 700;
 
-/// How long a node that couldn't keep up lets others go first, in
-/// milliseconds: a slowed VM is slow for some seconds.
+/// How long a node that was overloaded yields to others, in milliseconds: a
+/// throttled VM stays slow for some seconds.
 const OVERLOAD_BACKOFF_MS: u64 = 10_000;
 
-/// How long a value under the lease's key that can't be read and that no lease
-/// ends must stand unchanged to count as nobody's, in milliseconds: three times
-/// as long as a holder may be silent.
+/// How long an unreadable value without a lease must stand unchanged under the
+/// lease's key to count as orphaned, in milliseconds: three times as long as a
+/// holder may be silent.
 const ORPHANED_AFTER_MS: u64 = 3 * STORE_LEASE_MS;
 
-/// How strong a node must be to try at once, in hundredths of the strongest.
+/// The minimum strength, in percent of the strongest node, to try without
+/// delay.
 const MIN_STRENGTH_PERCENT: u64 = 80;
 
-/// How long a node waits at the very first start for others to write their
+/// How long a node waits for others if it is the first one ever to write its
 /// strength: nodes start within 0.3 s of each other.
 const FIRST_START_DELAY: Duration = Duration::from_millis(400);
 
@@ -84,7 +89,7 @@
 struct Owner {
     node: String,
     incarnation: u64,
-    /// How much the node can schedule; 0 where it doesn't say.
+    /// The node's scheduling capacity; 0 if it doesn't say.
     #[serde(default)]
     strength: u64,
 }
@@ -92,42 +97,42 @@
 /// A claim to the lease by a node that is stronger than its holder.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub(super) struct Claim {
-    /// The node that makes it.
+    /// The node that makes the claim.
     pub(super) node: String,
-    /// How much that node can schedule.
+    /// That node's scheduling capacity.
     pub(super) strength: u64,
 }
 
-/// The lease, as this node holds it.
+/// The lease while this node holds it.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct HeldLease {
     pub(super) lease: Lease,
     pub(super) lease_ms: u64,
-    /// The revision of the key's write.
+    /// The revision of the key's write, which is the fencing token.
     pub(super) revision: u64,
-    /// When the last renewal that was answered was sent.
+    /// When the last successful renewal was sent, on the steady clock.
     pub(super) renewed_ms: u64,
 }
 
-/// A value under the lease's key that can't be read and that no lease ends: no
-/// version of this program writes one.
+/// An unreadable value without a lease under the lease's key; no version of
+/// this program writes one.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct UnreadableOwner {
     version: u64,
-    /// When this version was first seen.
+    /// When this version was first seen, on the steady clock.
     since_ms: u64,
 }
 
-/// What a node needs to hold the scheduler lease.
+/// What a node needs to take and hold the scheduler lease.
 #[derive(Clone)]
 pub(super) struct Candidate<K, W, F> {
     pub(super) node: String,
-    /// The number of this start of the process.
+    /// Identifies this start of the process; later starts have higher numbers.
     pub(super) incarnation: u64,
     pub(super) store: K,
-    /// What this node's calls cost, by purpose.
+    /// Counts the traffic of this node's calls by purpose.
     pub(super) traffic: Traffic,
-    /// Where this node carries orders for others, if it does.
+    /// The address at which this node relays orders for others, if it does.
     pub(super) relay_address: Option<SocketAddr>,
     pub(super) machine: Machine,
     pub(super) workers: W,
@@ -136,40 +141,40 @@
     pub(super) readiness: Readiness,
     pub(super) stopping: watch::Receiver<bool>,
     pub(super) min_lease_ms: u64,
-    /// How much this node can schedule, to be compared with others.
+    /// This node's scheduling capacity, relative to others'.
     pub(super) strength: u64,
-    /// Until when others go first, because this node couldn't keep up.
+    /// Until when this node yields to others because it was overloaded.
     pub(super) overloaded_until_ms: u64,
-    /// What was found under the lease's key that nobody may keep.
+    /// The unreadable value last seen under the lease's key.
     pub(super) unreadable_owner: Option<UnreadableOwner>,
     pub(super) options: Options,
     pub(super) log: Logger,
 }
 
-/// Who holds the lease, as the store shows it.
+/// The state of the lease, as read from the store.
 enum LeaseState {
-    /// Nobody.
+    /// Nobody holds it.
     Free,
-    /// Nobody, though a value that can't be read has been there for long.
+    /// Nobody holds it; an unreadable value has stood there for long.
     Orphaned(u64),
-    /// An earlier process of this node, which is gone.
+    /// An earlier process of this node, which is gone, held it.
     FormerProcess(u64),
-    /// This very process, by a write whose answer was lost.
+    /// This very process holds it, by a write whose answer was lost.
     ThisProcess(u64),
-    /// Somebody else.
+    /// Another node holds it.
     Other {
         owner: String,
-        /// How much it can schedule; 0 where that isn't known.
+        /// That node's scheduling capacity; 0 if unknown.
         strength: u64,
         /// The version of the lease's key.
         version: u64,
-        /// The store's version when it was read.
+        /// The store's version at the time of the read.
         store_version: u64,
     },
 }
 
 impl<K: KeyValue, W: JobWorkers, F: Fleet> Candidate<K, W, F> {
-    /// Takes the lease whenever it is free, and schedules while it is held,
+    /// Takes the lease whenever it is free and schedules while it is held,
     /// until the node stops.
     pub(super) async fn run(mut self) {
         let incarnation = self.incarnation;
@@ -212,8 +217,8 @@
         }
     }
 
-    /// Writes how much this node can schedule, and where it carries orders for
-    /// others, as soon as the store takes it.
+    /// Writes this node's strength and the address at which it relays orders,
+    /// and retries until the store takes them.
     async fn write_strength(&self) {
         let key = keys::node(&self.node);
         let value = self.strength.to_string().into_bytes();
@@ -240,7 +245,8 @@
         }
     }
 
-    /// Returns how many nodes have written their strength, and the most.
+    /// Returns the number of nodes that have written their strength, and the
+    /// highest strength.
     async fn count_and_max_strength(&self) -> Result<(usize, u64), Error> {
         let (_, nodes) = self.store.list(keys::NODES).await?;
         let strength = |node: &Versioned| -> Option<u64> {
@@ -250,8 +256,8 @@
         Ok((nodes.len(), most.unwrap_or(self.strength)))
     }
 
-    /// Waits if this node is a weak one; returns whether the lease is still
-    /// as it was seen.
+    /// Waits if this node is weak or was overloaded; returns whether the lease
+    /// is still in the state that was seen.
     async fn defer_to_stronger(&self, seen: &LeaseState) -> bool {
         let most = match self.count_and_max_strength().await {
             Ok((_, most)) => most.max(1),
@@ -273,7 +279,7 @@
         let percent = if overloaded { 0 } else { self.strength * 100 / most };
         let delay = MAX_WEAK_DELAY_MS * (100 - percent) / 100;
         sleep(Duration::from_millis(delay)).await;
-        // Somebody else may hold it by now.
+        // Another node may hold it by now.
         self.store.version(keys::OWNER).await == Ok(free)
     }
 
@@ -281,8 +287,8 @@
         &mut self,
         incarnation: u64,
     ) -> Result<LeaseState, Error> {
-        // A list, because it names the store's version: a watch from the
-        // key's own version asks for history that is soon gone.
+        // A list returns the store's current version. A watch from the key's
+        // own version would ask for history that is soon compacted.
         let (store_version, found) = self.store.list(keys::OWNER).await?;
         Ok(self.classify(found.first(), store_version, incarnation))
     }
@@ -323,8 +329,8 @@
         }
     }
 
-    /// Returns whether a stray value has been there for so long that whoever
-    /// keeps such values would have written it again.
+    /// Returns whether an unreadable value has stood unchanged for so long
+    /// that a live owner would have written it again.
     fn is_orphaned(&mut self, version: u64) -> bool {
         let now_ms = clock::now_ms();
         let known = self
@@ -336,32 +342,33 @@
         now_ms >= unreadable_owner.since_ms + ORPHANED_AFTER_MS
     }
 
-    /// Returns by what name orders to the VM service are recorded.
+    /// Returns the identity under which orders to the VM service are recorded.
     pub(super) fn orderer(&self) -> OrderIssuer {
         let (node, incarnation) = (self.node.clone(), self.incarnation);
         OrderIssuer { node, incarnation }
     }
 
-    /// Returns whether this node couldn't keep up a short while ago.
+    /// Returns whether this node was overloaded recently.
     fn is_overloaded(&self) -> bool {
         clock::now_ms() < self.overloaded_until_ms
     }
 
-    /// Returns whether a claim is by a much stronger node than this one.
+    /// Returns whether a claim comes from a much stronger node than this one.
     pub(super) fn is_much_weaker_than(&self, claim: &Claim) -> bool {
         claim.node != self.node
             && is_much_weaker(self.strength, claim.strength)
     }
 
-    /// Asks the weak holder of the lease, as it was seen at this version, to
-    /// hand it over.
+    /// Asks the weak holder of the lease to hand it over, provided that the
+    /// lease's key still has this version.
     async fn claim(&self, version: u64) {
         let claim = Claim { node: self.node.clone(), strength: self.strength };
         // OK because a text and a number can always be written.
         let value = serde_json::to_vec(&claim).expect("plain JSON");
         let lease_ms = STORE_LEASE_MS.max(self.min_lease_ms);
         let written = async {
-            // Gone by itself, should this node go before it is answered.
+            // The lease deletes the claim if this node fails before it is
+            // answered.
             let lease = self.store.grant(lease_ms).await?;
             let batch = Batch::default()
                 .when(keys::OWNER, Expected::Version(version))
@@ -374,7 +381,8 @@
                 info!(self.log, "election: claimed from a weak holder";
                     "revision" => revision, "holder_revision" => version);
             }
-            // Somebody else has claimed it, or it has changed hands.
+            // Another node has written a claim, or the lease has changed
+            // hands.
             Ok(Commit::Conflict(_)) => {}
             Err(error) => counters::platform_failure(&error),
         }
@@ -400,7 +408,7 @@
                 counters::platform_failure(&error);
                 sleep(RETRY_DELAY).await;
             }
-            // Time to look outright.
+            // Time to read the key again.
             Err(_) => {}
         }
     }
@@ -409,14 +417,14 @@
         let held = match self.take_lease(seen, incarnation).await {
             Ok(Some(held)) => held,
             Ok(None) => {
-                // What stands there may be hidden from this node's readings:
-                // it isn't asked for again at once for as long as it does.
+                // The key may be hidden from this node's reads; without a
+                // delay it would be retried in a tight loop.
                 sleep(RETRY_DELAY).await;
                 return;
             }
             Err(error) => {
                 counters::platform_failure(&error);
-                info!(self.log, "election: the lease wasn't taken";
+                info!(self.log, "election: taking the lease failed";
                     "error" => %error);
                 sleep(RETRY_DELAY).await;
                 return;
@@ -440,8 +448,8 @@
     ) -> Result<Option<HeldLease>, Error> {
         let expected = match seen {
             LeaseState::Free => Expected::Absent,
-            // A write of this process is replaced as well: the lease that
-            // it came with is unknown by now.
+            // A write of this process is replaced as well, because its store
+            // lease is unknown.
             LeaseState::Orphaned(version)
             | LeaseState::FormerProcess(version)
             | LeaseState::ThisProcess(version) => Expected::Version(version),
@@ -477,14 +485,16 @@
         let reason = match outcome {
             StepDown::Lost(reason) => reason,
             StepDown::Stopping => "the node stops",
-            StepDown::Yielding => "a stronger node asks for it",
+            StepDown::Yielding => "a stronger node claimed the lease",
             StepDown::Overloaded => "this node can't keep up",
-            StepDown::OutOfTokens => "no later token is left for a worker",
+            StepDown::OutOfTokens => {
+                "no higher fencing token is left for a worker"
+            }
         };
         info!(self.log, "election: this node no longer schedules";
             "revision" => held.revision, "reason" => reason);
-        // Gone at once rather than with its lease, so that another node can
-        // take over; harmless if another one has.
+        // Deletes the key now rather than with its lease, so that another node
+        // can take over; has no effect if another one has.
         let batch = Batch::default()
             .when(keys::OWNER, Expected::Version(held.revision))
             .delete(keys::OWNER)
@@ -496,10 +506,10 @@
     }
 }
 
-/// Returns whether a node is much weaker than another; one that doesn't say
-/// how strong it is counts as strong.
+/// Returns whether a node is much weaker than another; one that doesn't give
+/// its strength counts as strong.
 fn is_much_weaker(strength: u64, other: u64) -> bool {
-    // What others say of themselves may be any number.
+    // Other nodes may have written any number.
     strength > 0
         && strength.saturating_mul(100) / other.max(1) < MIN_STRENGTH_PERCENT
 }
--- a/crates/dewspard/src/jobs/front.rs
+++ b/crates/dewspard/src/jobs/front.rs
@@ -1,10 +1,10 @@
 /*!
-The callers' connections: any node accepts a job and answers for one.
+The callers' API server. Any node accepts jobs and answers queries.
 
-A job is accepted once the store has it. A write without an answer may still
-be done, so the caller is told that the outcome is unknown, never that the
-job wasn't taken; the same write again is harmless, since it is conditional
-on the job not being there.
+A job is accepted once it is stored. A write without an answer may still take
+effect, so the caller is told that the outcome is unknown, never that the job
+was refused. Repeating the write is harmless, because it is conditional on the
+absence of the job.
 */
 
 use {
@@ -49,28 +49,28 @@
     },
 };
 
-/// The largest body of a call, in bytes: far above any job that is taken.
+/// The largest request body, in bytes: far larger than any valid job.
 const MAX_BODY_BYTES: usize = 1024 * 1024;
 
-/// How long a connection may take to send a request's head.
+/// How long a connection may take to send the headers of a request.
 const HEADER_READ_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// How long a call takes at most where neither caller nor queue says so, in
+/// The deadline of a call where neither the caller nor the queue sets one, in
 /// milliseconds.
 const DEFAULT_DEADLINE_MS: u64 = 3_000;
 
-/// How much of a call's time is kept for the answer's way back, in
-/// milliseconds: a few times the way to callers.
+/// The part of a call's time that is reserved for sending the response, in
+/// milliseconds: a few times the network latency to callers.
 const RESPONSE_RESERVE_MS: u64 = 100;
 
-/// How often a call that certainly did nothing is tried again.
+/// How often a call that certainly had no effect is retried.
 const MAX_RETRIES: u32 = 2;
 
-/// When callers that weren't served should come back, in milliseconds: a
-/// node that the store turns away isn't sent any after about that time.
+/// When callers that weren't served should retry, in milliseconds: about the
+/// time after which a node that can't reach the store gets no more callers.
 pub(super) const RETRY_AFTER_MS: u64 = 1_000;
 
-/// What serves callers; shared by all their connections.
+/// The API server's state, shared by all connections.
 pub(super) struct Frontend<K, P> {
     pub(super) store: K,
     pub(super) protocol: P,
@@ -83,7 +83,7 @@
     pub(super) log: Logger,
 }
 
-/// The server for callers.
+/// The running API server.
 pub(super) struct Server {
     address: SocketAddr,
     stop: watch::Sender<bool>,
@@ -96,14 +96,15 @@
         self.address
     }
 
-    /// Closes connections as they fall idle, and waits for that.
+    /// Closes connections as they become idle, and waits for that for at most
+    /// `max_wait`.
     pub(super) async fn stop(self, max_wait: Duration) {
         let _ = self.stop.send(true);
         let _ = tokio::time::timeout(max_wait, self.done).await;
     }
 }
 
-/// Serves callers at an address.
+/// Starts the API server at an address.
 pub(super) async fn serve<K: KeyValue, P: JobProtocol>(
     address: SocketAddr,
     front: Arc<Frontend<K, P>>,
@@ -119,7 +120,7 @@
                 _ = stopped.changed() => break,
             };
             let Ok((stream, _)) = accepted else {
-                // Out of descriptors: some will be closed soon.
+                // Out of file descriptors: some will be closed soon.
                 sleep(MIN_RETRY_DELAY).await;
                 continue;
             };
@@ -165,7 +166,7 @@
         let mut response = self.protocol.write(&reply);
         if !self.readiness.is_ready() {
             // The caller's next call then goes to a node that is ready: one
-            // that stays, and that reaches the store.
+            // that isn't stopping and reaches the store.
             let close = HeaderValue::from_static("close");
             response.headers_mut().insert(header::CONNECTION, close);
         }
@@ -282,7 +283,8 @@
             return JobReply::NotDone { retry_after_ms: RETRY_AFTER_MS };
         }
         match self.write(&batch, deadline).await {
-            // It is there already, be it from this call's first try.
+            // A conflict means that the job is already stored, perhaps by an
+            // earlier attempt of this call.
             WriteResult::Done | WriteResult::Conflict => JobReply::Accepted,
             WriteResult::NotDone => {
                 counters::count_by(counters::REFUSALS, "reason", "store");
@@ -321,8 +323,8 @@
         }
     }
 
-    /// Writes, again if need be: until the deadline once it may have been
-    /// done, and only a few times while it certainly was not.
+    /// Writes a batch, with retries: until the deadline once a write may have
+    /// taken effect, and only a few times while all have certainly failed.
     async fn write(&self, batch: &Batch, deadline: Instant) -> WriteResult {
         let mut may_be_done = false;
         let mut retries = 0;
@@ -366,7 +368,7 @@
     }
 }
 
-/// What became of a write.
+/// The result of a write.
 enum WriteResult {
     Done,
     Conflict,
--- a/crates/dewspard/src/jobs/gate.rs
+++ b/crates/dewspard/src/jobs/gate.rs
@@ -1,9 +1,10 @@
 /*!
-Whether the store is sent new jobs, by the breaker of this node.
+A circuit breaker between new jobs and the store.
 
-A caller whose job went to a store that is out learns after its whole time
-that nobody knows what became of it. Once the store is known to be out, new
-jobs are refused before anything is sent, so that "not run" is certain.
+Without it, a caller whose job went to an unavailable store would learn only at
+its deadline that the outcome is unknown. Once the store is known to be
+unavailable, new jobs are refused before anything is sent, so that "not run" is
+certain.
 */
 
 use {
@@ -22,31 +23,32 @@
     },
 };
 
-/// How long a write may wait while nothing is answered before the store is
-/// probed, in milliseconds: a little more than its slowest answers take (some
-/// 600 ms), so that a store that is slow isn't taken for one that is out.
+/// How long a write may stay unanswered, with no other answers, before the
+/// store is probed, in milliseconds: a little longer than the store's slowest
+/// answers (some 600 ms), so that a slow store isn't taken for an unavailable
+/// one.
 const SILENCE_MS: u64 = 700;
 
-/// How long a probe may take: longer than the slowest answers, and short
-/// enough for callers to be told while they can still come back.
+/// The timeout of a probe: longer than the slowest answers, and short enough
+/// that callers still have time to retry.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// The gate that new jobs pass; clones share it.
+/// The circuit breaker that new jobs pass; clones share it.
 #[derive(Clone)]
 pub struct StoreGate<K> {
     store: K,
     breaker: Arc<Mutex<Breaker>>,
-    /// Told whenever the calls that wait may be sent or are refused.
+    /// Notified whenever waiting calls may be sent or are refused.
     state_changed: Arc<Notify>,
     log: Logger,
 }
 
-/// The store is out: nothing was sent.
+/// The store is unavailable; nothing was sent.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct StoreUnavailable;
 
 impl<K: KeyValue> StoreGate<K> {
-    /// Makes a gate to a store that counts as answering.
+    /// Creates a gate that assumes that the store is available.
     pub fn new(store: K, log: Logger) -> StoreGate<K> {
         StoreGate {
             store,
@@ -56,12 +58,13 @@
         }
     }
 
-    /// Waits until a new call may be sent, at most until the probe that is
-    /// under way or any other call is answered, or the probe fails.
+    /// Waits until a new call may be sent: at most until the in-flight probe
+    /// or any other call is answered, or the probe fails.
     ///
     /// # Errors
     ///
-    /// Returns [`StoreUnavailable`] when it may not be sent by the deadline.
+    /// Returns [`StoreUnavailable`] if the call may not be sent by the
+    /// deadline.
     pub async fn admit(
         &self,
         deadline: Instant,
@@ -85,24 +88,24 @@
         }
     }
 
-    /// Returns whether the store is known to be out.
+    /// Returns whether the store is known to be unavailable.
     pub fn is_unavailable(&self) -> bool {
         self.breaker().is_out()
     }
 
-    /// Notes that a call was sent, until its result is known.
+    /// Records that a call was sent; the result tracks it until it is settled.
     pub fn begin_call(&self) -> InFlightCall<'_, K> {
         self.breaker().sent(clock::now_ms());
         InFlightCall { gate: self, settled: false }
     }
 
-    /// Notes that some other call was answered.
+    /// Records that some other call was answered.
     pub fn note_answer(&self) {
         let change = self.breaker().heard(clock::now_ms());
         self.apply(change);
     }
 
-    /// Has the calls that wait ask again if they may be sent or are refused.
+    /// Logs a recovery, and wakes waiting calls after a change of the breaker.
     fn apply(&self, change: Change) {
         match change {
             Change::Same => return,
@@ -116,12 +119,12 @@
     }
 
     fn breaker(&self) -> MutexGuard<'_, Breaker> {
-        // OK after a panic: each change of the breaker is whole.
+        // OK after a panic: each change of the breaker is atomic.
         self.breaker.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Probes the store until it answers, unless that is under way or
-    /// needless.
+    /// Probes the store until it answers, unless a probe is in flight or none
+    /// is needed.
     fn probe(&self) {
         if !self.breaker().take_probe(clock::now_ms()) {
             return;
@@ -156,7 +159,7 @@
         })
     }
 
-    /// Counts each failed probe, and logs the one that makes an outage.
+    /// Counts a failed probe, and logs the one that begins an outage.
     fn note_failure(&self, error: &Error, change: Change) {
         counters::platform_failure(error);
         if let Change::Out { suspect_for_ms } = change {
@@ -174,14 +177,14 @@
 }
 
 impl<K: KeyValue> InFlightCall<'_, K> {
-    /// Notes that it was answered.
+    /// Records that the call was answered.
     pub fn answered(mut self) {
         self.settled = true;
         let change = self.gate.breaker().answered(clock::now_ms());
         self.gate.apply(change);
     }
 
-    /// Notes that it got no result, and has the store probed.
+    /// Records that the call gave no result, and probes the store.
     pub fn failed(mut self) {
         self.settled = true;
         self.gate.breaker().failed(clock::now_ms());
--- a/crates/dewspard/src/jobs/intent.rs
+++ b/crates/dewspard/src/jobs/intent.rs
@@ -1,10 +1,10 @@
 /*!
-What the operator wants, kept up to date.
+The operator's configuration, kept up to date.
 
-A watch tells of a change at once, but it may go silent without an error. So
-the store is also read outright, at least twice within the time in which a
-configuration must be in force, and a reading carries the moment at which it
-was asked for: from then on its age is known.
+A watch reports changes at once, but it may go silent without an error. So the
+store is also polled at least twice within the time in which a configuration
+must be in force. Each snapshot carries the time at which it was requested, so
+that its age is known.
 */
 
 use {
@@ -15,32 +15,32 @@
     tokio::{sync::watch, time::sleep},
 };
 
-/// How many times the store is read within the time in which a
-/// configuration must be in force.
+/// How many times the store is polled within the time in which a configuration
+/// must be in force.
 const READS_PER_APPLY_TIME: u64 = 2;
 
-/// How long to wait after a reading that failed.
+/// The delay after a failed read.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// The newest reading.
+/// The latest state read from the store.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Snapshot {
     pub(super) intent: Arc<Intent>,
-    /// When it was asked for, on the steady clock; 0 for never.
+    /// When it was requested, on the steady clock; 0 for never.
     pub(super) requested_ms: u64,
 }
 
 impl Snapshot {
-    /// Returns the reading's age in milliseconds.
+    /// Returns the age in milliseconds.
     pub(super) fn age_ms(&self) -> u64 {
         clock::now_ms().saturating_sub(self.requested_ms)
     }
 }
 
-/// A way to the newest reading.
+/// Gives access to the latest snapshot.
 pub(super) type Reader = watch::Receiver<Snapshot>;
 
-/// Starts to keep up with what the operator wants.
+/// Starts to follow the operator's configuration.
 pub(super) fn start<F: Fleet>(
     fleet: F,
     config_apply_ms: u64,
@@ -107,7 +107,8 @@
             intent.queues.as_ref().map_or(0, |queues| queues.version())
         };
         let (old, new) = (version(&current.intent), version(&intent));
-        // Versions only rise within a process, whatever is read.
+        // Versions never go back within a process, even if a read returns an
+        // older one.
         if new < old {
             intent.queues = current.intent.queues.clone();
         }
@@ -128,7 +129,7 @@
             Duration::from_millis(self.config_apply_ms / READS_PER_APPLY_TIME);
         let changed = self.fleet.intent_changed(read_at);
         match tokio::time::timeout(max_wait, changed).await {
-            // Time to read outright, whatever the watch would have said.
+            // Time to poll, whether or not the watch reported a change.
             Err(_) | Ok(Ok(_)) => {}
             Ok(Err(error)) => {
                 counters::platform_failure(&error);
--- a/crates/dewspard/src/jobs/keys.rs
+++ b/crates/dewspard/src/jobs/keys.rs
@@ -1,66 +1,66 @@
 /*!
-The keys under which jobs lie in the store.
+The keys under which jobs and their state are stored.
 */
 
 use dewspar::job::{JobId, TaskId};
 
-/// Who holds the scheduler lease.
+/// The holder of the scheduler lease.
 pub(super) const OWNER: &str = "q/owner";
 
-/// A stronger node's claim to the scheduler lease; in the feed, so that the
-/// holder hears of it.
+/// A stronger node's claim to the scheduler lease; part of the feed, so that
+/// the holder sees it.
 pub(super) const CLAIM: &str = "q/claim";
 
-/// How much each node can schedule.
+/// Each node's scheduling capacity.
 pub(super) const NODES: &str = "node/";
 
-/// Which nodes offer to carry orders to workers.
+/// The nodes that offer to relay orders to workers.
 pub(super) const RELAYS: &str = "relay/";
 
-/// Everything that the holder must hear of in order.
+/// Everything that the holder must see in order.
 pub(super) const FEED: &str = "q/";
 
-/// Jobs that aren't over.
+/// Unfinished jobs.
 pub(super) const ACCEPTED: &str = "q/in/";
 
-/// The jobs that are cancelled and of which something may run.
+/// Cancelled jobs of which tasks may still run.
 pub(super) const CANCELLED: &str = "q/stop/";
 
-/// What every node writes along with each job that it accepts: how new this
-/// key is tells a holder whether its feed has gone silent. One key for all
-/// nodes, so that a look takes 100 bytes and not that much for each of them.
+/// Written by every node along with each job that it accepts. The version of
+/// this key tells a holder whether its feed has gone silent. All nodes share
+/// one key, so that a check reads 100 bytes rather than 100 bytes per node.
 pub(super) const ACCEPTED_LAST: &str = "accepted-last";
 
-/// How far jobs have come.
+/// The progress of jobs.
 pub(super) const PROGRESS: &str = "run/";
 
 /// Ends of runs whose job can't be read.
 pub(super) const ENDS: &str = "end/";
 
-/// Starts that were put on record together, and not with their jobs.
+/// Starts that were logged in a batch, apart from their jobs.
 pub(super) const START_LOGS: &str = "starts/";
 
-/// Which VMs the waves have maintained.
+/// The VMs that each wave has maintained.
 pub(super) const WAVES: &str = "wave/";
 
-/// The VMs of which the holder ordered changes of late.
+/// The VMs for which the holder ordered changes recently.
 pub(super) const VM_ORDERS: &str = "vm-orders";
 
-/// Each queue's waiting jobs.
+/// The counts of waiting jobs by queue, written by the holder.
 pub(super) const PENDING: &str = "pending";
 
-/// The lock under which one node counts waiting jobs for all.
+/// The lock under which one node counts waiting jobs for all nodes.
 pub(super) const COUNTING: &str = "counting";
 
-/// What that node has counted.
+/// The counts made under that lock.
 pub(super) const COUNTED: &str = "counted";
 
-/// What a key of the feed is about.
+/// The subject of a key in the feed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum FeedKey {
     /// The scheduler lease.
     Owner,
-    /// A claim to it.
+    /// A claim to the scheduler lease.
     Claim,
     /// An accepted job.
     Accepted(JobId),
@@ -69,7 +69,7 @@
 }
 
 impl FeedKey {
-    /// Reads a key; `None` for one that isn't ours.
+    /// Parses a key; `None` for an unknown one.
     pub(super) fn parse(key: &str) -> Option<FeedKey> {
         if key == OWNER {
             return Some(FeedKey::Owner);
@@ -105,7 +105,7 @@
     format!("{START_LOGS}{lease_revision}/{number}")
 }
 
-/// Reads the job from a key of [`PROGRESS`].
+/// Parses the job identifier from a key of [`PROGRESS`].
 pub(super) fn job_of_progress(key: &str) -> Option<JobId> {
     key.strip_prefix(PROGRESS)?.parse().ok()
 }
@@ -122,7 +122,7 @@
     format!("{WAVES}{wave}")
 }
 
-/// Reads the wave's number from a key of [`WAVES`].
+/// Parses the wave number from a key of [`WAVES`].
 pub(super) fn wave_of(key: &str) -> Option<u64> {
     key.strip_prefix(WAVES)?.parse().ok()
 }
--- a/crates/dewspard/src/jobs/lookup.rs
+++ b/crates/dewspard/src/jobs/lookup.rs
@@ -1,7 +1,7 @@
 /*!
-What callers ask about jobs, answered from the store.
+Callers' queries about jobs, answered from the store.
 
-Every answer is one or two reads; a read that gets no result is tried again
+Each answer takes one or two reads. A read that gives no result is retried
 until the caller's deadline.
 */
 
@@ -26,17 +26,16 @@
     tokio::time::{Instant, timeout_at},
 };
 
-/// A stored job that isn't over.
+/// A stored job that is unfinished.
 struct OpenJob {
     listed: ListedJob,
     queue: String,
-    /// When it falls due for the first time, in milliseconds of the Unix
-    /// epoch; 0 for at once.
+    /// When it is first due, in milliseconds of the Unix epoch; 0 for at once.
     due_ms: u64,
 }
 
 impl<K: KeyValue, P: JobProtocol> Frontend<K, P> {
-    /// Reads how far a job has come; `None` if there is no such job.
+    /// Reads a job's phase; `None` if there is no such job.
     pub(super) async fn phase(
         &self,
         id: JobId,
@@ -50,7 +49,7 @@
         if accepted.is_some() {
             return Ok(Some(Phase::Queued));
         }
-        // It may have come to its end between the two.
+        // It may have finished between the two reads.
         self.read_phase(&progress, deadline).await
     }
 
@@ -65,12 +64,12 @@
         let progress = serde_json::from_slice::<Progress>(&found.value);
         match self.parsed_or_skipped("progress", &found, progress) {
             Some(progress) => Ok(Some(progress.phase)),
-            // Whatever we said of the job might be wrong.
+            // Any answer about the job might be wrong.
             None => Err(JobReply::NotDone { retry_after_ms: RETRY_AFTER_MS }),
         }
     }
 
-    /// Counts a queue's jobs of which nothing has begun.
+    /// Counts a queue's jobs of which no task has started.
     pub(super) async fn pending(
         &self,
         queue: &str,
@@ -78,7 +77,7 @@
     ) -> JobReply {
         let locked = timeout_at(deadline, self.counts.lock()).await;
         let Ok(mut reader) = locked else {
-            // Somebody else's read is taking that long.
+            // A concurrent read of the counts takes that long.
             return JobReply::NotDone { retry_after_ms: RETRY_AFTER_MS };
         };
         if let Some(count) = reader.cached_count(queue, clock::now_ms()) {
@@ -90,8 +89,8 @@
         }
     }
 
-    /// Takes over the holder's counts, or those that one node makes for all
-    /// where the holder's can't be believed.
+    /// Uses the holder's counts, or the ones that one node makes for all nodes
+    /// when the holder's are unfit.
     async fn read_counts(
         &self,
         reader: &mut CountsReader,
@@ -114,7 +113,7 @@
         self.shared_count(reader, reason, deadline).await
     }
 
-    /// Counts the stored jobs that wait.
+    /// Counts the stored jobs that are waiting.
     pub(super) async fn count_open_jobs(
         &self,
         deadline: Instant,
@@ -123,7 +122,7 @@
         Ok(count_waiting(&open, clock::unix_ms()))
     }
 
-    /// Lists a queue's jobs that aren't over.
+    /// Lists a queue's unfinished jobs.
     pub(super) async fn list(
         &self,
         queue: &str,
@@ -137,8 +136,8 @@
         JobReply::Jobs(in_queue.map(|job| job.listed).collect())
     }
 
-    /// Reads the jobs that aren't over: those whose entry is still in the
-    /// feed and that weren't cancelled, each with what is stored of it.
+    /// Reads the unfinished jobs: those in the feed that are neither finished
+    /// nor cancelled, each with its stored progress.
     async fn open_jobs(
         &self,
         deadline: Instant,
@@ -209,7 +208,7 @@
         open
     }
 
-    /// Passes over what can't be read, with a line that says so.
+    /// Logs and skips a value that can't be parsed.
     fn parsed_or_skipped<T>(
         &self,
         what: &'static str,
@@ -224,7 +223,7 @@
             .ok()
     }
 
-    /// Reads a key's value, again if need be, until the deadline.
+    /// Reads a key's value, with retries until the deadline.
     async fn read(
         &self,
         key: &str,
@@ -233,7 +232,7 @@
         Ok(self.read_versioned(key, deadline).await?.map(|found| found.value))
     }
 
-    /// Reads a key, again if need be, until the deadline.
+    /// Reads a key, with retries until the deadline.
     async fn read_versioned(
         &self,
         key: &str,
@@ -257,7 +256,7 @@
     }
 }
 
-/// Counts each queue's jobs that are due and of which nothing has begun.
+/// Counts each queue's jobs that are due and of which no task has started.
 fn count_waiting(open: &[OpenJob], unix_ms: u64) -> WaitingJobs {
     let mut counts = WaitingJobs::new();
     for job in open {
--- a/crates/dewspard/src/jobs/node.rs
+++ b/crates/dewspard/src/jobs/node.rs
@@ -1,5 +1,5 @@
 /*!
-A node that runs jobs: every task of it, put together.
+A node that runs jobs: starts and stops all of its tasks.
 */
 
 use {
@@ -25,29 +25,30 @@
     tokio::{net::TcpListener, sync::watch, task::JoinHandle, time::sleep},
 };
 
-/// How much of the time to stop in is kept in reserve, in milliseconds.
+/// The part of the stop time that is kept in reserve, in milliseconds.
 const STOP_RESERVE_MS: u64 = 1_000;
 
-/// How long after it stopped being ready a node still takes connections, in
-/// milliseconds: the entry asks each second and believes the second answer.
+/// How long a node still takes connections after it stopped being ready, in
+/// milliseconds: the load balancer checks each second and acts on the second
+/// failed check.
 const STOP_DELAY_MS: u64 = 2_500;
 
-/// The adapters that a node that runs jobs needs.
+/// The adapters of a node that runs jobs.
 #[derive(Clone, Debug)]
 pub struct JobPlatform<K, W, F, P> {
     /// The store.
     pub store: K,
-    /// The workers.
+    /// Calls to workers.
     pub workers: W,
-    /// The directory of workers, the VMs, the operator's wishes.
+    /// The directory of workers, the VMs and the operator's configuration.
     pub fleet: F,
-    /// How callers' calls are spelled.
+    /// The format of callers' requests and responses.
     pub protocol: P,
-    /// The path at which the entry asks for readiness.
+    /// The path at which the load balancer checks readiness.
     pub readiness_path: &'static str,
-    /// What the adapters' calls cost, by purpose.
+    /// Counts the traffic of the adapters' calls by purpose.
     pub traffic: Traffic,
-    /// What the adapters couldn't read.
+    /// Records input that the adapters couldn't read.
     pub unreadable: UnreadableNotes,
 }
 
@@ -61,11 +62,11 @@
 }
 
 impl JobNode {
-    /// Starts every task of a node on the current runtime.
+    /// Starts all tasks of a node on the current runtime.
     ///
     /// # Errors
     ///
-    /// Returns the error of an address that can't be listened at.
+    /// Returns an error if an address can't be bound.
     pub async fn start<K, W, F, P>(
         settings: &JobSettings,
         platform: JobPlatform<K, W, F, P>,
@@ -182,13 +183,14 @@
         self.callers.address()
     }
 
-    /// Stops scheduling at once, as a crash would; its lease runs out.
+    /// Stops scheduling at once, as a crash would; the scheduler lease expires
+    /// on its own.
     pub fn kill(self) {
         self.scheduling.abort();
     }
 
-    /// Stops as planned: readiness and the scheduler lease first, then open
-    /// calls to their end.
+    /// Stops as planned: first readiness and the scheduler lease end, then
+    /// open calls finish.
     pub async fn stop(self) {
         info!(self.log, "node: stops");
         let _ = self.stopping.send(true);
--- a/crates/dewspard/src/jobs/readiness.rs
+++ b/crates/dewspard/src/jobs/readiness.rs
@@ -1,9 +1,8 @@
 /*!
-Whether the entry should send callers to this node.
+Whether the load balancer should send callers to this node.
 
-It is ready while it isn't stopping, has a configuration, and has read the
-store a short while ago: a node that can't reach the store can accept
-nothing.
+A node is ready while it isn't stopping, has a configuration, and has read the
+store recently: a node that can't reach the store can't accept jobs.
 */
 
 use {
@@ -20,7 +19,7 @@
     tokio::{net::TcpListener, sync::watch},
 };
 
-/// What decides whether a node is ready.
+/// The conditions for readiness.
 #[derive(Clone, Debug)]
 pub(super) struct Readiness {
     reader: intent::Reader,
@@ -37,20 +36,20 @@
         Readiness { reader, stopping, max_age_ms }
     }
 
-    /// Returns whether calls may be accepted: the store is there and the
-    /// configuration is known to be new enough.
+    /// Returns whether calls may be accepted: the store is reachable, and the
+    /// configuration is recent enough.
     pub(super) fn is_current(&self) -> bool {
         let reading = self.reader.borrow();
         reading.intent.queues.is_some() && reading.age_ms() <= self.max_age_ms
     }
 
-    /// Returns whether the entry should send callers here.
+    /// Returns whether the load balancer should send callers here.
     pub(super) fn is_ready(&self) -> bool {
         !*self.stopping.borrow() && self.is_current()
     }
 }
 
-/// Serves readiness at `path`.
+/// Serves the readiness check at `path`.
 pub(super) async fn serve(
     address: SocketAddr,
     path: &'static str,
@@ -69,7 +68,7 @@
     .await
 }
 
-/// Serves metrics in the text format.
+/// Serves metrics in the Prometheus text format.
 pub(super) async fn serve_metrics(
     address: SocketAddr,
     metrics: PrometheusHandle,
--- a/crates/dewspard/src/jobs/recount.rs
+++ b/crates/dewspard/src/jobs/recount.rs
@@ -1,13 +1,13 @@
 /*!
-Counting waiting jobs where the holder doesn't: one node for all.
+Counts waiting jobs when the holder doesn't: one node counts for all.
 
-A count reads every open job, a megabyte or more on a large fleet. When a holder
-falls behind, its counts grow old on every node at the same moment; if each
-counted for itself, a hundred nodes would read hundreds of megabytes a second
-from the store that the holder waits for, and it would fall behind further. So
-one node counts, under a lock in the store, and leaves its counts there for the
-others. Both go by themselves: the lock with a node that dies over it, the
-counts when they are too old to be told.
+A count reads every unfinished job, a megabyte or more on a large fleet. When a
+holder falls behind, its counts expire on every node at the same moment. If
+each node then counted for itself, a hundred nodes would read hundreds of
+megabytes a second from the store that the holder is waiting for, and it would
+fall further behind. So one node counts, under a lock in the store, and
+publishes its counts there for the others. Both expire with their leases: the
+lock if its node fails, the counts when they are too old to be used.
 */
 
 use {
@@ -27,30 +27,30 @@
     tokio::time::{Instant, sleep, timeout_at},
 };
 
-/// How long a node may count for all, in milliseconds: a small link takes most
-/// of that for a megabyte and a half.
+/// How long the lock lasts, in milliseconds: a small link needs most of that
+/// for a megabyte and a half.
 const LOCK_TTL_MS: u64 = 3_000;
 
-/// For how long a count is there for other nodes, in milliseconds, unless the
-/// store's shortest lease is longer: callers may be told counts that are 2 s
-/// old.
+/// How long counts stay published, in milliseconds, unless the store's
+/// shortest lease is longer: callers may get counts that are up to 2 s old.
 const COUNTS_TTL_MS: u64 = 1_000;
 
-/// How often a node looks for the count that another one is making.
+/// How often a node checks for the counts that another one is making.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
-/// How a node comes by counts.
+/// How a node obtains counts.
 enum CountSource {
-    /// Another node has left its counts.
+    /// Another node has published its counts.
     Published(WaitingJobs),
-    /// This node is to count, under the lock at this version.
+    /// This node has taken the lock at this version, and must count.
     LockTaken(u64),
-    /// Another node is counting.
+    /// Another node holds the lock and is counting.
     InProgress,
 }
 
 impl<K: KeyValue, P: JobProtocol> Frontend<K, P> {
-    /// Takes over the counts that some node makes for all, or makes them.
+    /// Returns through `reader` the counts that one node makes for all, or
+    /// makes them.
     pub(super) async fn shared_count(
         &self,
         reader: &mut CountsReader,
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Counts the stored jobs, and leaves the counts for other nodes.
+    /// Counts the stored jobs, and publishes the counts for other nodes.
     async fn count_for_all(
         &self,
         reader: &mut CountsReader,
@@ -117,11 +117,11 @@
         let counted = self.count_open_jobs(deadline).await;
         let released = match &counted {
             Ok(counts) => self.publish_counts(counts, lock).await,
-            // Another node may be luckier.
+            // Another node may succeed.
             Err(_) => self.unlock().await,
         };
         if let Err(error) = released {
-            // The lock goes with its lease, and another node counts again.
+            // The lock expires with its lease, and another node counts again.
             counters::platform_failure(&error);
         }
         let counts = counted?;
@@ -131,8 +131,8 @@
         Ok(())
     }
 
-    /// Leaves counts for other nodes, unless that took so long that another
-    /// one counts by now.
+    /// Publishes counts for other nodes, unless the lock has expired and
+    /// another node may be counting.
     async fn publish_counts(
         &self,
         counts: &WaitingJobs,
--- a/crates/dewspard/src/jobs/relay/workers.rs
+++ b/crates/dewspard/src/jobs/relay/workers.rs
@@ -80,7 +80,7 @@
     /// Sets whether orders bypass the relays.
     ///
     /// A holder that can't renew its lease may have been superseded. It then
-    /// stops using relays, which may already serve its successor.
+    /// stops using relays, which may already know of its successor.
     pub(in super::super) fn set_relaying_paused(&self, paused: bool) {
         self.shared.paused.store(paused, Ordering::Relaxed);
     }
--- a/crates/dewspard/src/jobs/rest.rs
+++ b/crates/dewspard/src/jobs/rest.rs
@@ -1,16 +1,16 @@
 /*!
-The product's own calls on jobs, as a [`JobProtocol`].
+The project's own REST API for jobs, as a [`JobProtocol`].
 
-| call | does |
+| call | effect |
 |---|---|
-| `POST /v1/queues/QUEUE/jobs/ID` | hands a job in: `payload`, `steps`, `repeat` |
-| `GET /v1/queues/QUEUE/jobs/ID` | says how far it has come: `phase` |
+| `POST /v1/queues/QUEUE/jobs/ID` | submits a job: `payload`, `steps`, `repeat` |
+| `GET /v1/queues/QUEUE/jobs/ID` | returns its progress: `phase` |
 | `DELETE /v1/queues/QUEUE/jobs/ID` | cancels it |
-| `GET /v1/queues/QUEUE/jobs` | lists those that aren't over: `jobs` |
-| `GET /v1/queues/QUEUE` | counts the jobs that wait: `pending` |
+| `GET /v1/queues/QUEUE/jobs` | lists unfinished jobs: `jobs` |
+| `GET /v1/queues/QUEUE` | counts waiting jobs: `pending` |
 
-Refusals are problem details. A job that was not accepted and never will be
-run is answered with 503 and `Retry-After`; 504 says that nobody knows.
+Errors are problem details. 503 with `Retry-After` means that a job was not
+accepted and will never run; 504 means that the outcome is unknown.
 */
 
 use {
@@ -28,14 +28,14 @@
     serde_json::{Value, json},
 };
 
-/// What every path begins with.
+/// The prefix of all paths.
 const QUEUES_PATH: &str = "/v1/queues/";
 
-/// The product's own calls.
+/// The project's own REST API.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RestProtocol;
 
-/// A job as callers write it.
+/// The body of a submit request.
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 struct JobBody {
--- a/crates/dewspard/src/jobs/settings.rs
+++ b/crates/dewspard/src/jobs/settings.rs
@@ -38,26 +38,27 @@
     pub node: String,
     /// The data hall that the node is in.
     pub hall: String,
-    /// Where callers reach the node.
+    /// The address at which callers reach the node.
     pub callers_address: SocketAddr,
-    /// Where the entry asks whether the node takes callers.
+    /// The address at which the load balancer checks whether the node takes
+    /// callers.
     pub readiness_address: SocketAddr,
-    /// Where metrics are served; left out, nowhere.
+    /// The address at which metrics are served; without it, none are served.
     #[serde(default)]
     pub metrics_address: Option<SocketAddr>,
-    /// Where the node takes orders to carry to workers for the node that
-    /// schedules; left out, it carries none.
+    /// The address at which the node takes orders to relay to workers for the
+    /// node that schedules; without it, the node relays none.
     #[serde(default)]
     pub relay_address: Option<SocketAddr>,
-    /// Where the node reaches the platform.
+    /// The addresses of the platform.
     pub platform: PlatformAddresses,
-    /// What the entry VM has.
+    /// The entry VM's resources.
     #[serde(default)]
     pub machine: Machine,
-    /// Times that the platform and its operator set.
+    /// Time limits set by the platform and its operator.
     #[serde(default)]
     pub timing: Timing,
-    /// What the scheduler decides by.
+    /// The scheduler's policy.
     #[serde(default)]
     pub policy: Policy,
     /// What the node logs.
@@ -65,13 +66,13 @@
     pub log: Log,
 }
 
-/// What the entry VM has; the strongest nodes schedule first.
+/// The entry VM's resources; stronger nodes are preferred for scheduling.
 #[derive(Clone, Debug, Deserialize, JsonSchema, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Machine {
-    /// Processor time, in thousandths of a core.
+    /// CPU capacity, in thousandths of a core.
     pub cpu_millis: f64,
-    /// What its network link carries, in megabits a second.
+    /// Bandwidth of the network link, in megabits per second.
     pub link_mbps: f64,
 }
 
@@ -81,58 +82,61 @@
     }
 }
 
-/// What link a thousandth of a core needs for scheduling, in megabits a
-/// second: some 500 orders and their answers for each thousandth would take
-/// that, with room to spare.
+/// The link bandwidth that a thousandth of a core needs for scheduling, in
+/// megabits per second: enough for some 500 orders and their answers per
+/// thousandth, with room to spare.
 const LINK_MBPS_PER_CPU_MILLI: f64 = 0.2;
 
-/// How many bytes of a list a thousandth of a core reads in a millisecond and
-/// takes in: 330 kB of 1,100 workers take half a core some 66 ms.
+/// How many bytes of a list a thousandth of a core reads and processes per
+/// millisecond: a list of 1,100 workers with 330 kB takes half a core some 66
+/// ms.
 const LIST_BYTES_PER_CPU_MILLI_MS: f64 = 10.0;
 
-/// The slowest link that times are worked out for, in megabits a second: a
-/// setting of 0 means that nobody knows, and must not make a call wait for
-/// ever.
+/// The slowest link assumed in time estimates, in megabits per second. A
+/// setting of 0 means that the bandwidth is unknown, and must not make a call
+/// wait forever.
 const MIN_LINK_MBPS: f64 = 0.5;
 
 impl Machine {
-    /// Returns how much the VM can schedule, to be compared with others.
+    /// Returns the VM's scheduling capacity, relative to other nodes.
     pub fn strength(&self) -> u64 {
         let by_link = self.link_mbps / LINK_MBPS_PER_CPU_MILLI;
         // OK to convert: a float goes to the nearest value that fits.
         self.cpu_millis.min(by_link).max(1.0) as u64
     }
 
-    /// Returns what it costs the VM to read so many bytes of lists, in
-    /// milliseconds: its link and then its processor are busy that long.
+    /// Returns how long the VM takes to read this many bytes of lists, in
+    /// milliseconds: the transfer over its link, then the processing.
     pub fn list_read_ms(&self, bytes: u64) -> u64 {
         let bytes_per_ms =
             LIST_BYTES_PER_CPU_MILLI_MS * self.cpu_millis.max(1.0);
-        // OK to truncate: a part of a millisecond doesn't matter.
+        // OK to truncate: a fraction of a millisecond doesn't matter.
         self.transfer_ms(bytes) + (bytes as f64 / bytes_per_ms) as u64
     }
 
-    /// Returns how long the link takes for so many bytes, in milliseconds.
+    /// Returns how long the link takes to transfer this many bytes, in
+    /// milliseconds.
     pub fn transfer_ms(&self, bytes: u64) -> u64 {
-        // Megabits a second are as many thousand bits a millisecond.
+        // One megabit per second is a thousand bits per millisecond.
         let bits_per_ms = self.link_mbps.max(MIN_LINK_MBPS) * 1e3;
-        // OK to truncate: a part of a millisecond doesn't matter.
+        // OK to truncate: a fraction of a millisecond doesn't matter.
         (bytes as f64 * 8.0 / bits_per_ms) as u64
     }
 }
 
-/// Where a node reaches the platform.
+/// The addresses of the platform.
 #[derive(Clone, Debug, Deserialize, JsonSchema, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlatformAddresses {
-    /// The metadata store.
+    /// The address of the metadata store.
     pub store: SocketAddr,
-    /// The VM service.
+    /// The address of the VM service.
     pub vm_service: SocketAddr,
-    /// The adviser on which workers may run a step, if there is one.
+    /// The address of the adviser that decides which workers may run a step,
+    /// if there is one.
     #[serde(default)]
     pub adviser: Option<SocketAddr>,
-    /// What comes before every key of ours in the store.
+    /// The prefix of all of this program's keys in the store.
     #[serde(default = "default_root")]
     pub root: String,
 }
@@ -141,29 +145,29 @@
     "dewspar/".to_owned()
 }
 
-/// Times that the platform and its operator set.
+/// Time limits set by the platform and its operator.
 #[derive(Clone, Debug, Deserialize, JsonSchema, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Timing {
-    /// How soon a configuration is in force after it was written, in
+    /// How soon after it was written a configuration must be in force, in
     /// milliseconds.
     pub config_apply_ms: u64,
     /// The longest lease that a worker grants, in milliseconds.
     pub max_lease_ms: u64,
-    /// How long callers may ask for a finished job, in milliseconds.
+    /// How long callers can query a finished job, in milliseconds.
     pub kept_ms: u64,
-    /// How long a node that was told to stop may take, in milliseconds.
+    /// How long a node may take to stop after it was told to, in milliseconds.
     pub stop_grace_ms: u64,
     /// How long a worker may take to stop a task, in milliseconds.
     pub stop_timeout_ms: u64,
-    /// How long two holders keep apart in their orders for one VM, in
-    /// milliseconds.
+    /// The minimum time between orders of two different holders for the same
+    /// VM, in milliseconds.
     pub duty_gap_ms: u64,
     /// How long a long-running task may be down before it counts as
     /// missing, in milliseconds.
     pub notice_ms: u64,
-    /// How long a serving task may be over its target beside best-effort
-    /// tasks, in milliseconds.
+    /// How long a serving task may exceed its target beside best-effort tasks,
+    /// in milliseconds.
     pub disturbance_ms: u64,
     /// The shortest lease that the store grants, in milliseconds.
     pub min_store_lease_ms: u64,
@@ -186,8 +190,8 @@
 }
 
 impl JobSettings {
-    /// Returns the settings of a node that is tried on this machine, at
-    /// ports that the kernel chooses and with adapters of the caller's own.
+    /// Returns the settings of a node for trials on this machine, with ports
+    /// chosen by the kernel and adapters provided by the caller.
     pub fn loopback(node: &str) -> JobSettings {
         let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
         JobSettings {
@@ -214,16 +218,16 @@
     ///
     /// # Errors
     ///
-    /// Returns an [`Error`] that names every field at fault.
+    /// Returns an [`Error`] that names every invalid field.
     pub fn from_file(path: &Path) -> Result<JobSettings, Error> {
         JobSettings::from_yaml(&read_file(path)?)
     }
 
-    /// Reads and checks settings.
+    /// Parses and checks settings.
     ///
     /// # Errors
     ///
-    /// Returns an [`Error`] that names every field at fault.
+    /// Returns an [`Error`] that names every invalid field.
     pub fn from_yaml(yaml: &str) -> Result<JobSettings, Error> {
         let settings: JobSettings = read_yaml(yaml)?;
         let mut problems = Problems::default();
