--- a/crates/dewspar/tests/schedule/main.rs
+++ b/crates/dewspar/tests/schedule/main.rs
@@ -18,8 +18,8 @@
 mod task_moves_random;
 mod worker_answers;
 
+mod directory_reads;
 mod pending_jobs;
-mod readings;
 mod records;
 mod reservation_cases;
 mod restarted_workers;
--- a/crates/dewspard/src/jobs/event.rs
+++ b/crates/dewspard/src/jobs/event.rs
@@ -15,7 +15,7 @@
         job::TaskId,
         record::RecordWritten,
         schedule::{
-            Changes, EndSetAside, EndsSetAside, HoldReport, ManagedVm,
+            Changes, DeferredEnd, DeferredEndBatch, HoldReport, ManagedVm,
             OrderError, PaceOrder, SentHold, StartLog, VmOrderError, WorkerId,
             WorkerListing,
         },
@@ -69,10 +69,10 @@
     /// Jobs that former holders left.
     JobsLoaded(LoadedJobs),
     /// Ends of runs whose job former holders couldn't read.
-    DeferredEndsLoaded(Vec<EndSetAside>),
+    DeferredEndsLoaded(Vec<DeferredEnd>),
     /// What became of a write of such ends.
     DeferredEndsWritten {
-        ends: EndsSetAside,
+        ends: DeferredEndBatch,
         written: RecordWritten,
     },
     /// Starts that former holders have logged.
--- a/crates/dewspard/src/jobs/progress_writes.rs
+++ b/crates/dewspard/src/jobs/progress_writes.rs
@@ -203,7 +203,7 @@
             Resolution::LeaveAlone => {
                 for (id, _) in &change.progress {
                     self.unreadable.insert(*id);
-                    self.scheduler.leave_alone(*id);
+                    self.scheduler.mark_unreadable(*id);
                 }
             }
         }
@@ -211,7 +211,7 @@
 
     fn adopt_record(&mut self, change: &Changes, record: &Progress, now: Now) {
         for (id, _) in &change.progress {
-            self.scheduler.go_on_from(*id, record, now);
+            self.scheduler.merge_record(*id, record, now);
         }
     }
 
