--- a/crates/dewspar/src/schedule/scheduler.rs
+++ b/crates/dewspar/src/schedule/scheduler.rs
@@ -14,20 +14,20 @@
             job_state::Job,
             jobs::Jobs,
             loading::Loading,
-            long_running::LastingNeed,
+            long_running::LongRunningNeed,
             long_waits::LongWaits,
             placement::Candidates,
             processes::FormerProcesses,
             questions::Questions,
-            reservations::KeptPlaces,
+            reservations::Reservations,
             sizing::{Moving, PoolLoad},
             start_log::StartLogs,
-            token_claims::Claims,
+            token_claims::TokenClaims,
             unreadable_jobs::UnreadableJobs,
             unseen_starts::RecordedStart,
             vm_stability::VmCrashes,
             wave_state::WaveState,
-            worker::{OwedHold, Worker},
+            worker::{DueHold, Worker},
             workers::{WorkerNumber, Workers},
             write_ahead::WriteAhead,
         },
@@ -69,7 +69,7 @@
     pub(super) finished: BTreeMap<JobId, u64>,
     pub(super) decisions: Vec<Decision>,
     /// What workers have said of later tokens.
-    pub(super) claims: Claims,
+    pub(super) claims: TokenClaims,
     /// The workers that aren't used any more.
     pub(super) former: FormerProcesses,
     /// Whether any task was suspected so far: looking for them costs time.
@@ -113,7 +113,7 @@
     pub(super) vms: BTreeMap<String, ManagedVm>,
     pub(super) moving: BTreeMap<String, Moving>,
     /// The places that are kept for tasks.
-    pub(super) places: KeptPlaces,
+    pub(super) places: Reservations,
     /// Moves that the VM service will never take.
     pub(super) refused_moves: BTreeSet<(String, String)>,
     pub(super) serving_pools: BTreeSet<String>,
@@ -140,7 +140,7 @@
     /// wanted soon.
     pub(super) lasting_steps: Vec<TaskId>,
     /// What each pool's tasks that are to last need of VMs.
-    pub(super) lasting_needs: BTreeMap<String, LastingNeed>,
+    pub(super) lasting_needs: BTreeMap<String, LongRunningNeed>,
     /// How many VMs pools got that lacked most, since the one that lacked
     /// fewest had its turn.
     pub(super) vms_to_most: u32,
@@ -195,7 +195,7 @@
             sequence: 0,
             finished: BTreeMap::new(),
             decisions: Vec::new(),
-            claims: Claims::default(),
+            claims: TokenClaims::default(),
             former: FormerProcesses::default(),
             knows_suspects: false,
             unsynced_losses: BTreeMap::new(),
@@ -218,7 +218,7 @@
             waves: BTreeMap::new(),
             vms: BTreeMap::new(),
             moving: BTreeMap::new(),
-            places: KeptPlaces::default(),
+            places: Reservations::default(),
             refused_moves: BTreeSet::new(),
             serving_pools: BTreeSet::new(),
             free_pools: BTreeSet::new(),
@@ -292,7 +292,7 @@
         if revision > self.lease_revision {
             self.new_jobs.push(id);
         } else {
-            job.note_may_have_begun();
+            job.mark_may_have_begun();
         }
         self.jobs.insert(id, job);
         if let Some(progress) = progress {
@@ -333,7 +333,7 @@
     pub fn unconfirmed(&self) -> BTreeMap<String, u64> {
         let mut unconfirmed = BTreeMap::new();
         for (id, job) in self.jobs.iter() {
-            let ordered = job.placed(*id).next().is_some();
+            let ordered = job.placements(*id).next().is_some();
             if job.phase == Phase::Queued && ordered {
                 *unconfirmed.entry(job.spec.queue.clone()).or_insert(0) += 1;
             }
@@ -409,9 +409,9 @@
         // First of all orders: this holder may be gone any moment.
         self.order_stops(now, &mut actions);
         self.fence_workers(now, &mut actions);
-        self.keep_places(now);
+        self.update_reservations(now);
         self.start_waiting(now, &mut actions);
-        self.tell_long_waits(now);
+        self.report_long_waits(now);
         self.hold_workers(now, &mut actions);
         actions
     }
@@ -445,7 +445,7 @@
         }
         let after_ms = now.unix_ms.saturating_sub(job.accepted_at_ms);
         let placed: Vec<(TaskId, WorkerId)> = job
-            .placed(id)
+            .placements(id)
             .map(|(task, worker)| (task, worker.clone()))
             .collect();
         for (task, worker) in placed {
@@ -492,8 +492,8 @@
         }
         let begun = run.is_none_or(|run| run.has_begun());
         self.free_task(task, worker_id, begun, now);
-        if !begun || self.is_lasting_gang(task) {
-            self.keep_place_again(task, worker_id, now);
+        if !begun || self.is_long_running_gang(task) {
+            self.reserve_again(task, worker_id, now);
         }
     }
 
@@ -512,8 +512,8 @@
         let Some(state) = step.tasks.get_mut(task.index as usize) else {
             return;
         };
-        state.on.retain(|on| on != worker_id);
-        if state.on.is_empty() && !state.done && !over {
+        state.workers.retain(|on| on != worker_id);
+        if state.workers.is_empty() && !state.done && !over {
             step.waiting.insert(task.index);
             // Else it has waited all the while.
             if begun {
@@ -656,7 +656,7 @@
     pub(super) fn due_workers(&mut self, now: Now) -> Vec<WorkerNumber> {
         let due = self.workers.due(now.steady_ms, &self.options);
         debug_assert!(
-            self.workers.are_due(&due, now.steady_ms, &self.options),
+            self.workers.match_full_scan(&due, now.steady_ms, &self.options),
             "other workers want something than are due"
         );
         due
@@ -688,8 +688,8 @@
     now: Now,
     options: &Options,
 ) -> Option<Action> {
-    let OwedHold { order, fencing } =
-        worker.owed_hold(now.steady_ms, options)?;
+    let DueHold { order, fencing } =
+        worker.take_due_hold(now.steady_ms, options)?;
     let sent_ms = now.steady_ms;
     let silent = worker.silent_since_ms.is_some();
     let session = worker.session;
--- a/crates/dewspar/src/schedule/suspects.rs
+++ b/crates/dewspar/src/schedule/suspects.rs
@@ -119,7 +119,7 @@
 
 /// How much a suspected task prefers a worker near its data, counted in runs:
 /// more than all else, since elsewhere it takes twice as long.
-const NEAR_DATA_SCORE: i64 = 1_000;
+const DATA_LOCALITY_SCORE: i64 = 1_000;
 
 /// The crashes in a row under one task.
 #[derive(Clone, Copy, Debug, Default)]
@@ -394,8 +394,8 @@
     /// before it is empty: whatever it still had was lost in a crash.
     pub(super) fn of(worker: &Worker, now: Now) -> LostRuns {
         let draining = worker.listing.draining;
-        let planned =
-            draining || (worker.emptying.is_some() && worker.runs.is_empty());
+        let planned = draining
+            || (worker.drain_reason.is_some() && worker.runs.is_empty());
         let answered_ms = worker.answered_worker_ms();
         let over_ms = worker.unanswered_since_ms().unwrap_or(now.steady_ms);
         let lost = |(task, run): (&TaskId, &Run)| LostRun {
@@ -405,7 +405,7 @@
             suspicion: run.suspicion,
         };
         // The others went down with the process before.
-        let counts = |(_, run): &(&TaskId, &Run)| !run.is_outlived;
+        let counts = |(_, run): &(&TaskId, &Run)| !run.process_has_ended;
         let vm = &worker.listing.vm;
         let unsynced = !worker.synced && !draining;
         LostRuns {
@@ -776,7 +776,7 @@
         // One with a kept place would be closed to the task that was stopped for
         // it: that was without work for 1.65 s in a random run.
         worker.is_usable()
-            && !worker.keeps_room()
+            && !worker.has_reservations()
             && worker.listing.capacity.contains(&demand(spec))
             && !worker.has_suspects()
             && self.is_stable_enough(worker, wanted, now)
@@ -866,7 +866,7 @@
         let near = !spec.data_rack.is_empty()
             && worker.listing.rack == spec.data_rack;
         if near {
-            score += NEAR_DATA_SCORE;
+            score += DATA_LOCALITY_SCORE;
         }
         score
     }
--- a/crates/dewspar/src/schedule/unseen_starts.rs
+++ b/crates/dewspar/src/schedule/unseen_starts.rs
@@ -180,7 +180,7 @@
         {
             return Outcome::Crashed;
         }
-        if told.is_accounted_for() {
+        if told.runs_are_known() {
             return Outcome::NotRunning;
         }
         let settled = self.taken_over_ms + self.copy_after_ms();
