--- a/crates/dewspar/src/schedule/advice.rs
+++ b/crates/dewspar/src/schedule/advice.rs
@@ -1,10 +1,12 @@
 /*!
-Queues whose policy allows only some workers to run a step.
-
-Which ones is known to an adviser alone. It is asked for a few workers that
-would suit a step, and answers with a ticket for each that may run it. A
-ticket holds for every task of the step on that life of the worker, for a
-while; an answer that leaves a worker out holds for good.
+Placement advice for queues whose policy restricts which workers may run a
+step.
+
+Only an external adviser knows which workers are allowed. It is asked about a
+few workers that would suit a step, and returns a ticket for each one that may
+run it. A ticket is valid for all tasks of the step on the current process of
+the worker, for a limited time. A worker left out of an answer is denied for
+good.
 */
 
 use {
@@ -17,21 +19,21 @@
     std::collections::{BTreeMap, BTreeSet},
 };
 
-/// How many questions may be under way: the adviser answers one at a time,
-/// and a longer queue of them only makes answers late.
+/// The maximum number of questions in flight. The adviser answers one at a
+/// time, and a longer queue would only delay the answers.
 const MAX_QUESTIONS: usize = 4;
 
-/// The most workers that are named in one question.
+/// The maximum number of workers named in one question.
 const MAX_WORKERS_PER_QUESTION: usize = 8;
 
-/// How long to wait after a question without an answer, in milliseconds.
+/// The delay before a question without an answer is repeated, in milliseconds.
 const RETRY_MS: u64 = 300;
 
-/// How long before its end a ticket is no longer used, in milliseconds: the
-/// time for an order to arrive, many times over.
+/// How long before its expiry a ticket is no longer used, in milliseconds:
+/// several times the time that an order takes to arrive.
 const TICKET_MARGIN_MS: u64 = 100;
 
-/// What the adviser has said of a step.
+/// The answers of the adviser about one step.
 #[derive(Debug, Default)]
 pub(super) struct StepAdvice {
     tickets: BTreeMap<WorkerId, Ticket>,
@@ -54,8 +56,9 @@
 }
 
 impl Scheduler {
-    /// Returns the ticket to start a task on a worker with; `None` when the
-    /// queue needs one and there is none.
+    /// Returns the ticket for starting a task on a worker, an empty one if the
+    /// queue needs none. Returns `None` if a ticket is needed and there is
+    /// none.
     pub(super) fn ticket(
         &self,
         task: &TaskId,
@@ -70,13 +73,14 @@
         advice.ticket(worker, now.steady_ms).map(str::to_owned)
     }
 
-    /// Returns whether a worker was left out of an answer for the step.
+    /// Returns whether an answer about the step left the worker out.
     pub(super) fn is_denied(&self, task: &TaskId, worker: &WorkerId) -> bool {
         let advice = self.advice.get(&step_of(task));
         advice.is_some_and(|advice| advice.denied.contains(worker))
     }
 
-    /// Asks which of the workers that suit a task may run its step.
+    /// Asks the adviser which of the workers that suit a task may run its
+    /// step.
     pub(super) fn request_advice(
         &mut self,
         spec: &StepSpec,
@@ -110,8 +114,8 @@
         Some(Action::Advise { step, workers, asked_ms: now.steady_ms })
     }
 
-    /// Takes in the adviser's answer: the workers that may run the step,
-    /// each with its ticket. An error is an answer that didn't come.
+    /// Records the adviser's answer: the workers that may run the step, each
+    /// with its ticket. An error means that there was no answer.
     pub fn advice_answered<E>(
         &mut self,
         step: &TaskId,
@@ -142,28 +146,28 @@
         }
     }
 
-    /// Forgets a ticket that a worker refused.
+    /// Removes a ticket that a worker has refused.
     pub(super) fn ticket_refused(&mut self, task: &TaskId, id: &WorkerId) {
         if let Some(advice) = self.advice.get_mut(&step_of(task)) {
             advice.tickets.remove(id);
         }
     }
 
-    /// Forgets the tickets of a worker's process that has ended.
+    /// Removes the tickets of a worker process that has ended.
     pub(super) fn forget_tickets(&mut self, id: &WorkerId) {
         for advice in self.advice.values_mut() {
             advice.tickets.remove(id);
         }
     }
 
-    /// Forgets what was said of jobs that are over.
+    /// Removes the advice for jobs that no longer exist.
     pub(super) fn drop_old_advice(&mut self) {
         let jobs = &self.jobs;
         self.advice.retain(|step, _| jobs.contains_key(&step.job));
     }
 }
 
-/// Returns the name of a task's step: that of its first task.
+/// Returns the identifier of a task's step: that of its first task.
 fn step_of(task: &TaskId) -> TaskId {
     TaskId { index: 0, ..*task }
 }
--- a/crates/dewspar/src/schedule/full_pools.rs
+++ b/crates/dewspar/src/schedule/full_pools.rs
@@ -3,13 +3,13 @@
     std::collections::BTreeMap,
 };
 
-/// What the pools were found to have no room for, within one plan.
+/// The demands that the pools can't satisfy, within one scheduling pass.
 ///
-/// Room only shrinks while tasks are placed. So once a task that may go to
-/// any worker of its pool has found none, no task of that pool that asks for
-/// as much or more needs to look. Without that, every plan would look at
-/// every worker for every waiting task, and a holder with a backlog would
-/// fall ever further behind.
+/// Free capacity only shrinks while tasks are placed. Once an unconstrained
+/// task has found no worker in a pool, no task of that pool with the same or a
+/// larger demand needs to search. Without this check each pass would look at
+/// every worker for every waiting task, and a lease holder with a backlog
+/// would fall further and further behind.
 #[derive(Debug, Default)]
 pub(super) struct FullPools {
     refused: Vec<Vec<Resources>>,
@@ -39,8 +39,8 @@
     }
 }
 
-/// Which pools have workers that weren't asked yet what a former holder
-/// started there; each pool is looked at once within one plan.
+/// The pools with workers that haven't listed yet what a former lease holder
+/// started there. Each pool is checked once per scheduling pass.
 #[derive(Debug, Default)]
 pub(super) struct UnsyncedPools {
     known: BTreeMap<String, bool>,
--- a/crates/dewspar/src/schedule/job_state.rs
+++ b/crates/dewspar/src/schedule/job_state.rs
@@ -10,24 +10,25 @@
     std::{collections::BTreeSet, sync::Arc},
 };
 
-/// A job that isn't over, as the holder of the scheduler lease sees it.
+/// An open job in the memory of the lease holder.
 #[derive(Debug)]
 pub(crate) struct Job {
     pub(crate) spec: Arc<JobSpec>,
     pub(crate) payload: Arc<str>,
     pub(crate) terms: QueueTerms,
-    /// The store's revision at which it was accepted.
+    /// The revision of the store at which the job was accepted.
     pub(crate) revision: u64,
     pub(crate) accepted_at_ms: u64,
     pub(crate) phase: Phase,
     pub(crate) finished_at_ms: u64,
     pub(crate) rounds: Vec<Vec<Step>>,
     /// The longest chain of estimates from each step to the job's end, in
-    /// milliseconds: asked for with each look at a waiting job.
+    /// milliseconds. Cached, since it is needed each time a waiting job is
+    /// examined.
     estimates_from_ms: Vec<u64>,
-    /// The newest change that is in the store.
+    /// The number of the newest change that is in the store.
     pub(crate) stored_sequence: u64,
-    /// What a newer version has stored of it besides.
+    /// Fields that a newer version has stored and this version doesn't know.
     pub(crate) other: OtherFields,
 }
 
@@ -37,30 +38,30 @@
     /// The tasks that are neither done nor on any worker.
     pub(crate) waiting: BTreeSet<u32>,
     pub(crate) done: usize,
-    /// Since when every step before it is done; 0 for not yet.
+    /// Since when all preceding steps are done; 0 if they aren't.
     pub(crate) ready_ms: u64,
 }
 
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Task {
     pub(crate) done: bool,
-    /// The numbers of its runs that failed.
+    /// The numbers of the runs that failed.
     pub(crate) failed_runs: Vec<u64>,
-    /// The highest number of any run so far.
+    /// The highest run number used so far.
     pub(crate) run: u64,
-    /// The highest number of a run that has ended.
+    /// The highest run number of a run that has ended.
     pub(crate) ended_run: u64,
     pub(crate) checkpoint: String,
     pub(crate) workers: Vec<WorkerId>,
-    /// The process that was last told to start it.
+    /// The worker process to which the last start was ordered.
     pub(crate) ordered_process: Incarnation,
-    /// The workers on which it failed.
+    /// The workers on which the task failed.
     pub(crate) avoid: Vec<WorkerId>,
-    /// The workers that were lost under it, in a row.
+    /// The consecutive losses of workers while they ran the task.
     pub(crate) crashes: Crashes,
-    /// Its starts whose orders got no answer and may still be carried out.
+    /// The starts whose orders got no answer and may still be carried out.
     pub(crate) in_doubt: StartsInDoubt,
-    /// What a newer version has stored of it besides.
+    /// Fields that a newer version has stored and this version doesn't know.
     pub(crate) other: OtherFields,
 }
 
@@ -90,7 +91,7 @@
         }
     }
 
-    /// Takes over what a former holder stored.
+    /// Restores what a former lease holder stored.
     pub(crate) fn restore(&mut self, progress: &Progress) {
         self.phase = progress.phase;
         self.finished_at_ms = progress.finished_at_ms;
@@ -106,7 +107,8 @@
         }
     }
 
-    /// Notes that a former holder may have started what is ready by now.
+    /// Records that a former lease holder may have started all tasks that are
+    /// ready.
     pub(crate) fn mark_may_have_begun(&mut self) {
         for steps in &mut self.rounds {
             let done: Vec<bool> = steps.iter().map(Step::is_done).collect();
@@ -121,7 +123,7 @@
         }
     }
 
-    /// Returns what a later holder must know.
+    /// Returns the progress that a later lease holder has to know.
     pub(crate) fn progress(&self) -> Progress {
         let mut tasks = Vec::new();
         for (round, steps) in (0..).zip(&self.rounds) {
@@ -130,7 +132,7 @@
                 tasks.extend(records);
             }
         }
-        // Once it is over, only that counts.
+        // For a finished job only its outcome counts.
         if self.phase.is_final() {
             tasks.clear();
         }
@@ -163,7 +165,7 @@
         self.step_mut(task)?.tasks.get_mut(task.index as usize)
     }
 
-    /// Returns whether a step's predecessors are done and its time has come.
+    /// Returns whether all preceding steps are done and the round is due.
     pub(crate) fn is_ready(
         &self,
         round: usize,
@@ -180,21 +182,21 @@
         self.rounds.iter().flatten().all(Step::is_done)
     }
 
-    /// Returns when a step must be done for the job to keep its objective,
-    /// in milliseconds of the Unix epoch.
+    /// Returns when a step must be done for the job to meet its objective, in
+    /// milliseconds of the Unix epoch.
     pub(crate) fn objective_ms(&self, round: usize) -> u64 {
         let due = self.spec.due_ms(round as u32).max(self.accepted_at_ms);
         let chain = self.estimates_from_ms.iter().copied().max().unwrap_or(0);
         due + self.terms.objective_ms(chain)
     }
 
-    /// Returns the longest chain of estimates from a step to the job's end,
-    /// in milliseconds.
+    /// Returns the longest chain of estimates from a step to the job's end, in
+    /// milliseconds.
     pub(crate) fn estimate_from_ms(&self, step: usize) -> u64 {
         self.estimates_from_ms[step]
     }
 
-    /// Returns every task.
+    /// Returns all tasks with their identifiers.
     pub(crate) fn tasks(
         &self,
         id: JobId,
@@ -208,7 +210,7 @@
         })
     }
 
-    /// Returns every task that is on a worker, with where it is.
+    /// Returns all tasks that are on workers, once for each worker.
     pub(crate) fn placements(
         &self,
         id: JobId,
@@ -297,8 +299,9 @@
 }
 
 impl Task {
-    /// Returns the worker that was told to start a run of which a later holder
-    /// must know, empty while none was told; `None` if there is no such run.
+    /// Returns the worker that was ordered to start a run that a later lease
+    /// holder has to know, or an empty string if none was ordered yet. Returns
+    /// `None` if there is no such run.
     fn recorded_worker(&self) -> Option<String> {
         let wanted = !self.done && self.crashes.have_recorded_run();
         let told = || self.workers.last().map_or("", WorkerId::as_str);
@@ -306,7 +309,7 @@
     }
 
     /// Returns when the process of that worker was started, in milliseconds of
-    /// the Unix epoch, if it says so.
+    /// the Unix epoch, if it reports that.
     fn recorded_process(&self) -> Option<u64> {
         let told = !self.done && self.crashes.have_recorded_run();
         let process = self.ordered_process.born_unix_ms();
@@ -314,9 +317,9 @@
     }
 }
 
-/// Returns what a task of the step takes of a worker.
+/// Returns the resources that a task of the step takes on a worker.
 pub(crate) fn demand(spec: &StepSpec) -> Resources {
-    // Best-effort tasks only use what others leave of the processor.
+    // Best-effort tasks use only the processor time that other tasks leave.
     let cpu_millis = if spec.best_effort { 0 } else { spec.cpu_millis };
     Resources { cpu_millis, memory_mb: spec.memory_mb, gpus: spec.gpus }
 }
--- a/crates/dewspar/src/schedule/jobs.rs
+++ b/crates/dewspar/src/schedule/jobs.rs
@@ -1,10 +1,10 @@
 /*!
-The jobs that aren't over, and which of them may have changed.
+The open jobs, and which of them may have changed.
 
-Most plans find most jobs as the plan before did. What is worked out from a job,
-such as which of its tasks may start, is therefore kept and worked out again
-only once the job may have changed. Everything that changes a job goes through
-[`Jobs`], which notes it, so that no change can be missed.
+Between two scheduling passes most jobs stay the same. Results derived from a
+job, such as which of its tasks may start, are therefore cached and computed
+again only if the job may have changed. All mutable access goes through
+[`Jobs`], which tracks it, so that no change can be missed.
 */
 
 use {
@@ -16,14 +16,14 @@
     },
 };
 
-/// The jobs that aren't over.
+/// The open jobs.
 #[derive(Debug, Default)]
 pub(super) struct Jobs {
     jobs: BTreeMap<JobId, Job>,
     changed: BTreeSet<JobId>,
 }
 
-// There is no way to change a job through this that isn't noted.
+// Shared access only: every change goes through a method that tracks it.
 impl Deref for Jobs {
     type Target = BTreeMap<JobId, Job>;
 
@@ -54,20 +54,20 @@
         self.jobs.values_mut()
     }
 
-    /// Notes that any job may be another, since what it depends on beside
-    /// itself has changed.
+    /// Marks all jobs as changed, since something else that they depend on has
+    /// changed.
     pub(super) fn mark_all_changed(&mut self) {
         self.changed.extend(self.jobs.keys());
     }
 
-    /// Takes the jobs that may have changed since the last call; some may be
-    /// gone.
+    /// Takes the identifiers of the jobs that may have changed since the last
+    /// call. Some of these jobs may no longer exist.
     pub(super) fn take_changed(&mut self) -> BTreeSet<JobId> {
         mem::take(&mut self.changed)
     }
 
-    /// Returns a job to note on it what was worked out from it, which is no
-    /// change.
+    /// Returns a job to store derived results in it. The job isn't marked as
+    /// changed.
     pub(super) fn get_mut_unmarked(&mut self, id: &JobId) -> Option<&mut Job> {
         self.jobs.get_mut(id)
     }
--- a/crates/dewspar/src/schedule/long_running.rs
+++ b/crates/dewspar/src/schedule/long_running.rs
@@ -1,17 +1,19 @@
 /*!
-How many VMs the tasks that are to last need.
+Sizing of pools for long-running tasks.
 
-Such a task is missing from the moment at which it doesn't run, and it waits in
-vain for others of its kind to end. So its pool needs so many VMs that all of
-them have a place, whatever else is asked for. Processors alone don't tell how
-many: memory or GPUs may end first, and at most so many tasks of a step stand on
-one worker.
+A long-running task is down from the moment at which it doesn't run, and it
+would wait in vain for others of its kind to end. Its pool therefore needs
+enough VMs to hold all of them at the same time, whatever other demand there
+is. Processor time alone doesn't determine that number: memory or GPUs may be
+exhausted first, and the number of tasks of a step on one worker may be
+limited.
 
-So they are put on VMs in thought: what runs stays where it is, the rest goes
-beside it where it fits, and on further VMs where it doesn't, the largest first.
-A pool's *floor* is how many VMs that takes, were nothing else there. What it
-*lacks at once* is how many VMs would have to be added for those that could
-start this moment, beside all that runs.
+The number is found by bin packing. Running tasks stay where they are; the rest
+is placed beside them where it fits and on additional VMs where it doesn't, the
+largest tasks first. The *floor* of a pool is the number of VMs for its
+long-running tasks alone. The number of *lacking* VMs is how many would have to
+be added for the tasks that could start now, with everything else that runs
+taken into account.
 */
 
 use {
@@ -30,43 +32,44 @@
     },
 };
 
-/// What the tasks of a pool that are to last need of VMs.
+/// The VMs that the long-running tasks of a pool need.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct LongRunningNeed {
-    /// The fewest VMs that hold them all.
+    /// The minimum number of VMs that hold all of them.
     pub(super) floor_vms: u64,
-    /// How many more VMs those need that could start now and find no place.
+    /// The number of additional VMs for the tasks that could start now and
+    /// have no room.
     pub(super) lacking_vms: u64,
 }
 
-/// The tasks of one step, as they are to be put on VMs.
+/// The tasks of one step to be packed.
 struct StepDemand<'a> {
     first: TaskId,
     spec: &'a StepSpec,
     demand: Resources,
-    /// How many run on no worker that stays.
+    /// The number of tasks that don't run on a worker that stays.
     unplaced: u64,
-    /// How many of these could start now.
+    /// The number of unplaced tasks that could start now.
     waiting: u64,
 }
 
-/// The steps of a pool, and the workers that they run on.
+/// The steps of a pool, and the workers on which their tasks run.
 #[derive(Default)]
 struct PoolDemand<'a> {
     steps: Vec<StepDemand<'a>>,
-    /// The workers that stay, each with what is to last there.
+    /// The workers that stay, with what their long-running tasks use.
     on: HashMap<&'a WorkerId, Resources>,
 }
 
-/// A VM that tasks are put on in thought.
+/// A VM into which tasks are packed.
 struct Bin<'a> {
     free: Resources,
-    /// Its worker; `None` for one that is to come.
+    /// Its worker; `None` for a VM that is yet to come.
     worker: Option<&'a Worker>,
 }
 
 impl Bin<'_> {
-    /// Puts as many of so many tasks here as fit; returns how many do.
+    /// Packs as many of the tasks as fit, up to `count`. Returns how many do.
     fn take(&mut self, step: &StepDemand, count: u64) -> u64 {
         let label = &step.spec.required_label;
         if self.worker.is_some_and(|worker| !has_label(worker, label)) {
@@ -78,7 +81,7 @@
         taken
     }
 
-    /// Returns how many more tasks of a step may stand here.
+    /// Returns how many more tasks of a step may run here.
     fn siblings_left(&self, step: &StepDemand) -> u64 {
         let most = u64::from(step.spec.max_per_worker);
         if most == 0 {
@@ -89,8 +92,7 @@
     }
 }
 
-/// Puts tasks on VMs, each on the first that has room; returns how many have to
-/// be added for that.
+/// Packs tasks by first fit. Returns the number of VMs that had to be added.
 fn added_vms<'a>(
     mut bins: Vec<Bin<'a>>,
     steps: &[(&StepDemand, u64)],
@@ -100,8 +102,8 @@
     let mut added = 0;
     for (step, count) in steps {
         let mut left = *count;
-        // What is full isn't looked at again: else each step looks at all VMs
-        // that the steps before it have filled.
+        // Full VMs are dropped; otherwise each step would examine all VMs that
+        // the steps before it have filled.
         bins.retain_mut(|bin| {
             left -= bin.take(step, left);
             bin.free.contains(&smallest)
@@ -120,14 +122,14 @@
     added
 }
 
-/// Returns the least of each kind of room that some task asks for.
+/// Returns the minimum of each resource over the demands of all tasks.
 fn smallest(steps: &[(&StepDemand, u64)]) -> Option<Resources> {
     let demands = steps.iter().map(|(step, _)| step.demand);
     demands.reduce(|least, demand| least.component_min(&demand))
 }
 
 impl Scheduler {
-    /// Works out what each pool's tasks that are to last need.
+    /// Computes the needs of the long-running tasks of each pool.
     pub(super) fn compute_long_running_needs(&mut self, now: Now) {
         let pools = self.long_running_demand(now);
         let needs = pools.iter().map(|(pool, demand)| {
@@ -140,12 +142,12 @@
         self.lasting_needs = needs.collect();
     }
 
-    /// Returns what a pool's tasks that are to last need.
+    /// Returns the needs of the long-running tasks of a pool.
     pub(super) fn long_running_need(&self, pool: &str) -> LongRunningNeed {
         self.lasting_needs.get(pool).copied().unwrap_or_default()
     }
 
-    /// Returns the tasks that are to last, by their pools, the largest first.
+    /// Returns the long-running tasks by pool, the largest first.
     fn long_running_demand(&self, now: Now) -> BTreeMap<&str, PoolDemand<'_>> {
         let mut pools: BTreeMap<&str, PoolDemand> = BTreeMap::new();
         for first in &self.lasting_steps {
@@ -162,7 +164,8 @@
         pools
     }
 
-    /// Returns a step's tasks, and notes on which workers they stay.
+    /// Returns the demand of a step, and adds its tasks on workers that stay
+    /// to `on`.
     fn step_demand<'a>(
         &'a self,
         job: &'a Job,
@@ -201,8 +204,8 @@
         Some(StepDemand { first, spec, demand, unplaced, waiting })
     }
 
-    /// Returns which part of the largest VM a task takes, in thousandths of
-    /// the kind of room that it takes most of.
+    /// Returns the share of the largest VM that a task takes of its dominant
+    /// resource, in thousandths.
     fn dominant_share(&self, demand: &Resources) -> u64 {
         let largest = self.capacities.iter();
         let largest =
@@ -244,20 +247,22 @@
         added_vms(bins, &waiting, &self.capacities)
     }
 
-    /// Returns the room of each VM that is on its way to a pool.
+    /// Returns the capacity of each VM that is on its way to a pool.
     fn incoming_rooms(&self, pool: &str) -> impl Iterator<Item = Resources> {
         let ordered = self.moving.iter().filter(move |(_, m)| m.to == pool);
         let ordered =
             ordered.filter_map(|(vm, _)| Some(self.vms.get(vm)?.capacity));
         let leaving = self.workers.values().filter(move |worker| {
-            matches!(&worker.drain_reason, Some(DrainReason::Move(to)) if to == pool)
-                && !self.moving.contains_key(&worker.listing.vm)
+            matches!(
+                &worker.drain_reason,
+                Some(DrainReason::Move(to)) if to == pool
+            ) && !self.moving.contains_key(&worker.listing.vm)
         });
         ordered.chain(leaving.map(|worker| worker.listing.capacity))
     }
 }
 
-/// Returns whether a worker takes orders, or will once it has answered.
+/// Returns whether a worker accepts starts, or will once it has answered.
 fn is_available_soon(worker: &Worker, now: Now) -> bool {
     let asked = !worker.runs_are_known() || worker.is_fencing();
     let stays = worker.drain_reason.is_none()
--- a/crates/dewspar/src/schedule/long_waits.rs
+++ b/crates/dewspar/src/schedule/long_waits.rs
@@ -1,9 +1,10 @@
 /*!
-Why tasks that are to last wait.
+Reports of long waits of long-running tasks.
 
-Short tasks wait all the time: for others to end, for a VM to come. One that is
-to last is missing from the moment at which it doesn't run, so each such wait
-that isn't over soon is told with what the workers of its pool lack for it.
+Short tasks wait all the time, for others to end or for a VM to arrive. A
+long-running task, however, is down from the moment at which it doesn't run.
+Each of its waits that isn't over soon is therefore reported, with the reasons
+why the workers of its pool can't take it.
 */
 
 use {
@@ -17,25 +18,27 @@
     std::collections::BTreeMap,
 };
 
-/// How long a task waits before that is told, in milliseconds: about as long
-/// as a worker takes to be heard of again.
+/// How long a task waits before that is reported, in milliseconds: about as
+/// long as it takes until a worker has answered again.
 const REPORT_AFTER_MS: u64 = 500;
 
-/// How often waits are looked at, in milliseconds.
+/// The interval between checks, in milliseconds.
 const CHECK_INTERVAL_MS: u64 = 500;
 
-/// How many steps a look tells of, so that a pool without any worker doesn't
-/// fill the log; the next looks go on with the others.
+/// The maximum number of steps reported in one check, so that a pool without
+/// workers doesn't flood the log. The next checks continue with the other
+/// steps.
 const MAX_REPORTS_PER_CHECK: usize = 4;
 
-/// How long nothing more is told of a step, in milliseconds.
+/// The minimum interval between two reports about the same step, in
+/// milliseconds.
 const REPEAT_INTERVAL_MS: u64 = 2_000;
 
-/// When the waits of tasks that are to last were looked at and reported.
+/// When long waits were checked and reported.
 #[derive(Debug, Default)]
 pub(super) struct LongWaits {
     checked_ms: u64,
-    /// The steps that were told of, by their first task, and when.
+    /// When each step was last reported, by its first task.
     reported_ms: BTreeMap<TaskId, u64>,
 }
 
@@ -48,7 +51,7 @@
 }
 
 impl Scheduler {
-    /// Tells of tasks that are to last and wait for long.
+    /// Reports long-running tasks that have waited for long.
     pub(super) fn report_long_waits(&mut self, now: Now) {
         if now.steady_ms < self.long_waits.checked_ms + CHECK_INTERVAL_MS {
             return;
@@ -65,7 +68,7 @@
         }
     }
 
-    /// Returns the first waiting task of each step that is ready and to last.
+    /// Returns the first waiting task of each long-running step that is ready.
     pub(super) fn waiting_long_running_steps(&self) -> Vec<TaskId> {
         let lasting =
             self.candidates.long_running_steps().filter_map(|step| {
@@ -76,7 +79,7 @@
         lasting.collect()
     }
 
-    /// Tells why a task waits, if that is due; returns whether it was.
+    /// Reports why a task waits, if a report is due. Returns whether it was.
     fn report_wait(&mut self, task: &TaskId, now: Now) -> bool {
         let Some(job) = self.jobs.get(&task.job) else { return false };
         let (Some(spec), Some(step)) = (job.step_spec(task), job.step(task))
@@ -112,7 +115,8 @@
         true
     }
 
-    /// Counts what the workers of its pool lack for a task.
+    /// Counts the workers of the pool by the reason why they can't take a
+    /// task.
     fn shortage_for(
         &self,
         spec: &StepSpec,
--- a/crates/dewspar/src/schedule/placement.rs
+++ b/crates/dewspar/src/schedule/placement.rs
@@ -1,10 +1,11 @@
 /*!
-Which waiting task starts next, and on which worker.
+Selects the waiting tasks to start and places each on a worker.
 
-Steps are taken in the order of their queue's priority and then of the time
-by which their job must be done; jobs that can't make it any more come last.
-Each task goes to the worker of its pool that suits it best: near its data,
-away from what it would disturb, and with most room left.
+Steps are considered by the priority of their queue and then by the deadline of
+their job; jobs that can no longer meet their deadline come last. Each task
+goes to the best-scoring worker of its pool. The score depends on the policy,
+on how full the worker is, on data locality, on colocation with other
+long-running tasks and on interference with other tasks.
 */
 
 use {
@@ -31,63 +32,65 @@
 
 pub(super) use self::candidates::{Candidate, Candidates, PoolNumber};
 
-/// How many numbers of runs are passed over for a task that a former holder
-/// may have started unseen, so that its number stays the highest.
+/// The number of run numbers skipped for a task that a former lease holder may
+/// have started without recording it, so that the new run number is the
+/// highest.
 const RUN_NUMBER_GAP: u64 = 8;
 
-/// How much a worker near a task's data is preferred, in thousandths of a
-/// core: more than any worker's room, since elsewhere a task takes twice as
-/// long or more.
+/// The score bonus for a worker near a task's data, in thousandths of a core.
+/// It exceeds the processor of any worker, since a task takes at least twice
+/// as long elsewhere.
 const DATA_LOCALITY_SCORE: i64 = 60_000;
 
-/// How much a long-running task is drawn to workers that have such tasks
-/// already, so that fewer VMs are tied down: half a worker's processor, in
-/// thousandths of a core.
+/// The score bonus for placing a long-running task on a worker that already
+/// has one, in thousandths of a core. Such tasks then occupy fewer VMs. The
+/// bonus is half a worker's processor.
 const COLOCATION_SCORE: i64 = 16_000;
 
-/// How much a worker is shunned for each run that would disturb or be
-/// disturbed: more than any worker's free processor time, in thousandths of
-/// a core.
+/// The score penalty for each run that the task would interfere with, or that
+/// would interfere with it, in thousandths of a core. It exceeds the free
+/// processor time of any worker.
 const INTERFERENCE_PENALTY: i64 = 100_000;
 
-/// How old what a worker says of its room may be where it doesn't guard that
-/// itself, in milliseconds: a room that has shrunk counts some 3 s later at the
-/// earliest, and the directory is read every 0.3 to 1.5 s.
+/// The maximum age of a worker's capacity report, in milliseconds, for workers
+/// that don't enforce their capacity. A reduced capacity counts about 3 s
+/// after it was reported at the earliest, and the directory is read every 0.3
+/// to 1.5 s.
 const MAX_REPORT_AGE_MS: u64 = 2_500;
 
-/// What was found out about the pools within one plan.
+/// What one scheduling pass has found out about the pools.
 #[derive(Default)]
 struct PoolCache {
     full: FullPools,
     unsynced: UnsyncedPools,
 }
 
-/// When there must be room for a task.
+/// The point in time at which a worker must have room for a task.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum RoomHorizon {
-    /// At once.
+    /// Immediately.
     Now,
-    /// Once all is over that isn't to last.
+    /// Once all short tasks on the worker have ended.
     AfterShortTasks,
 }
 
-/// Why a task isn't started now.
+/// The reason why a task can't be placed now.
 enum PlacementError {
-    /// No worker has room for it.
+    /// No suitable worker has room.
     NoRoom,
-    /// None that has room has a ticket for it.
+    /// Suitable workers have room, but there is no ticket for any of them.
     NoTicket,
 }
 
 impl Scheduler {
-    /// Starts what is ready, as far as there is room.
+    /// Starts ready tasks as far as there is capacity for them.
     pub(super) fn start_waiting(
         &mut self,
         now: Now,
         actions: &mut Vec<Action>,
     ) {
-        // The more waits, the longer it takes to go through it: not for
-        // nothing.
+        // A pass takes longer the more tasks wait, so it is skipped if no
+        // order may be sent.
         if !self.may_start() {
             return;
         }
@@ -99,10 +102,11 @@
             self.candidates.match_full_rebuild(&mut self.jobs, late_last, now),
             "what was kept of the order is out of date"
         );
-        // Taken out, since starting something changes the scheduler.
+        // Moved out because starting a task borrows the scheduler mutably.
         let candidates = mem::take(&mut self.candidates);
         if self.knows_suspects {
-            // Of any job of former holders, where a worker was lost unheard.
+            // Includes jobs from former leases in pools where a lost worker
+            // hasn't been counted yet.
             let all = !self.uncounted_pools.is_empty();
             let suspects: Vec<TaskId> = candidates
                 .ordered
@@ -117,9 +121,9 @@
             if !self.may_start() {
                 break;
             }
-            // The step that found the pool full asked for no more, so it has
-            // said already whether the pool has no place.
-            // What has a place kept needs none of that room.
+            // The step that found the pool full asked for no more than this
+            // one and has already reported the shortage. Tasks with a
+            // reservation don't need free room.
             if pools.full.is_full_for(wanted.pool, &wanted.demand)
                 && !self.places.has_any_for(candidate)
             {
@@ -132,7 +136,8 @@
             }
         }
         self.candidates = candidates;
-        // Else some that were without a place weren't looked at.
+        // A pass that was cut short hasn't looked at every step, so it can't
+        // clear the record of pools without room.
         if self.may_start() {
             self.without_place.retain(|pool, _| without_place.contains(pool));
         }
@@ -145,8 +150,8 @@
         &self.options.policy.placing
     }
 
-    /// Starts what it can of a step; returns its pool if the pool has no
-    /// place for some task that another VM could hold.
+    /// Starts as many tasks of a step as possible. Returns the name of the
+    /// pool if the pool has no room for some task that another VM could hold.
     fn start_step(
         &mut self,
         candidate: &Candidate,
@@ -183,7 +188,7 @@
         };
         let mut waiting: Vec<u32> =
             state.waiting.iter().copied().filter(on_record).collect();
-        // First those for which a place is kept.
+        // Tasks with a reservation go first.
         waiting.sort_by_key(|index| {
             self.places
                 .worker_for(&TaskId { index: *index, ..first })
@@ -227,8 +232,8 @@
                     if self.is_unconstrained(spec, &task) {
                         pools.full.record_refusal(wanted.pool, wanted.demand);
                     }
-                    // Where one finds none, only one that looks for its own
-                    // place might.
+                    // If one task finds no room, only tasks that need an
+                    // individual search might.
                     if !self.needs_own_placement(&task) {
                         break;
                     }
@@ -238,7 +243,7 @@
         (without_place && fits).then_some(pool)
     }
 
-    /// Returns the tasks of a step that wait and may crash their workers.
+    /// Returns the waiting tasks of a step that may crash their workers.
     fn waiting_suspects(&self, candidate: &Candidate) -> Vec<TaskId> {
         let Candidate { job: id, round, step, .. } = *candidate;
         let job = &self.jobs[&id];
@@ -258,7 +263,7 @@
         waiting.filter(suspected).map(|i| task(*i)).collect()
     }
 
-    /// Returns whether a VM of the fleet could hold a task of the step.
+    /// Returns whether some VM of the fleet could hold a task of the step.
     pub(super) fn fits_any_vm(&self, spec: &StepSpec) -> bool {
         let demand = demand(spec);
         let label = &spec.required_label;
@@ -268,8 +273,8 @@
         fits && labelled
     }
 
-    /// Returns whether a task may go to any worker of its pool that has room
-    /// and takes orders.
+    /// Returns whether a task may run on any worker of its pool that has room
+    /// and accepts starts.
     fn is_unconstrained(&self, spec: &StepSpec, task: &TaskId) -> bool {
         let advised = self.jobs[&task.job].terms.advice.is_some();
         spec.required_label.is_empty()
@@ -278,9 +283,9 @@
             && !self.needs_own_placement(task)
     }
 
-    /// Returns whether a task looks for its place by itself: it has failed on
-    /// some worker, may crash them, may still start on one, or has a place kept
-    /// for it.
+    /// Returns whether a task needs a search of its own. That is the case if
+    /// it has failed on a worker, may crash workers, has a start in doubt or
+    /// has a reservation.
     pub(super) fn needs_own_placement(&self, task: &TaskId) -> bool {
         let state = self.jobs[&task.job].task(task);
         self.places.worker_for(task).is_some()
@@ -295,12 +300,13 @@
         let job = &self.jobs[&task.job];
         let run = job.task(task).map_or(0, |state| state.run);
         let inherited = job.revision < self.lease_revision;
-        // The first run under this lease passes over what may be unseen.
+        // The first run under this lease skips numbers that a former holder
+        // may have used for unrecorded starts.
         let first = job.task(task).is_some_and(|s| s.run == s.ended_run);
         if inherited && first { run + RUN_NUMBER_GAP } else { run + 1 }
     }
 
-    /// Chooses the worker for a task.
+    /// Chooses a worker for a task.
     fn choose_worker(
         &self,
         spec: &StepSpec,
@@ -323,7 +329,7 @@
         })
     }
 
-    /// Returns the workers that a task may go to, tickets aside.
+    /// Returns the workers on which a task may run, without regard to tickets.
     pub(super) fn suitable_workers(
         &self,
         spec: &StepSpec,
@@ -335,8 +341,8 @@
         suitable.map(|(_, worker)| worker)
     }
 
-    /// Returns the same with each one's number, in the order of their
-    /// identifiers.
+    /// Returns the workers on which a task may run, with their numbers,
+    /// ordered by identifier.
     pub(super) fn suitable_with_numbers(
         &self,
         spec: &StepSpec,
@@ -344,16 +350,16 @@
         room: RoomHorizon,
         now: Now,
     ) -> impl DoubleEndedIterator<Item = (WorkerNumber, &Worker)> {
-        // Most workers of a large pool are full, and this is
-        // asked for each task that starts.
+        // Limited to one pool and checked lazily: most workers of a large pool
+        // are full, and this is called for each task that starts.
         let job = self.jobs.get(&task.job);
         let pool = job.map_or("", |job| job.terms.pool.as_str());
         let suits = self.suits(spec, task, room, now);
         self.workers.in_pool(pool).filter(move |(_, worker)| suits(worker))
     }
 
-    /// Returns the question whether a worker of its pool suits a task, the
-    /// cheapest conditions first.
+    /// Returns a predicate that tells whether a worker of the pool suits a
+    /// task. The cheapest conditions are checked first.
     pub(super) fn suits(
         &self,
         spec: &StepSpec,
@@ -406,8 +412,9 @@
         }
     }
 
-    /// Returns whether a worker of a pool is known to have the room that it
-    /// seems to have, or refuses itself what it has no room for.
+    /// Returns whether the free capacity of a worker can be relied on: either
+    /// the worker itself refuses tasks that don't fit, or its report is recent
+    /// and complete.
     pub(super) fn has_reliable_room(
         &self,
         worker: &Worker,
@@ -418,8 +425,9 @@
             || worker.has_current_room(now.steady_ms, MAX_REPORT_AGE_MS)
     }
 
-    /// Returns whether a task may go to a worker on which it has failed: it
-    /// has waited, and its pool has no other that could ever hold it.
+    /// Returns whether a task may run on a worker on which it has failed
+    /// before. That is the case once it has waited for a while and no other
+    /// worker of its pool could ever hold it.
     fn may_retry_failed_worker(
         &self,
         spec: &StepSpec,
@@ -445,7 +453,7 @@
         })
     }
 
-    /// Returns the worker that suits a task best.
+    /// Returns the best-scoring worker for a task.
     fn best_worker(
         &self,
         spec: &StepSpec,
@@ -459,7 +467,8 @@
             false => self.score_for(worker, spec),
         };
         let kept = self.places.worker_for(task);
-        // Where it would have to leave again soon, it is missing twice.
+        // A long-running task avoids VMs with pending maintenance: it would
+        // have to move again and be interrupted twice.
         let stays = |worker: &Worker| {
             !spec.long_running || !self.awaits_maintenance(&worker.listing.vm)
         };
@@ -473,7 +482,7 @@
             })
     }
 
-    /// Returns where a task that runs could run instead.
+    /// Returns the worker to which a running task could move.
     pub(super) fn best_worker_for(
         &self,
         task: &TaskId,
@@ -484,8 +493,8 @@
         self.best_worker(spec, task, now).map(Worker::id)
     }
 
-    /// Returns whether a task may start without its start being put on record
-    /// first, or that is done.
+    /// Returns whether a task may start as far as write-ahead records are
+    /// concerned: its start needs no record, or the record is stored.
     pub(super) fn may_start_as_recorded(
         &self,
         job: &Job,
@@ -496,8 +505,8 @@
         })
     }
 
-    /// Returns whether a step's tasks may still run where a former holder
-    /// started them, outside of a plan.
+    /// Returns whether tasks of a step may still run from a former lease. For
+    /// use outside of a scheduling pass.
     pub(super) fn may_run_from_former_lease(
         &self,
         job: &Job,
@@ -512,8 +521,8 @@
         )
     }
 
-    /// Returns whether a step's tasks may still run where a former holder
-    /// started them.
+    /// Returns whether tasks of a step may still run from a former lease.
+    /// Checks each pool once per scheduling pass.
     fn may_run_from_former_lease_cached(
         &self,
         job: &Job,
@@ -521,7 +530,8 @@
         now: Now,
         unsynced: &mut UnsyncedPools,
     ) -> bool {
-        // A copy does no harm, but is wasted if most workers answer at once.
+        // A duplicate run does no harm here, but is wasteful while most
+        // workers are about to answer.
         let settled = self.taken_over_ms + self.placing().copy_after_ms;
         let may_copy = spec.may_duplicate && now.steady_ms >= settled;
         let inherited = job.revision < self.lease_revision;
@@ -531,8 +541,8 @@
             && unsynced.contains(pool, || self.has_unsynced_workers(pool, now))
     }
 
-    /// Returns whether a worker wasn't asked yet that may run what a former
-    /// holder started.
+    /// Returns whether some worker of a pool may run tasks from a former lease
+    /// and hasn't listed its runs yet.
     fn has_unsynced_workers(&self, pool: &str, now: Now) -> bool {
         !self.lives_known
             || self.workers.in_pool(pool).any(|(_, worker)| {
@@ -541,11 +551,11 @@
             })
     }
 
-    /// Returns how well a worker suits a step's tasks.
+    /// Returns the score of a worker for the tasks of a step.
     pub(super) fn score_for(&self, worker: &Worker, spec: &StepSpec) -> i64 {
         let demand = &demand(spec);
-        // The fullest that still has room: the others fall idle, and their
-        // VMs can be used elsewhere.
+        // Prefers the fullest worker that has room: others then become idle,
+        // and their VMs can be used elsewhere.
         let left = worker.free().minus(demand).cpu_millis as i64;
         let policy = self.placing();
         let mut score = if policy.fullest_first { -left } else { left };
@@ -577,7 +587,8 @@
         score - disturbing as i64 * INTERFERENCE_PENALTY
     }
 
-    /// Notes a start and makes its order, unless it must be on record first.
+    /// Records a start and returns its order, unless the start must be stored
+    /// first.
     fn start(
         &mut self,
         spec: &StepSpec,
@@ -589,7 +600,7 @@
         let ticket = self.ticket(task, &worker_id, now)?;
         self.release_reservation(task, now);
         let worker = self.workers.get(&worker_id)?;
-        // It must have told its clock.
+        // The worker must have reported its clock.
         worker.lease_until_ms(now.steady_ms, &self.options)?;
         let fence = worker.fence();
         let process = worker.listing.incarnation;
@@ -613,7 +624,7 @@
         self.order_start(task, start, now)
     }
 
-    /// Makes the order of a start that has its place.
+    /// Builds the order for a start that has been assigned to a worker.
     pub(super) fn order_start(
         &mut self,
         task: &TaskId,
@@ -659,7 +670,7 @@
     }
 }
 
-/// Returns whether a worker has a label that a step asks for, if it does.
+/// Returns whether a worker has the label that a step requires, if any.
 pub(super) fn has_label(worker: &Worker, label: &str) -> bool {
     label.is_empty() || worker.listing.labels.iter().any(|l| l == label)
 }
--- a/crates/dewspar/src/schedule/placement/candidates.rs
+++ b/crates/dewspar/src/schedule/placement/candidates.rs
@@ -1,11 +1,12 @@
 /*!
-The steps that have tasks to start, in the order in which they get their turn.
+The steps that have tasks to start, in scheduling order.
 
-At its peak a fleet has thousands of open jobs, and hundreds of plans a second.
-Looking at 4,000 jobs took 1.5 of a plan's 1.7 ms (example `planning`). So the
-order is kept from plan to plan, and only what may have changed is put
-in its place anew: the jobs that something happened to, and those whose time
-has come, since a round falls due or a job can't be on time any more.
+At peak load a fleet has thousands of open jobs and makes hundreds of
+scheduling passes a second. Examining 4,000 jobs took 1.5 of the 1.7 ms of a
+pass (example `planning`). The order is therefore kept between passes and
+updated incrementally. Only two kinds of jobs are examined again: jobs that
+have changed, and jobs whose state depends on the time, because a round becomes
+due or a deadline can no longer be met.
 */
 
 use {
@@ -20,7 +21,8 @@
     std::collections::{BTreeMap, BTreeSet},
 };
 
-/// A step with tasks to start.
+/// A step with tasks to start. The order of the fields defines the scheduling
+/// order.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub(in crate::schedule) struct Candidate {
     priority: u32,
@@ -43,37 +45,37 @@
     }
 }
 
-/// A pool's number, which is compared faster than its name.
+/// The number of a pool, which is cheaper to compare than its name.
 pub(in crate::schedule) type PoolNumber = usize;
 
-/// What a step asks for.
+/// What the tasks of a step require.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) struct Requirements {
     pub(super) pool: PoolNumber,
     pub(super) demand: Resources,
-    /// Whether some task that waits may crash its worker.
+    /// Whether some waiting task may crash its worker.
     pub(super) suspects: bool,
-    /// Whether its tasks are to last.
+    /// Whether the tasks are long-running.
     long_running: bool,
 }
 
-/// The steps that have tasks to start.
+/// All steps that have tasks to start.
 #[derive(Debug, Default)]
 pub(in crate::schedule) struct Candidates {
     pub(super) ordered: BTreeMap<Candidate, Requirements>,
     by_job: BTreeMap<JobId, JobCandidates>,
-    /// The jobs to be looked at again, by the time of day in milliseconds.
+    /// The jobs to examine again, by wall-clock time in milliseconds.
     rechecks: BTreeSet<(u64, JobId)>,
     pools: BTreeMap<String, PoolNumber>,
-    /// The time of day of the last look.
+    /// The wall-clock time of the last update.
     unix_ms: u64,
 }
 
-/// What was found out about one job.
+/// The candidates of one job.
 #[derive(Debug, Default)]
 struct JobCandidates {
     candidates: Vec<(Candidate, Requirements)>,
-    /// When time alone changes that; `None` for never.
+    /// When the candidates change by the passing of time; `None` for never.
     recheck_unix_ms: Option<u64>,
 }
 
@@ -85,14 +87,15 @@
 }
 
 impl Candidates {
-    /// Brings the order up to date.
+    /// Updates the order incrementally.
     pub(super) fn update(
         &mut self,
         jobs: &mut Jobs,
         late_last: bool,
         now: Now,
     ) {
-        // A clock that was set back undoes what time had changed.
+        // A clock that was set back invalidates every result that depends on
+        // the time.
         if now.unix_ms < self.unix_ms {
             jobs.mark_all_changed();
         }
@@ -113,8 +116,9 @@
         }
     }
 
-    /// Returns whether the order is what looking at every job gives; for
-    /// builds with assertions, since it takes as long as the order saves.
+    /// Returns whether the order equals the result of examining every job.
+    /// Only for builds with debug assertions, since it costs as much as the
+    /// incremental update saves.
     pub(super) fn match_full_rebuild(
         &self,
         jobs: &mut Jobs,
@@ -134,10 +138,10 @@
         rebuilt == self.ordered
     }
 
-    /// Returns the first task of each step that is to last and has tasks to
-    /// start, in the order of their turns.
+    /// Returns the first task of each long-running step with tasks to start,
+    /// in scheduling order.
     ///
-    /// Asked ten times a second, among thousands of steps.
+    /// Called ten times a second, with thousands of steps.
     pub(in crate::schedule) fn long_running_steps(
         &self,
     ) -> impl Iterator<Item = TaskId> {
@@ -146,7 +150,7 @@
         long_running.map(|(candidate, _)| candidate.first_task())
     }
 
-    /// Returns the priority of the step that goes first, by pool.
+    /// Returns the priority of the first step in scheduling order, by pool.
     pub(in crate::schedule) fn highest_priorities(
         &self,
     ) -> BTreeMap<&str, u32> {
@@ -199,8 +203,8 @@
     }
 }
 
-/// Returns the steps of a job with tasks to start, and notes on those that
-/// have become ready since when they are.
+/// Returns the steps of a job that have tasks to start. Records in newly ready
+/// steps since when they are ready.
 fn candidates_of_job(
     id: JobId,
     job: &mut Job,
@@ -237,8 +241,8 @@
                 .iter()
                 .any(|i| state.tasks[*i as usize].crashes.are_on_record());
             let spec = &job.spec.steps[step];
-            // What is to run all the time is missing from the moment at which
-            // it doesn't, and never too late.
+            // A long-running step has no deadline that it could miss: it is
+            // interrupted from the moment at which it doesn't run.
             let may_be_late = late_last && !spec.long_running;
             let late = may_be_late && now.unix_ms + left_ms > objective_ms;
             if may_be_late && !late {
--- a/crates/dewspar/src/schedule/placement/gang.rs
+++ b/crates/dewspar/src/schedule/placement/gang.rs
@@ -1,10 +1,10 @@
 /*!
-Gangs: steps whose tasks only work together.
+Gang scheduling: steps whose tasks must run at the same time.
 
-A gang starts as a whole or not at all. Its members look for their places one
-after the other, each where the others have left room; only when all have one
-is anything ordered or noted. Until then the gang waits, as if nobody had
-looked.
+A gang starts completely or not at all. Its members are placed one after the
+other, each in the capacity that the others leave. Orders are sent and state is
+changed only once every member has a worker; until then the gang waits and the
+tentative placements are undone.
 */
 
 use {
@@ -18,8 +18,8 @@
 };
 
 impl Scheduler {
-    /// Starts every member of a gang, or none; returns whether there was a
-    /// place for each.
+    /// Starts all members of a gang or none. Returns whether there was a
+    /// worker for each.
     pub(super) fn start_gang(
         &mut self,
         spec: &StepSpec,
@@ -28,7 +28,7 @@
         now: Now,
         actions: &mut Vec<Action>,
     ) -> bool {
-        // Members of the last run are still there: wait for their ends.
+        // Members of the last run haven't ended yet.
         if waiting.len() < spec.count as usize {
             return true;
         }
@@ -44,15 +44,16 @@
             return false;
         }
         self.share_checkpoint(&members);
-        // All go together, also where the window has room for fewer.
+        // All members start together, even if the window of in-flight orders
+        // has room for fewer.
         for (task, worker) in members.iter().zip(places) {
             actions.extend(self.start(spec, task, run, worker, now));
         }
         true
     }
 
-    /// Returns a worker for each member in turn, up to the first that has
-    /// none now.
+    /// Returns workers for the members in turn, up to the first member without
+    /// one.
     fn find_gang_workers(
         &mut self,
         spec: &StepSpec,
@@ -79,8 +80,8 @@
         }
         for (task, worker) in members.iter().zip(&places) {
             if let Some(worker) = self.workers.get_mut(worker) {
-                // A worker that a gang has looked at isn't idle: it is wanted
-                // as soon as the other members have their places.
+                // Resets the idle time: the worker is needed as soon as the
+                // other members have workers.
                 worker.remove(task, now.steady_ms);
             }
         }
@@ -92,7 +93,8 @@
         places
     }
 
-    /// Takes room for a member while the others look for theirs.
+    /// Reserves capacity for a member while workers for the others are
+    /// searched.
     fn reserve_tentatively(
         &mut self,
         spec: &StepSpec,
@@ -110,8 +112,8 @@
         worker.insert(*task, reserved.with_suspicion(suspicion));
     }
 
-    /// Gives every member the same checkpoint, since any one's serves for
-    /// all.
+    /// Gives every member the same checkpoint, since a checkpoint of one
+    /// member is valid for all.
     fn share_checkpoint(&mut self, members: &[TaskId]) {
         let checkpoint = members
             .iter()
--- a/crates/dewspar/src/schedule/placement/uniform.rs
+++ b/crates/dewspar/src/schedule/placement/uniform.rs
@@ -1,11 +1,11 @@
 /*!
-Places for the tasks of a step that are all alike.
+Placement of steps whose tasks are interchangeable.
 
-Most steps are tasks that may go to any worker of their pool, and the fullest
-one with room is the best. Once it got one of them, it is fuller still, and so
-the best for the next until it has no room left. So the workers are looked
-through and put in order once for the step, and not for each of its tasks: at
-1,100 workers that look takes most of the time of a plan.
+Most steps have tasks that may run on any worker of their pool, and the fullest
+worker with room is the best one. After it has received a task it is fuller
+still, so it remains the best one until it has no room left. The workers are
+therefore filtered and sorted once for the whole step instead of once for each
+task. At 1,100 workers that search takes most of the time of a scheduling pass.
 */
 
 use {
@@ -20,16 +20,16 @@
     std::cmp::Reverse,
 };
 
-/// The workers that suit a step, the best first.
+/// The workers that suit a step, best first.
 pub(super) struct UniformPlacement {
     workers: Vec<WorkerNumber>,
-    /// The first that may still have room.
+    /// The index of the first worker that may still have room.
     next: usize,
     demand: Resources,
 }
 
 impl UniformPlacement {
-    /// Returns the worker that suits the next task best.
+    /// Returns the best worker for the next task.
     pub(super) fn next(
         &mut self,
         scheduler: &Scheduler,
@@ -53,8 +53,9 @@
 }
 
 impl Scheduler {
-    /// Returns the places for a step whose tasks are all alike, of which
-    /// `next` waits to be started; `None` for one whose tasks have to be looked at one by one.
+    /// Returns the sorted workers for a step whose tasks are interchangeable,
+    /// where `next` is one of its waiting tasks. Returns `None` if the tasks
+    /// of the step must be placed one by one.
     pub(super) fn uniform_placement(
         &self,
         spec: &StepSpec,
@@ -62,8 +63,8 @@
         now: Now,
     ) -> Option<UniformPlacement> {
         let job = self.jobs.get(&next.job)?;
-        // A task of these changes how well its worker suits the next one in
-        // some other way than by making it fuller.
+        // Here a placed task affects the score of its worker in other ways
+        // than by making it fuller.
         let one_by_one = spec.max_per_worker > 0
             || spec.long_running
             || spec.best_effort
@@ -81,7 +82,8 @@
                 (Reverse(self.score_for(worker, spec)), number)
             })
             .collect();
-        // Stable: of those that suit alike, the last by identifier is first.
+        // The sort is stable: among equal scores the last identifier comes
+        // first.
         scored.sort_by_key(|(score, _)| *score);
         let workers = scored.into_iter().map(|(_, number)| number).collect();
         Some(UniformPlacement { workers, next: 0, demand: demand(spec) })
--- a/crates/dewspar/src/schedule/reservations.rs
+++ b/crates/dewspar/src/schedule/reservations.rs
@@ -1,20 +1,20 @@
 /*!
-Places that are kept for tasks that are to last.
-
-A VM that is needed otherwise has to be left by the tasks that last on it. Such
-a task is missing from the moment at which it doesn't run, and a worker takes
-most of a second to stop it. So a worker that stays is chosen before the run is
-told to stop, and room is *kept* on it: nothing else may use that room, neither
-the next task that has to move nor a task of a queue's peak, until the task is
-started there or doesn't need it any more.
-
-A task without such a place stays at work where it is. Its pool is told what it
-lacks, so that a VM comes first.
-
-One that waits has a place kept too, where there is room for it once the short
-tasks are over that run there. Else small ones, which end one by one, would take
-each room that becomes free before there is enough for a large one, for as long
-as a peak goes on.
+Reservations of worker capacity for long-running tasks.
+
+When a VM is needed for something else, the long-running tasks on it have to
+move. Such a task is down from the moment at which it stops running, and a
+worker takes most of a second to stop it. A target worker is therefore chosen
+before the run is stopped, and capacity is *reserved* there. Nothing else may
+use that capacity, neither the next task to move nor a task of a load peak,
+until the task has started there or no longer needs it.
+
+A task without a reservation keeps running where it is. The demand is reported
+to its pool, so that the pool gets a VM first.
+
+A waiting long-running task gets a reservation too, on a worker that will have
+room once its short tasks have ended. Otherwise small tasks, which end one by
+one, would take any capacity that becomes free before there is enough for a
+large task, for as long as the peak lasts.
 */
 
 use {
@@ -35,75 +35,78 @@
 mod outranked;
 mod search;
 
-/// How long a task waits before a place is kept for it, in milliseconds: what is
-/// kept is used by nobody meanwhile, and a task that starts with one of the next
-/// plans needs none.
+/// How long a task waits before capacity is reserved for it, in milliseconds.
+/// Reserved capacity is idle meanwhile, and a task that starts in one of the
+/// next scheduling passes needs no reservation.
 const RESERVE_AFTER_MS: u64 = 200;
 
-/// How often it is looked which tasks wait and how the kept places are, in
-/// milliseconds: a tenth of what short tasks take.
+/// The interval between reviews of waiting tasks and reservations, in
+/// milliseconds: a tenth of the duration of short tasks.
 const REVIEW_INTERVAL_MS: u64 = 100;
 
-/// For how many tasks a look seeks a place, since each search goes through all
-/// workers of a pool. The next look goes on with the others.
+/// The maximum number of searches for a worker in one review, since each
+/// search goes through all workers of a pool. The next review continues with
+/// the remaining tasks.
 const MAX_SEARCHES_PER_REVIEW: usize = 16;
 
-/// How long a worker may take no orders, or not suit a task for some other
-/// passing reason, before its place counts as lost, in milliseconds: longer than
-/// a worker may wait before it answers a question, which clears up an order
-/// without an answer.
+/// How long a worker may accept no starts, or not suit a task for another
+/// transient reason, before its reservation counts as lost, in milliseconds.
+/// This exceeds the time that a worker may take to answer a question, which
+/// resolves an order without an answer.
 const UNFIT_GRACE_MS: u64 = 500;
 
-/// A task for which room is kept.
+/// Capacity reserved for one task.
 #[derive(Clone, Debug)]
 struct Reservation {
-    /// The worker that it is to leave; `None` for one that waited before.
+    /// The worker that the task must leave; `None` if the task was waiting.
     from: Option<WorkerId>,
-    /// Where room is kept for it.
+    /// The worker on which capacity is reserved.
     to: WorkerId,
-    /// Since when that worker hasn't suited it; `None` while it does.
+    /// Since when that worker hasn't suited the task; `None` while it does.
     unfit_since_ms: Option<u64>,
 }
 
-/// What becomes of a planned start.
+/// The state of a reservation.
 enum ReservationState {
-    /// It goes on as planned.
+    /// The reservation stands.
     Valid,
-    /// The task waits, and its room isn't free yet.
+    /// The task waits, and the reserved capacity isn't free yet.
     Pending,
-    /// The place is lost or doesn't suit any more.
+    /// The worker is gone or no longer suits the task.
     Lost,
-    /// No place is needed any more.
+    /// The task no longer needs a reservation.
     Unneeded,
 }
 
-/// What tasks take together, by pool.
+/// The combined demand of tasks, by pool.
 type Unplaced = BTreeMap<String, Resources>;
 
-/// The places that are kept.
+/// All reservations.
 #[derive(Debug, Default)]
 pub(super) struct Reservations {
     planned: BTreeMap<TaskId, Reservation>,
-    /// The tasks that should move, but for which their pools have no room.
+    /// The demand of tasks that should move but for which their pool has no
+    /// room.
     unplaced: Unplaced,
     reviewed_ms: u64,
-    /// The step with which the next look goes on, by its first waiting task.
+    /// The step with which the next review continues, as its first waiting
+    /// task.
     next_step: Option<TaskId>,
-    /// The planned start with which the next look goes on.
+    /// The reservation with which the next review continues.
     next_reservation: Option<TaskId>,
-    /// The gangs among those that have places kept.
+    /// The turns of gangs with reservations.
     turns: GangTurns,
-    /// How long single tasks have waited for their places.
+    /// How long individual tasks have waited for reserved capacity.
     pending_waits: PendingWaits,
 }
 
 impl Reservations {
-    /// Returns where room is kept for a task.
+    /// Returns the worker on which capacity is reserved for a task.
     pub(super) fn worker_for(&self, task: &TaskId) -> Option<&WorkerId> {
         self.planned.get(task).map(|planned| &planned.to)
     }
 
-    /// Returns whether room is kept for some task of a step.
+    /// Returns whether capacity is reserved for any task of a step.
     pub(super) fn has_any_for(&self, step: &Candidate) -> bool {
         let first = step.first_task();
         let last = TaskId { index: u32::MAX, ..first };
@@ -112,11 +115,12 @@
 }
 
 impl Scheduler {
-    /// Keeps a place for a task that has to leave a worker; returns it once
-    /// there is room.
+    /// Reserves capacity for a task that has to leave a worker. Returns the
+    /// target worker once the capacity is free.
     ///
-    /// In a peak of small tasks there never is room for a large one at once, so
-    /// it gets a place where short ones run out, and stays at work until then.
+    /// In a peak of small tasks there is never enough free room for a large
+    /// one. It then gets a reservation on a worker whose short tasks are
+    /// ending, and keeps running until these have ended.
     pub(super) fn plan_move(
         &mut self,
         task: &TaskId,
@@ -142,8 +146,8 @@
         None
     }
 
-    /// Returns whether the room that is kept for a task is there now, and lets
-    /// nobody else have it from now on.
+    /// Returns whether the capacity reserved for a task is free now. If so,
+    /// marks it as secured against all other tasks.
     fn claim_reserved_room(&mut self, task: &TaskId, to: &WorkerId) -> bool {
         let Some(room) = self.step_spec(task).map(demand) else {
             return false;
@@ -171,10 +175,10 @@
         self.places.planned.insert(*task, planned);
     }
 
-    /// Keeps the place of a task whose start has come to nothing: else the
-    /// tasks of a queue that goes first would take it.
+    /// Renews the reservation of a task whose start has failed; tasks of
+    /// queues with a higher priority would take the capacity otherwise.
     ///
-    /// Members of gangs keep their room however their run has ended.
+    /// For a gang member the capacity is reserved however its run has ended.
     pub(super) fn reserve_again(
         &mut self,
         task: &TaskId,
@@ -195,7 +199,7 @@
         }
     }
 
-    /// Stops a run whose task is to go on at `place`.
+    /// Stops a run whose task is to continue on the worker `place`.
     pub(super) fn displace(
         &mut self,
         task: &TaskId,
@@ -208,8 +212,9 @@
         self.stop_run(task, from, reason);
     }
 
-    /// Notes that a task that should move has no place for want of room: a VM
-    /// that comes would only help with that.
+    /// Records a task that should move but can't for lack of room. Other
+    /// causes are not recorded, since an additional VM would not help with
+    /// them.
     fn record_unplaced(&mut self, task: &TaskId) {
         let Some(job) = self.jobs.get(&task.job) else { return };
         let Some(spec) = job.step_spec(task) else { return };
@@ -229,14 +234,14 @@
         self.places.unplaced.entry(pool).or_default().add(&room);
     }
 
-    /// Forgets which tasks that should move had no place, since they are
-    /// looked at anew.
+    /// Clears the record of tasks without room, before they are examined
+    /// again.
     pub(super) fn clear_unplaced(&mut self) {
         self.places.unplaced.clear();
     }
 
-    /// Looks at the places that are kept, and keeps some for tasks that are to
-    /// last and have waited for a while.
+    /// Reviews all reservations, and reserves capacity for long-running tasks
+    /// that have waited for a while.
     pub(super) fn update_reservations(&mut self, now: Now) {
         if now.steady_ms < self.places.reviewed_ms + REVIEW_INTERVAL_MS {
             return;
@@ -247,8 +252,8 @@
         self.reserve_for_waiting(now);
     }
 
-    /// Gives up the places that nobody needs or that suit no more, and takes
-    /// others that are there first.
+    /// Releases reservations that aren't needed, replaces those that are lost,
+    /// and switches to workers that are free earlier.
     fn review_reservations(&mut self, now: Now) {
         let mut pending = Vec::new();
         let tasks = self.places.planned.keys().copied();
@@ -276,7 +281,8 @@
         }
     }
 
-    /// Seeks another place for a task that has lost its one.
+    /// Reserves capacity on another worker for a task whose reservation is
+    /// lost.
     fn replace_reservation(&mut self, task: &TaskId, now: Now) {
         let Some(planned) = self.places.planned.get(task).cloned() else {
             return;
@@ -289,7 +295,7 @@
         }
     }
 
-    /// Takes a place that is free now instead of one that will be.
+    /// Moves a pending reservation to a worker that has room now.
     fn switch_to_free_worker(&mut self, task: &TaskId, now: Now) {
         let planned = self.places.planned.get(task);
         let Some(from) = planned.map(|planned| planned.from.clone()) else {
@@ -301,10 +307,11 @@
         }
     }
 
-    /// Keeps places for tasks that are to last and have waited for a while.
+    /// Reserves capacity for long-running tasks that have waited for a while.
     fn reserve_for_waiting(&mut self, now: Now) {
         let mut steps = self.waiting_long_running_steps();
-        // Stable: nearly none had a turn, and these keep their order.
+        // The sort is stable: nearly no step has had a turn, and those without
+        // one keep their order.
         steps.sort_by_key(|step| self.places.turns.last_ms(step));
         let next = self.places.next_step.take();
         let is_next = |step: &TaskId| {
@@ -337,7 +344,7 @@
                 if let Some(to) = self.worker_with_room_soon(&task, now) {
                     self.reserve_room(&task, None, &to);
                 } else if !self.needs_own_placement(&task) {
-                    // The others of the step find none either.
+                    // The other tasks of the step can't be placed either.
                     break;
                 }
             }
@@ -345,7 +352,7 @@
     }
 
     /// Returns the tasks of a waiting step that could start and have waited
-    /// without a place.
+    /// without a reservation.
     fn tasks_to_reserve_for(&self, first: &TaskId, now: Now) -> Vec<TaskId> {
         let job = self.jobs.get(&first.job);
         let (Some(job), Some(step), Some(spec)) = (
@@ -370,9 +377,9 @@
             .collect()
     }
 
-    /// Returns the worker on which there is room for a task first, as far as
-    /// that can be told: the emptiest of those whose tasks that are to last
-    /// leave enough.
+    /// Returns the worker that is expected to have room for a task first: the
+    /// emptiest of the workers on which long-running tasks leave enough
+    /// capacity.
     fn worker_with_room_soon(
         &self,
         task: &TaskId,
@@ -389,8 +396,7 @@
         best.map(|worker| worker.id().clone())
     }
 
-    /// Returns whether a task waits for room that is kept for it and isn't
-    /// free yet.
+    /// Returns whether a task has a reservation whose capacity isn't free yet.
     pub(super) fn waits_for_reserved_room(
         &self,
         task: &TaskId,
@@ -403,8 +409,8 @@
         place.is_some_and(|p| !p.free_for(task).contains(demand))
     }
 
-    /// Returns how many VMs a pool needs so that its tasks that should move and
-    /// have no place get one; 0 if each has one.
+    /// Returns the number of VMs that a pool needs to place all tasks that
+    /// should move; 0 if each of them has room.
     pub(super) fn vms_needed_for_unplaced(&self, pool: &str) -> u64 {
         let Some(unplaced) = self.places.unplaced.get(pool) else { return 0 };
         let mut vm = Resources::default();
@@ -422,7 +428,7 @@
         self.pool_load(pool).workers() + more
     }
 
-    /// Gives the place up that is kept for a task, if there is one.
+    /// Releases the reservation of a task, if it has one.
     pub(super) fn release_reservation(&mut self, task: &TaskId, now: Now) {
         let Some(planned) = self.places.planned.remove(task) else { return };
         if let Some(worker) = self.workers.get_mut(&planned.to) {
@@ -430,7 +436,7 @@
         }
     }
 
-    /// Notes since when the worker that keeps a place hasn't suited its task.
+    /// Updates since when the worker of a reservation hasn't suited the task.
     fn update_fitness(&mut self, task: &TaskId, now: Now) {
         let planned = self.places.planned.get(task);
         let spec = self.step_spec(task);
@@ -481,7 +487,7 @@
     }
 }
 
-/// Returns whether a task still runs on a worker that it is to leave.
+/// Returns whether a task still runs on a worker that it must leave.
 fn must_leave(task: &TaskId, worker: &Worker) -> bool {
     let leaves = worker.drain_reason.is_some() || worker.is_terminating();
     worker.runs.get(task).is_some_and(|run| run.is_stopping() || leaves)
--- a/crates/dewspar/src/schedule/reservations/gang.rs
+++ b/crates/dewspar/src/schedule/reservations/gang.rs
@@ -1,23 +1,24 @@
 /*!
-Places that are kept for gangs that are to last.
-
-A gang starts as a whole, so room that is kept for some of its members only is
-used by nobody. Two gangs that each keep half of what the other needs would
-leave it idle for ever. So places are kept for all members at once, each beside
-whatever else is kept, or for none; and they are given up together where one is
-lost and no other is found. All that is kept can thus be used at the same time,
-and nobody who keeps room waits for room that another keeps.
-
-Short runs have to end first, and how long they take isn't known. So one waiting
-gang of a pool has its *turn* at a time, and a turn ends after a while, for as
-long as which the pool then paused, but for gangs that had none yet. The next turn of the
-gang is twice as long, so that short runs end within one however long they take,
-and gangs whose last turn was longest ago come first. Room thus stands idle for
-one gang a pool, and first turns aside, for half of the time at most.
-
-Where one member of a gang at work has to leave its worker, all end. So each
-one that has to leave gets a place first, and the others keep the room that they
-run in, from when they have ended.
+Reservations for long-running gangs.
+
+A gang starts completely or not at all, so capacity reserved for only some of
+its members is wasted. Two gangs that each hold half of what the other needs
+would deadlock. Capacity is therefore reserved for all members at once or for
+none, always in addition to all other reservations. If one reservation is lost
+and can't be replaced, all of them are released. All reservations can thus be
+used at the same time, and no gang waits for capacity that another one holds.
+
+Short runs have to end first, and their duration isn't known. Therefore only
+one waiting gang of a pool at a time has a *turn*. A turn ends after a timeout,
+and then reservations for gangs in the pool pause for the same duration, except
+for gangs that haven't had a turn yet. The next turn of the gang takes twice as
+long, so that short runs of any duration end within some turn. Gangs whose last
+turn was longest ago come first. Apart from first turns, capacity thus is idle
+for one gang a pool for at most half of the time.
+
+If one member of a running gang has to leave its worker, all members stop. Each
+member that has to leave therefore gets a reservation first, and the capacity
+of the others is reserved for them once they have ended.
 */
 
 use {
@@ -32,26 +33,27 @@
     std::collections::BTreeMap,
 };
 
-/// How long places are kept for a gang that doesn't start, in its first turn,
-/// in milliseconds: longer than nearly any short task takes.
+/// How long reservations are held for a gang that doesn't start in its first
+/// turn, in milliseconds. Nearly all short tasks end within this time.
 const TURN_MS: u64 = 6_000;
 
-/// How often a turn may be doubled: to 96 s, longer than any short task that we
-/// know of.
+/// How often a turn may be doubled: up to 96 s, longer than any known short
+/// task.
 const MAX_DOUBLINGS: u32 = 4;
 
-/// The gangs that have places kept, and those that had their turn.
+/// The gangs with reservations, and those whose turns have failed.
 #[derive(Debug, Default)]
 pub(super) struct GangTurns {
-    /// Since when places are kept for each, by its first task.
+    /// Since when each gang has had reservations, by its first task.
     since_ms: BTreeMap<TaskId, u64>,
-    /// The turns of waiting gangs that came to nothing.
-    over: BTreeMap<TaskId, FailedTurns>,
-    /// Until when nothing that isn't free is kept for gangs, by pool.
+    /// The failed turns of waiting gangs, by first task.
+    failed: BTreeMap<TaskId, FailedTurns>,
+    /// Until when a pool makes no reservations for gangs on capacity that
+    /// isn't free, except for gangs without a failed turn.
     paused_until_ms: BTreeMap<String, u64>,
 }
 
-/// The turns of a gang that came to nothing.
+/// The turns of a gang that ended without a start.
 #[derive(Clone, Copy, Debug, Default)]
 struct FailedTurns {
     count: u32,
@@ -59,42 +61,41 @@
 }
 
 impl GangTurns {
-    /// Returns when the last turn of a step that came to nothing was over; 0
-    /// for never.
+    /// Returns the end of the last failed turn of a step; 0 for none.
     pub(super) fn last_ms(&self, step: &TaskId) -> u64 {
-        let over = self.over.get(&TaskId { index: 0, ..*step });
+        let over = self.failed.get(&TaskId { index: 0, ..*step });
         over.map_or(0, |over| over.last_ms)
     }
 
-    /// Returns whether a gang had a turn and its pool paused.
+    /// Returns whether a gang has had a failed turn and its pool pauses.
     fn is_paused(&self, first: &TaskId, pool: &str, now_ms: u64) -> bool {
         let until_ms = self.paused_until_ms.get(pool);
-        self.over.contains_key(first)
+        self.failed.contains_key(first)
             && until_ms.is_some_and(|until_ms| now_ms < *until_ms)
     }
 
     fn turn_ms(&self, first: &TaskId) -> u64 {
-        let count = self.over.get(first).map_or(0, |over| over.count);
+        let count = self.failed.get(first).map_or(0, |over| over.count);
         TURN_MS << count.min(MAX_DOUBLINGS)
     }
 }
 
-/// What becomes of the places of a gang.
+/// The state of the reservations of a gang.
 enum GangReservationState {
-    /// They go on as planned.
+    /// The reservations stand.
     Valid,
-    /// These members have no place, or one that doesn't suit any more.
+    /// These members have no reservation, or one that is lost.
     Lacking(Vec<TaskId>),
-    /// They were kept for long enough.
+    /// The reservations have been held for the whole turn.
     TurnOver,
-    /// The same, and some members of the last run haven't ended yet.
+    /// The turn is over, but some members of the last run haven't ended yet.
     StillEnding,
-    /// No places are needed any more.
+    /// The gang no longer needs reservations.
     Unneeded,
 }
 
 impl Scheduler {
-    /// Returns whether a step's tasks are a gang that is to last.
+    /// Returns whether a task belongs to a long-running gang.
     pub(in crate::schedule) fn is_long_running_gang(
         &self,
         task: &TaskId,
@@ -103,8 +104,8 @@
         spec.is_some_and(|spec| spec.gang && spec.long_running)
     }
 
-    /// Keeps places for all members of a waiting gang, if there are any for
-    /// all; returns how many searches that took.
+    /// Reserves capacity for all members of a waiting gang, if there is enough
+    /// for all. Returns the number of searches made.
     pub(super) fn reserve_for_gang(
         &mut self,
         members: &[TaskId],
@@ -112,7 +113,7 @@
     ) -> usize {
         let Some(first) = members.first() else { return 0 };
         let Some(spec) = self.step_spec(first) else { return 0 };
-        // Members of the last run are still there.
+        // Members of the last run haven't ended yet.
         if members.len() < spec.count as usize {
             return 0;
         }
@@ -128,7 +129,7 @@
         searches
     }
 
-    /// Returns whether it may be the turn of a waiting gang.
+    /// Returns whether a waiting gang may have a turn.
     pub(super) fn may_have_turn(&self, step: &TaskId, now: Now) -> bool {
         let first = TaskId { index: 0, ..*step };
         let Some(job) = self.jobs.get(&first.job) else { return false };
@@ -137,7 +138,7 @@
             && !self.has_gang_with_reservations(pool)
     }
 
-    /// Returns whether places are kept for some gang of a pool.
+    /// Returns whether some gang of a pool has reservations.
     fn has_gang_with_reservations(&self, pool: &str) -> bool {
         let mut gangs = self.places.turns.since_ms.keys();
         gangs.any(|first| {
@@ -146,7 +147,7 @@
         })
     }
 
-    /// Keeps a place for each of some members.
+    /// Reserves capacity for each of some members.
     fn reserve_all(
         &mut self,
         members: &[TaskId],
@@ -160,15 +161,14 @@
         }
     }
 
-    /// Notes that places are kept for a task's gang, from now on if there were
-    /// none before.
+    /// Begins the turn of a member's gang, unless it has begun.
     fn begin_turn(&mut self, member: &TaskId, now: Now) {
         let first = TaskId { index: 0, ..*member };
         let turns = &mut self.places.turns.since_ms;
         turns.entry(first).or_insert(now.steady_ms);
     }
 
-    /// Returns the worker that a task runs on and is to leave, if there is one.
+    /// Returns the worker that a task runs on and must leave, if any.
     fn worker_to_leave(&self, task: &TaskId) -> Option<WorkerId> {
         let state = self.jobs.get(&task.job)?.task(task)?;
         let mut on = state.workers.iter();
@@ -179,8 +179,9 @@
         from.cloned()
     }
 
-    /// Keeps places for all members of a gang at work that have to leave their
-    /// workers; returns that of one of them once there is room for each.
+    /// Reserves capacity for all members of a running gang that must leave
+    /// their workers. Returns the worker for the given task once the capacity
+    /// for each of them is free.
     pub(super) fn plan_gang_move(
         &mut self,
         task: &TaskId,
@@ -203,8 +204,9 @@
             .flatten()
     }
 
-    /// Keeps places for members that have to leave and have none; returns
-    /// whether there were any for all, else the gang has none any more.
+    /// Reserves capacity for members that must leave and have no reservation.
+    /// Returns whether there was enough for all; if not, releases all
+    /// reservations of the gang.
     fn reserve_for_gang_move(&mut self, lacking: &[TaskId], now: Now) -> bool {
         let Some(first) = lacking.first() else { return true };
         let Some(job) = self.jobs.get(&first.job) else { return false };
@@ -241,10 +243,11 @@
         }
     }
 
-    /// Returns whether there is room now for each member of a waiting gang that
-    /// has places kept, there or elsewhere, and keeps that.
+    /// Returns whether each member of a waiting gang has room now, on its
+    /// reserved worker or elsewhere, and secures that capacity.
     ///
-    /// Not left to the next look: by then small tasks have taken what has come.
+    /// This isn't left to the next review: by then small tasks would have
+    /// taken the capacity that has become free.
     pub(in crate::schedule) fn claim_room_for_gang(
         &mut self,
         members: &[TaskId],
@@ -272,8 +275,8 @@
         false
     }
 
-    /// Returns whether the room that is kept for each of some members is there
-    /// now, and lets nobody else have what is.
+    /// Returns whether the capacity reserved for each of some members is free
+    /// now. Secures whatever is free.
     fn claim_all_reserved(&mut self, members: &[TaskId]) -> bool {
         let mut all = true;
         for member in members {
@@ -285,8 +288,8 @@
         all
     }
 
-    /// Gives back the room that is kept for a task that gets its place now;
-    /// returns what was kept.
+    /// Suspends the reservation of a task that is being placed. Returns it for
+    /// a later restore.
     pub(in crate::schedule) fn suspend_reservation(
         &mut self,
         task: &TaskId,
@@ -298,7 +301,7 @@
         Some(SuspendedReservation { task: *task, planned, room })
     }
 
-    /// Keeps again what was given back, since the gang couldn't start.
+    /// Restores a suspended reservation, since the gang couldn't start.
     pub(in crate::schedule) fn restore_reservation(
         &mut self,
         taken: SuspendedReservation,
@@ -311,8 +314,8 @@
         self.places.planned.insert(task, planned);
     }
 
-    /// Keeps the room of a member of a gang whose run has ended, so that it is
-    /// there once all members have.
+    /// Reserves the capacity of a gang member whose run has ended, so that it
+    /// is available once all members have ended.
     pub(in crate::schedule) fn reserve_room_of_member(
         &mut self,
         task: &TaskId,
@@ -359,11 +362,11 @@
         (0..count).map(|index| TaskId { index, ..*task }).collect()
     }
 
-    /// Gives up the places of gangs that nobody needs or that were kept for
-    /// long enough, and seeks others for those that are lost.
+    /// Releases reservations of gangs that aren't needed or whose turn is
+    /// over, and replaces those that are lost.
     ///
-    /// One waiting gang of a pool has places, so this goes through each worker
-    /// twice at most, but for gangs that have just ended.
+    /// Only one waiting gang of a pool has reservations, so this searches all
+    /// workers at most twice, except for gangs that have just ended.
     pub(super) fn review_gang_reservations(&mut self, now: Now) {
         let gangs: Vec<TaskId> =
             self.places.turns.since_ms.keys().copied().collect();
@@ -382,7 +385,7 @@
                 }
                 GangReservationState::Unneeded => {
                     self.release_gang_reservations(&first, now);
-                    self.places.turns.over.remove(&first);
+                    self.places.turns.failed.remove(&first);
                 }
             }
         }
@@ -418,7 +421,7 @@
         let mut lacking = Vec::new();
         for member in members {
             if self.places.worker_for(&member).is_none() {
-                // One that runs on has its room.
+                // A running member has its capacity already.
                 if all_wait {
                     lacking.push(member);
                 }
@@ -438,8 +441,8 @@
         }
     }
 
-    /// Seeks other places for some members, beside those of the others; gives
-    /// all up where there are none.
+    /// Reserves other capacity for some members, in addition to the
+    /// reservations of the others. Releases all of them if there is none.
     fn replace_gang_reservations(
         &mut self,
         first: &TaskId,
@@ -471,8 +474,8 @@
         }
     }
 
-    /// Gives the places of a gang up that were kept for long enough; its pool
-    /// paused for as long.
+    /// Ends the turn of a gang: releases its reservations and pauses
+    /// reservations for gangs in its pool for the same duration.
     fn end_turn(&mut self, first: &TaskId, now: Now) {
         let turn_ms = self.places.turns.turn_ms(first);
         self.release_gang_reservations(first, now);
@@ -480,12 +483,12 @@
         let turns = &mut self.places.turns;
         let until_ms = now.steady_ms + turn_ms;
         turns.paused_until_ms.insert(job.terms.pool.clone(), until_ms);
-        let over = turns.over.entry(*first).or_default();
+        let over = turns.failed.entry(*first).or_default();
         over.count += 1;
         over.last_ms = now.steady_ms;
     }
 
-    /// Gives up all places that are kept for a gang.
+    /// Releases all reservations of a gang.
     fn release_gang_reservations(&mut self, first: &TaskId, now: Now) {
         let last = TaskId { index: u32::MAX, ..*first };
         let first = TaskId { index: 0, ..*first };
@@ -497,12 +500,13 @@
         self.places.turns.since_ms.remove(&first);
     }
 
-    /// Forgets paused that are over, and the turns of gangs that have started.
+    /// Removes pauses that are over, and the failed turns of gangs that have
+    /// started.
     fn drop_finished_turns(&mut self, now: Now) {
         let (jobs, turns) = (&self.jobs, &mut self.places.turns);
         turns.paused_until_ms.retain(|_, until_ms| now.steady_ms < *until_ms);
         let paused = &turns.paused_until_ms;
-        turns.over.retain(|first, _| {
+        turns.failed.retain(|first, _| {
             let Some(job) = jobs.get(&first.job) else { return false };
             let step = job.step(first);
             let waits = step.is_some_and(|step| !step.waiting.is_empty());
@@ -512,7 +516,7 @@
     }
 }
 
-/// What was kept for a task.
+/// A reservation that has been suspended for a placement attempt.
 #[derive(Debug)]
 pub(in crate::schedule) struct SuspendedReservation {
     task: TaskId,
--- a/crates/dewspar/src/schedule/reservations/outranked.rs
+++ b/crates/dewspar/src/schedule/reservations/outranked.rs
@@ -1,11 +1,12 @@
 /*!
-Room that is kept for a task that waits, while others that go before it wait too.
+Release of reservations while tasks of a higher priority wait.
 
-Short runs have to end before a large task has its room. Nearly all do within
-seconds, but one that takes a minute lets the rest of its worker stand idle for as
-long. Where tasks of a queue with a higher priority wait meanwhile, the place is
-given up after a while, and kept again only after a pause of the same length.
-One that has to move keeps its place: it was at work.
+Short runs have to end before the capacity reserved for a large task is free.
+Nearly all end within seconds, but one that takes a minute keeps the rest of
+its worker idle for as long. If tasks of a queue with a higher priority wait
+meanwhile, the reservation is released after a timeout, and made again only
+after a pause of the same length. A task that has to move keeps its
+reservation, since it is running already.
 */
 
 use {
@@ -16,16 +17,17 @@
     std::collections::BTreeMap,
 };
 
-/// For how long room may stand idle for a task while others wait that go before
-/// it, in milliseconds: longer than nearly any short task takes.
+/// How long reserved capacity may be idle for a task while tasks with a higher
+/// priority wait, in milliseconds. Nearly all short tasks end within this
+/// time.
 const OUTRANKED_TIMEOUT_MS: u64 = 6_000;
 
-/// How long tasks have waited for kept room.
+/// How long tasks have waited for reserved capacity.
 #[derive(Debug, Default)]
 pub(super) struct PendingWaits {
-    /// Since when the room of each isn't free yet.
+    /// Since when each reservation has been pending.
     since_ms: BTreeMap<TaskId, u64>,
-    /// The tasks for which no room is kept, and until when.
+    /// The tasks that get no reservation for now, and until when.
     deferred_until_ms: BTreeMap<TaskId, u64>,
 }
 
@@ -36,8 +38,8 @@
 }
 
 impl Scheduler {
-    /// Gives up the places of tasks that have waited for them for long while
-    /// others wait that go before them; returns those that go on waiting.
+    /// Releases reservations that have been pending for too long while tasks
+    /// with a higher priority wait. Returns the remaining pending tasks.
     pub(super) fn release_outranked(
         &mut self,
         pending: Vec<TaskId>,
@@ -47,7 +49,7 @@
         pending_waits
             .deferred_until_ms
             .retain(|_, until| now.steady_ms < *until);
-        // In the order of their identifiers, and there may be hundreds.
+        // Sorted by identifier; there may be hundreds.
         let waits = |task: &TaskId| pending.binary_search(task).is_ok();
         pending_waits.since_ms.retain(|task, _| waits(task));
         for task in &pending {
@@ -67,8 +69,7 @@
         pending.into_iter().filter(goes_on).collect()
     }
 
-    /// Returns the tasks that have waited for their room for long and are to
-    /// give it up.
+    /// Returns the tasks whose pending reservations are to be released.
     fn outranked(&self, now: Now) -> Vec<TaskId> {
         let since_ms = self.places.pending_waits.since_ms.iter();
         let overdue = since_ms.filter(|(task, since_ms)| {
@@ -77,7 +78,7 @@
                 && planned.is_some_and(|planned| planned.from.is_none())
         });
         let mut overdue = overdue.map(|(task, _)| *task).peekable();
-        // Nearly none ever is, and thousands of steps may wait.
+        // Nearly always empty, whereas thousands of steps may be waiting.
         if overdue.peek().is_none() {
             return Vec::new();
         }
--- a/crates/dewspar/src/schedule/reservations/search.rs
+++ b/crates/dewspar/src/schedule/reservations/search.rs
@@ -1,10 +1,10 @@
 /*!
-Workers for several members of a gang at once.
+Placement of several members of a gang at once.
 
-Members are alike as a rule, so the workers are gone through once, and each
-member is put on the one that has most processor time left beside those that were
-put there before: there short runs end first. Only a member that has failed on
-some worker or may crash them is looked for by itself.
+Members are usually interchangeable, so the workers are searched once. Each
+member is assigned to the worker with most processor time left after the
+previous assignments, since short runs end first there. Only a member that has
+failed on some worker or may crash workers is searched for individually.
 */
 
 use {
@@ -19,16 +19,17 @@
     std::collections::{BTreeMap, BinaryHeap, HashMap},
 };
 
-/// A worker for each member of a gang, or for how many there is none.
+/// A worker for each member of a gang, or the number of members without a
+/// worker.
 pub(super) type MemberWorkers = Result<Vec<WorkerId>, u64>;
 
 /// A worker that has room for some members.
 #[derive(Eq, Ord, PartialEq, PartialOrd)]
 struct WorkerOption<'a> {
-    /// Whether its VM isn't to be maintained soon.
+    /// Whether its VM has no pending maintenance.
     stays: bool,
-    /// The processor time that is free there now, less that of the members
-    /// that were put there, in thousandths of a core.
+    /// The free processor time minus that of the members assigned so far, in
+    /// thousandths of a core. Negative while short runs use the capacity.
     free_cpu_millis: i64,
     id: &'a WorkerId,
     /// How many more members it has room for.
@@ -36,7 +37,8 @@
 }
 
 impl WorkerOption<'_> {
-    /// Returns what is left once one more member was put there, if anything.
+    /// Returns what is left after one more member has been assigned, if
+    /// anything.
     fn after_one_more(self, demand: &Resources) -> Option<Self> {
         // OK to convert: no VM has so many cores.
         let taken = demand.cpu_millis as i64;
@@ -47,14 +49,15 @@
     }
 }
 
-/// The members of one gang that were put on workers in thought.
+/// Tentative assignments of the members of one gang to workers.
 #[derive(Default)]
 struct Assignments<'a> {
     on: HashMap<&'a WorkerId, u64>,
 }
 
 impl<'a> Assignments<'a> {
-    /// Returns what a worker offers a member beside those that were put there.
+    /// Returns what a worker offers a member besides the members assigned so
+    /// far.
     fn option(
         &self,
         scheduler: &Scheduler,
@@ -91,16 +94,17 @@
 }
 
 impl Scheduler {
-    /// Returns how many members have to be looked for by themselves.
+    /// Returns the number of members that need an individual search.
     pub(super) fn individual_searches(&self, members: &[TaskId]) -> usize {
         let own =
             members.iter().filter(|member| self.needs_own_placement(member));
         own.count()
     }
 
-    /// Returns a worker for each of some members of a gang that have no place.
+    /// Returns a worker for each of some members of a gang that have no
+    /// reservation.
     ///
-    /// Goes through the workers once for all that are alike.
+    /// Searches the workers only once for all interchangeable members.
     pub(super) fn place_members(
         &self,
         spec: &StepSpec,
@@ -124,7 +128,7 @@
         if lacking > 0 { Err(lacking) } else { Ok(found) }
     }
 
-    /// Puts members on workers, each looked for by itself.
+    /// Assigns members to workers, with a separate search for each member.
     fn place_individually<'a, 'm>(
         &'a self,
         spec: &StepSpec,
@@ -147,7 +151,7 @@
         places
     }
 
-    /// Puts members on workers that suit the first of them.
+    /// Assigns members to workers that suit the first of them.
     fn place_uniform<'a, 'm>(
         &'a self,
         spec: &StepSpec,
--- a/crates/dewspar/src/schedule/token_claims.rs
+++ b/crates/dewspar/src/schedule/token_claims.rs
@@ -1,18 +1,19 @@
 /*!
-Workers that have seen a later token than the holder's.
+Claims by workers that they have seen a later fencing token.
 
-A worker refuses what comes under a lower token than it has seen. That is how a
-holder learns from workers that another node has taken the lease over, at times
-before the store says so. But one worker alone may be wrong: somebody else has
-given it a token, or it has kept one from another store. The next holder would
-meet the same worker, so that one of them could keep every node from
-scheduling.
+A worker rejects orders under a lower token than it has seen. From such a
+rejection a lease holder learns that another node has taken over the lease, at
+times before the store reports it. But a single worker may be wrong: it may
+have received a token from elsewhere, or kept one from another store. The next
+holder would meet the same worker, so a single such worker could keep every
+node from scheduling.
 
-So after such an answer the holder orders nothing, until the store has renewed
-its lease in answer to a call that was sent later. Another node can only have
-taken the lease over before it gave a worker its token, so by then the lease
-would have been gone. What the worker says is then *disproved*, and it counts
-as silent until it answers again. A holder whose lease is not renewed leaves.
+After a claim the holder therefore sends no orders until the store has renewed
+its lease in response to a call sent after the claim. Another node must have
+taken over the lease before it gave a worker its token, so in that case the
+renewal would have failed. A renewal thus *disproves* the claim, and the worker
+counts as silent until it answers again. A holder whose lease isn't renewed
+steps down.
 
 # Example
 
@@ -32,31 +33,32 @@
     std::collections::BTreeSet,
 };
 
-/// Of how many workers one may have no token left before the holder gives the
-/// lease up: at a tenth the others are in want of it, and loading all jobs
-/// anew costs about a second.
+/// The lease is given up if at least one worker in this many has no token
+/// left. At a tenth of the workers their loss is felt, and loading all jobs
+/// again under another lease costs only about a second.
 const WORKERS_PER_EXHAUSTED: usize = 10;
 
-/// What workers have said of later tokens.
+/// Claims by workers that they have seen a later token.
 #[derive(Debug, Default)]
 pub(super) struct TokenClaims {
-    /// When one last did, unless the lease was renewed since.
+    /// When the newest claim was made, unless the lease has been renewed
+    /// since.
     claimed_ms: Option<u64>,
-    /// Those that did since the lease was renewed.
+    /// The workers with a claim since the last renewal of the lease.
     open: BTreeSet<WorkerId>,
-    /// Those that did before it was.
+    /// The workers whose claim was followed by a renewal of the lease.
     disproved: BTreeSet<WorkerId>,
 }
 
 impl TokenClaims {
-    /// Notes that a worker has answered under this holder's token.
+    /// Records that a worker has answered under this holder's token.
     pub(super) fn answered(&mut self, worker: &WorkerId) {
         if !self.disproved.is_empty() {
             self.disproved.remove(worker);
         }
     }
 
-    /// Forgets what a worker's process said that has ended.
+    /// Removes the claims of a worker process that has ended.
     pub(super) fn forget(&mut self, worker: &WorkerId) {
         self.open.remove(worker);
         self.disproved.remove(worker);
@@ -64,14 +66,14 @@
 }
 
 impl Scheduler {
-    /// Returns whether a worker has shown that another node holds the lease,
-    /// and the store hasn't said since that it doesn't.
+    /// Returns whether a worker has claimed that another node holds the lease,
+    /// and no renewal by the store has disproved that yet.
     pub fn may_be_superseded(&self) -> bool {
         self.claims.claimed_ms.is_some()
     }
 
-    /// Notes that the store has renewed the lease in answer to a call that was
-    /// sent at this time of the steady clock, in milliseconds.
+    /// Records that the store has renewed the lease in response to a call sent
+    /// at this time of the steady clock, in milliseconds.
     pub fn lease_renewed(&mut self, sent_ms: u64) {
         let claimed_ms = self.claims.claimed_ms;
         if claimed_ms.is_none_or(|claimed_ms| sent_ms <= claimed_ms) {
@@ -84,7 +86,7 @@
         }
     }
 
-    /// Notes that a worker refuses the newest token as too low.
+    /// Records that a worker has rejected the newest token as too low.
     pub(super) fn later_token_seen(&mut self, worker_id: &WorkerId, now: Now) {
         if self.claims.disproved.contains(worker_id) {
             return;
@@ -96,9 +98,9 @@
         }
     }
 
-    /// Returns whether there is no later token for too many workers under this
-    /// lease: another holder has to go on, under a lease of its own. A single
-    /// one only gets no more to run.
+    /// Returns whether too many workers have no token left under this lease.
+    /// Another holder then has to continue under a lease of its own. Fewer
+    /// such workers just get no more tasks.
     pub fn is_out_of_tokens(&self) -> bool {
         let out = self.workers.values().filter(|w| w.is_out_of_tokens());
         let out = out.count();
--- a/crates/dewspar/src/schedule/worker.rs
+++ b/crates/dewspar/src/schedule/worker.rs
@@ -17,117 +17,120 @@
 mod hold;
 mod restart;
 
-/// Room in a fencing token for the orders of one lease holder that had to
-/// be fenced off themselves, a power of two.
+/// The number of fencing tokens available to one lease, a power of two. A
+/// lease holder uses another token to fence off earlier orders of its own.
 ///
-/// Tokens travel as JSON numbers, so the lease's revision times this stays
+/// Tokens are sent as JSON numbers: the lease's revision times this stays
 /// below 2^53 for the first 2^43 revisions.
 const TOKENS_PER_LEASE: u64 = 1 << 10;
 
-/// How many jobs must fail on a worker in a row, with no task done between,
-/// before it is held to be at fault itself.
+/// The number of different jobs that must fail on a worker, with no task done
+/// in between, before the worker is suspended as faulty.
 ///
 /// One may be a job that fails everywhere; two by chance are rare.
 const FAILED_JOBS_TO_SUSPEND: usize = 2;
 
-/// How many starts in a row must get no answer, each under a token of its own
-/// and with none taken between, before a worker is held to be at fault itself.
+/// The number of consecutive starts without an answer, each under a token of
+/// its own and with none accepted in between, before a worker is suspended as
+/// faulty.
 ///
-/// Where half of all answers are lost, that happens by chance once in 65,536
-/// times; where the holder itself is late, a start that is taken in time begins
-/// the count anew.
+/// If half of all answers are lost, that happens by chance once in 65,536
+/// times. If the lease holder itself is slow, any start that is accepted in
+/// time resets the count.
 const UNANSWERED_TO_SUSPEND: u32 = 16;
 
-/// What a run takes in the answer to a question, in bytes.
+/// The size of a run in the answer to a hold, in bytes.
 const RUN_BYTES: u64 = 60;
 
-/// Which part of its lease a worker may use up before a question that renews
-/// it goes before all else, in percent: 3 of 8 s, so that several tries are
-/// left.
+/// How much of its lease a worker may use up before a hold that renews the
+/// lease gets priority over other traffic, in percent: 3 of 8 s, which leaves
+/// time for several attempts.
 const RENEWAL_DUE_PERCENT: u64 = 38;
 
-/// How many tokens of a lease were used up on a worker.
+/// The number of tokens of a lease used up on a worker.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct TokensUsed(u64);
 
-/// Why a worker is being emptied.
+/// Why a worker is being drained.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) enum DrainReason {
-    /// Its VM is to be maintained for this wave.
+    /// Its VM is needed for maintenance by this wave.
     Maintenance(u64),
     /// Its VM is to move to this pool.
     Move(String),
 }
 
-/// Room that is kept on a worker for one task.
+/// Capacity reserved on a worker for one task.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ReservedRoom {
-    /// What the task takes.
+    /// The demand of the task.
     pub(crate) room: Resources,
-    /// Whether that was free when it was kept; else short tasks have to end
-    /// first.
+    /// Whether the capacity was free when it was reserved; otherwise short
+    /// tasks have to end first.
     pub(crate) was_free: bool,
 }
 
 impl ReservedRoom {
-    /// Returns what nobody else can have taken.
+    /// Returns the part of the reservation that no other task can have taken.
     fn secured(&self) -> Resources {
         if self.was_free { self.room } else { Resources::default() }
     }
 }
 
-/// What is known of one run on a worker.
+/// The state of one run on a worker.
 #[derive(Clone, Debug)]
 pub(crate) struct Run {
     pub(crate) run: u64,
-    /// The token of the order that started it; 0 if it was found running.
+    /// The token of the order that started it; 0 if the run was found on the
+    /// worker.
     pub(crate) fence: u64,
     pub(crate) demand: Resources,
     pub(crate) state: RunState,
-    /// When it was ordered or found.
+    /// When the run was ordered or found.
     pub(crate) since_ms: u64,
-    /// From when on it is known to have been there, on its worker's clock.
+    /// Since when the run is confirmed to exist, on the worker's clock.
     pub(crate) confirmed_from_ms: Option<u64>,
     pub(crate) percent: u8,
-    /// When its percentage last moved.
+    /// When the percentage last changed.
     pub(crate) moved_ms: u64,
     pub(crate) gauge: u64,
-    /// The share at which it was ordered to work, in percent.
+    /// The pace at which the run was ordered to work, in percent.
     pub(crate) pace: u8,
-    /// Whether its task may crash workers, unless it has cleared that.
+    /// Whether the task may crash workers, unless it has been cleared.
     pub(crate) suspicion: Suspicion,
-    /// Whether it is known what it takes.
+    /// Whether the resources that the run uses are known.
     pub(crate) measured: bool,
-    /// Whether its task is to last.
+    /// Whether the task is long-running.
     pub(crate) long_running: bool,
-    /// Whether its worker's process has listed it.
+    /// Whether the worker process has listed the run.
     pub(crate) is_listed: bool,
-    /// Whether the process that it was ordered of has ended, while it isn't
-    /// known whether the next one has it.
+    /// Whether the process to which the run was ordered has ended and it isn't
+    /// known whether the next process has the run.
     pub(crate) process_has_ended: bool,
 }
 
-/// Whether a run's task may crash workers; see `suspects`.
+/// Whether the task of a run may crash workers; see `suspects`.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub(crate) struct Suspicion {
-    /// How many workers in a row were lost under the task.
+    /// The number of workers lost in a row while they ran the task.
     pub(crate) crashes: u32,
-    /// Whether nothing may start beside the run.
+    /// Whether no other run may start on the worker.
     pub(crate) tested: bool,
 }
 
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum RunState {
-    /// The order to start it has no answer yet.
+    /// The order to start the run has no answer yet.
     Starting,
-    /// The worker has said that it is there.
+    /// The worker has confirmed the run.
     Running,
-    /// It is to stop; its room is taken until the end is listed.
+    /// The run is to stop. Its resources stay in use until the worker reports
+    /// its end.
     Stopping(Stop),
 }
 
 impl Run {
-    /// Makes a run that is ordered now and isn't known to have begun.
+    /// Creates a run that has just been ordered and isn't known to have begun.
     pub(crate) fn ordered(
         run: u64,
         fence: u64,
@@ -153,13 +156,13 @@
         }
     }
 
-    /// Sets whether its task is to last.
+    /// Sets whether the task is long-running.
     pub(crate) fn with_long_running(mut self, long_running: bool) -> Run {
         self.long_running = long_running;
         self
     }
 
-    /// Sets whether its task may crash workers.
+    /// Sets whether the task may crash workers.
     pub(crate) fn with_suspicion(mut self, suspicion: Suspicion) -> Run {
         self.suspicion = suspicion;
         self
@@ -169,7 +172,7 @@
         matches!(self.state, RunState::Stopping(_))
     }
 
-    /// Returns whether the worker has said that it is there.
+    /// Returns whether the worker has confirmed that the run began.
     pub(crate) fn has_begun(&self) -> bool {
         match self.state {
             RunState::Starting => false,
@@ -178,22 +181,23 @@
         }
     }
 
-    /// Notes that it was there by this time of its worker's clock.
+    /// Records that the run existed at this time of the worker's clock.
     pub(crate) fn confirm(&mut self, worker_ms: u64) {
         self.confirmed_from_ms.get_or_insert(worker_ms);
     }
 
-    /// Returns for how long its worker had confirmed it by this time of that
-    /// worker's clock, in milliseconds; 0 if it isn't known to have begun.
+    /// Returns for how long the worker had confirmed the run by this time of
+    /// its own clock, in milliseconds; 0 if the run isn't known to have begun.
     ///
-    /// By the worker's clock, since an answer may be on its way for longer
-    /// than the worker lives on.
+    /// The worker's clock counts here, since an answer may be in transit for
+    /// longer than the worker exists.
     pub(crate) fn confirmed_ms(&self, worker_ms: u64) -> u64 {
         let from_ms = self.confirmed_from_ms.unwrap_or(worker_ms);
         worker_ms.saturating_sub(from_ms)
     }
 
-    /// Returns from when it is to be ordered to stop, if it is to stop.
+    /// Returns when the next order to stop the run is due, if the run is to
+    /// stop.
     pub(crate) fn stop_due_ms(&self, options: &Options) -> Option<u64> {
         match &self.state {
             RunState::Starting | RunState::Running => None,
@@ -211,7 +215,7 @@
     }
 }
 
-/// An end whose change isn't stored yet.
+/// A reported end whose change isn't stored yet.
 #[derive(Clone, Copy, Debug)]
 struct UnstoredEnd {
     number: u64,
@@ -219,33 +223,34 @@
     sequence: u64,
 }
 
-/// One process of a worker as the holder of the scheduler lease sees it.
+/// The state of one worker process, as known to the lease holder.
 #[derive(Debug)]
 pub(crate) struct Worker {
-    /// Since when it is known, as a number of its own.
+    /// The session number, which is unique to each worker process that is
+    /// added.
     pub(crate) session: u64,
     pub(crate) listing: WorkerListing,
     pub(crate) runs: BTreeMap<TaskId, Run>,
     used: Resources,
-    /// What the runs of that take whose tasks are to last.
+    /// The part of `used` that belongs to long-running tasks.
     used_by_long_running: Resources,
-    /// What is kept free for tasks that are to start here.
+    /// The capacity reserved for tasks that are to start here.
     reserved: BTreeMap<TaskId, ReservedRoom>,
-    /// The sum of that.
+    /// The sum of all reservations.
     reserved_room: Resources,
-    /// The sum of what of that is there already.
+    /// The sum of the reservations on capacity that was free.
     secured_room: Resources,
-    /// How many of the runs are suspected.
+    /// The number of runs under suspicion.
     suspects: usize,
-    /// How many of the runs want nothing started beside them.
+    /// The number of runs beside which nothing may start.
     tested: usize,
     lease_revision: u64,
     fences: u64,
-    /// Whether an answer under the current token is still owed; no order is
-    /// sent before it.
+    /// Whether an answer under the current token is outstanding. No other
+    /// order is sent before it arrives.
     fencing: bool,
-    /// Whether it ever answered under this lease, so that what a former
-    /// holder started there is known.
+    /// Whether the worker has answered under this lease, so that the runs
+    /// started by a former holder are known.
     pub(crate) synced: bool,
     seen_end: u64,
     stored_end: u64,
@@ -253,58 +258,60 @@
     unstored: VecDeque<UnstoredEnd>,
     clock: Option<ClockReading>,
     latest_report_ms: u64,
-    /// Until when it has confirmed that its runs may go on, on its clock; 0
-    /// for not yet.
+    /// Until when the worker has confirmed the lease of its runs, on its own
+    /// clock; 0 for not yet.
     confirmed_until_ms: u64,
-    /// When everything on it is certainly over unless the lease is renewed.
+    /// When all runs on the worker have certainly ended unless the lease is
+    /// renewed.
     pub(crate) lease_over_ms: u64,
     hold_in_flight: bool,
-    /// When the newest question was sent that isn't under a new token.
+    /// When the newest hold was sent, except those under a new token.
     asked_ms: u64,
     fence_hold_in_flight: bool,
     next_hold_ms: u64,
-    /// Until when it isn't polled, so that it gathers ends.
+    /// Until when no holds are sent, so that the worker collects ends.
     backoff_until_ms: u64,
-    /// Whether the last hold got no answer. A single answer may be lost on
-    /// its way; only a second one in a row makes the worker silent.
+    /// Whether the last hold got no answer. A single answer may be lost in
+    /// transit; only a second consecutive loss marks the worker as silent.
     missed_hold: bool,
-    /// Whether it may wait longer for an end than usual.
+    /// Whether the worker may delay its answers for longer than usual.
     long_poll: bool,
-    /// Whether its newest answer names jobs that aren't loaded yet.
+    /// Whether the newest answer lists runs of jobs that aren't loaded yet.
     unknown_runs: bool,
-    /// Since when it hasn't answered; `None` while it does.
+    /// Since when the worker hasn't answered; `None` while it does.
     pub(crate) silent_since_ms: Option<u64>,
-    /// When the first call got no answer since its newest answer.
+    /// When the first unanswered call since the newest answer failed.
     unanswered_since_ms: Option<u64>,
     failed_jobs: BTreeSet<JobId>,
-    /// Whether the last start was refused though there seemed to be room.
+    /// Whether the last start was refused although there seemed to be room.
     last_start_refused: bool,
-    /// How many starts in a row got no answer, each under another token.
+    /// The number of consecutive starts without an answer, each under another
+    /// token.
     unanswered_starts: u32,
     suspended_until_ms: u64,
     suspensions: u32,
     /// When the pace of a run was last changed.
     paced_ms: u64,
-    /// The runs whose last order to pace them has no result.
+    /// The runs whose last pace order has no result.
     pub(crate) unset_paces: BTreeSet<TaskId>,
-    /// Why it is being emptied, if it is.
+    /// Why the worker is being drained, if it is.
     pub(crate) drain_reason: Option<DrainReason>,
     pub(crate) drain_since_ms: u64,
-    /// Since when nothing has run on it.
+    /// Since when the worker has had no run.
     pub(crate) idle_since_ms: u64,
-    /// When it was first seen.
+    /// When the worker was first listed in the directory.
     pub(crate) first_listed_ms: u64,
-    /// Whether the directory still lists it.
+    /// Whether the directory still lists the worker.
     pub(crate) listed: bool,
-    /// As of when it is known what it says of itself.
+    /// The time as of which the listing is known.
     pub(crate) reported_at_ms: u64,
-    /// How many of the runs take nobody knows what.
+    /// The number of runs whose resource usage is unknown.
     unmeasured: usize,
-    /// Whether its newest answer had runs that couldn't be read.
+    /// Whether the newest answer listed runs that couldn't be read.
     unread_runs: bool,
-    /// Whether the lists of its last answer were passed over as old.
+    /// Whether the lists of the last answer were ignored as outdated.
     lists_passed_over: bool,
-    /// Whether its lease was over and it hasn't answered since.
+    /// Whether the lease has expired and the worker hasn't answered since.
     is_lapsed: bool,
 }
 
@@ -369,17 +376,18 @@
         }
     }
 
-    /// Returns whether it tells which of its processes it is.
+    /// Returns whether the worker reports the incarnation of its process.
     pub(crate) fn reports_incarnation(&self) -> bool {
         self.listing.incarnation != Incarnation::UNKNOWN
     }
 
-    /// Returns how many tokens were used up on it.
+    /// Returns the number of tokens used up on the worker.
     pub(crate) fn tokens_used(&self) -> TokensUsed {
         TokensUsed(self.fences)
     }
 
-    /// Returns whether its lease was over and it hasn't answered since.
+    /// Returns whether the lease has expired and the worker hasn't answered
+    /// since.
     pub(crate) fn is_lapsed(&self) -> bool {
         self.is_lapsed
     }
@@ -392,11 +400,11 @@
         self.lease_revision * TOKENS_PER_LEASE + self.fences
     }
 
-    /// Returns what is free for tasks that take their share of processor and
-    /// for which nothing is kept here.
+    /// Returns the free capacity without any reservations.
     pub(crate) fn free(&self) -> Resources {
         let unused = self.listing.capacity.minus(&self.used);
-        // Nearly all keep nothing, and this is asked of each worker of a pool.
+        // Fast path: nearly all workers have no reservation, and this is
+        // called for each worker of a pool.
         if self.reserved.is_empty() {
             unused
         } else {
@@ -404,23 +412,24 @@
         }
     }
 
-    /// Returns what is free for a task, with what is kept for it.
+    /// Returns the free capacity for a task, including its own reservation.
     pub(crate) fn free_for(&self, task: &TaskId) -> Resources {
         let Some(own) = self.reserved.get(task) else { return self.free() };
         let unused = self.listing.capacity.minus(&self.used);
-        // What others wait for isn't there yet, and must not stand in the way
-        // of what is: two that wait would keep each other out.
+        // Reservations on capacity that isn't free yet must not block capacity
+        // that is: two waiting tasks would block each other.
         unused.minus(&self.secured_room.minus(&own.secured()))
     }
 
-    /// Returns what is free for a task once all is over that isn't to last.
+    /// Returns the capacity that will be free for a task once all short tasks
+    /// have ended.
     pub(crate) fn free_soon_for(&self, task: &TaskId) -> Resources {
         let own = self.reserved.get(task).map(|reserved| reserved.room);
         let others = self.reserved_room.minus(&own.unwrap_or_default());
         self.listing.capacity.minus(&self.used_by_long_running).minus(&others)
     }
 
-    /// Keeps room for a task that is to start here.
+    /// Reserves capacity for a task that is to start here.
     pub(crate) fn reserve_for(
         &mut self,
         task: TaskId,
@@ -430,7 +439,7 @@
         self.sum_reserved();
     }
 
-    /// Gives the room back that was kept for a task.
+    /// Releases the capacity reserved for a task.
     pub(crate) fn release(&mut self, task: &TaskId, now_ms: u64) {
         if self.reserved.remove(task).is_none() {
             return;
@@ -450,7 +459,7 @@
         }
     }
 
-    /// Returns whether room is kept here for some task.
+    /// Returns whether capacity is reserved for any task.
     pub(crate) fn has_reservations(&self) -> bool {
         !self.reserved.is_empty()
     }
@@ -472,7 +481,7 @@
         }
     }
 
-    /// Takes a run that is no longer there off all that is counted.
+    /// Subtracts a removed run from all totals.
     fn subtract_run(&mut self, run: &Run) {
         self.used.subtract(&run.demand);
         if run.long_running {
@@ -483,14 +492,15 @@
         self.unmeasured -= usize::from(!run.measured);
     }
 
-    /// Returns whether what it says of itself is known as of a later time than
-    /// this one of the steady clock, in milliseconds.
+    /// Returns whether the listing is known as of a later time than this one
+    /// of the steady clock, in milliseconds.
     pub(crate) fn is_reported_since(&self, asked_ms: u64) -> bool {
         self.reported_at_ms > asked_ms
     }
 
-    /// Returns whether it is known for sure what it has room for: what it
-    /// said of itself is no older than that, and so is all that runs there.
+    /// Returns whether the free capacity is known for certain: the listing
+    /// isn't older than the given age, and the resource usage of all runs is
+    /// known.
     pub(crate) fn has_current_room(
         &self,
         now_ms: u64,
@@ -501,17 +511,17 @@
             && !self.unread_runs
     }
 
-    /// Returns whether it has a run whose task may crash workers.
+    /// Returns whether some run belongs to a task that may crash workers.
     pub(crate) fn has_suspects(&self) -> bool {
         self.suspects > 0
     }
 
-    /// Returns whether it has a run beside which nothing may start.
+    /// Returns whether the worker has a run beside which nothing may start.
     pub(crate) fn tests_a_run(&self) -> bool {
         self.tested > 0
     }
 
-    /// Notes that a run is no longer suspected.
+    /// Clears the suspicion against a run.
     pub(crate) fn clear_suspicion(&mut self, task: &TaskId) {
         let Some(run) = self.runs.get_mut(task) else { return };
         self.suspects -= usize::from(run.suspicion.crashes > 0);
@@ -533,8 +543,8 @@
         Some(run)
     }
 
-    /// Counts the runs of a task's step here, and the others of the step for
-    /// which room is kept.
+    /// Returns the number of runs of a task's step, plus the number of
+    /// reservations for other tasks of the step.
     pub(crate) fn runs_of_step(&self, task: &TaskId) -> usize {
         let first = TaskId { index: 0, ..*task };
         let last = TaskId { index: u32::MAX, ..*task };
@@ -543,32 +553,33 @@
         self.runs.range(first..=last).count() + reserved
     }
 
-    /// Returns when its newest answer came.
+    /// Returns when the newest answer arrived.
     pub(crate) fn reported_ms(&self) -> u64 {
         self.clock.map_or(0, |clock| clock.at_ms)
     }
 
-    /// Returns the latest time of its clock that an answer told; 0 for none.
+    /// Returns the latest time of the worker's clock in an answer; 0 for none.
     pub(crate) fn answered_worker_ms(&self) -> u64 {
         self.clock.map_or(0, |clock| clock.worker_ms)
     }
 
-    /// Returns the time of its clock at which it last named its runs.
+    /// Returns the time of the worker's clock at which it last listed its
+    /// runs.
     pub(crate) fn latest_report_ms(&self) -> u64 {
         self.latest_report_ms
     }
 
-    /// Returns when the first call got no answer since its newest answer.
+    /// Returns when the first unanswered call since the newest answer failed.
     pub(crate) fn unanswered_since_ms(&self) -> Option<u64> {
         self.unanswered_since_ms
     }
 
-    /// Notes that a call got no answer.
+    /// Records that a call got no answer.
     pub(crate) fn record_unanswered(&mut self, now_ms: u64) {
         self.unanswered_since_ms.get_or_insert(now_ms);
     }
 
-    /// Returns whether the pace of its runs may change again.
+    /// Returns whether the pace of a run may be changed again.
     pub(crate) fn is_pace_due(&self, now_ms: u64, interval_ms: u64) -> bool {
         now_ms >= self.paced_ms + interval_ms
     }
@@ -577,13 +588,13 @@
         self.paced_ms = now_ms;
     }
 
-    /// Returns whether it is known what a former holder started on it.
+    /// Returns whether the runs started by former lease holders are known.
     pub(crate) fn runs_are_known(&self) -> bool {
         self.synced && !self.unknown_runs
     }
 
-    /// Returns whether its newest answer under this lease named all that runs
-    /// there, and all of it could be read.
+    /// Returns whether the newest answer under this lease listed all runs and
+    /// all of them could be read.
     pub(crate) fn has_listed_all_runs(&self) -> bool {
         self.runs_are_known() && !self.unread_runs
     }
@@ -596,32 +607,32 @@
         self.unknown_runs = unknown;
     }
 
-    /// Returns whether something runs on it or may do so.
+    /// Returns whether the worker has runs or may have some.
     fn is_occupied(&self) -> bool {
         !self.runs.is_empty() || self.unknown_runs
     }
 
-    /// Returns whether anything runs on it, or may do so, that isn't to stop.
+    /// Returns whether the worker has, or may have, a run that isn't to stop.
     fn has_wanted_runs(&self) -> bool {
-        // What couldn't be read may be wanted.
+        // Runs that couldn't be read may be wanted.
         let unread = self.unread_runs && !self.runs.is_empty();
         let mut runs = self.runs.values();
         self.unknown_runs || unread || runs.any(|run| !run.is_stopping())
     }
 
-    /// Returns whether it is there for new tasks, now or in a moment.
+    /// Returns whether the worker can take new tasks, now or soon.
     pub(crate) fn is_usable(&self) -> bool {
         self.runs_are_known()
             && self.listed
             && !self.listing.draining
             && self.drain_reason.is_none()
             && self.silent_since_ms.is_none()
-            // A start without an answer couldn't be made void any more.
+            // A start without an answer could no longer be voided.
             && !self.is_out_of_tokens()
     }
 
-    /// Returns whether it has said that it will end, with all that runs there,
-    /// and takes orders to stop until then.
+    /// Returns whether the worker has announced that it will end together with
+    /// all its runs. It accepts orders to stop runs until then.
     pub(crate) fn is_terminating(&self) -> bool {
         self.listing.draining
             && self.listed
@@ -629,37 +640,37 @@
             && self.silent_since_ms.is_none()
     }
 
-    /// Returns whether orders to start may be sent.
+    /// Returns whether new runs may be ordered.
     pub(crate) fn accepts_starts(&self, now_ms: u64) -> bool {
         self.accepts_placed_runs(now_ms)
             && (self.failed_jobs.len() < FAILED_JOBS_TO_SUSPEND
                 || self.runs.is_empty())
     }
 
-    /// Returns whether runs may be ordered that have their place here already.
+    /// Returns whether runs already assigned to this worker may be ordered.
     pub(crate) fn accepts_placed_runs(&self, now_ms: u64) -> bool {
         !self.fencing && self.is_usable() && now_ms >= self.suspended_until_ms
     }
 
-    /// Returns whether no later token is left under this lease: an order
-    /// without an answer can't be made void any more.
+    /// Returns whether no token is left under this lease, so that an order
+    /// without an answer could no longer be voided.
     pub(crate) fn is_out_of_tokens(&self) -> bool {
         self.fences >= TOKENS_PER_LEASE - 1
     }
 
-    /// Returns whether an answer under the current token is still owed.
+    /// Returns whether an answer under the current token is outstanding.
     pub(crate) fn is_fencing(&self) -> bool {
         self.fencing
     }
 
-    /// Makes orders sent so far void: the next answer is under a new token.
+    /// Voids all orders sent so far by asking for an answer under a new token.
     pub(crate) fn raise_fence(&mut self, now_ms: u64) {
         self.fences = (self.fences + 1).min(TOKENS_PER_LEASE - 1);
         self.fencing = true;
         self.next_hold_ms = now_ms;
     }
 
-    /// Returns until when a lease may be ordered, on the worker's clock.
+    /// Returns until when the lease may be extended, on the worker's clock.
     pub(crate) fn lease_until_ms(
         &self,
         now_ms: u64,
@@ -670,7 +681,7 @@
         Some(clock.worker_ms + elapsed + options.lease_ms)
     }
 
-    /// Returns how urgent a question to it is.
+    /// Returns the priority class of a hold to the worker.
     pub(crate) fn question_class(
         &self,
         now_ms: u64,
@@ -689,13 +700,13 @@
         }
     }
 
-    /// Returns what a question to it takes of a link, in bytes, where an order
-    /// without anything takes so much.
+    /// Returns the size of a hold with its answer, in bytes, given the size of
+    /// an empty order.
     pub(crate) fn question_bytes(&self, order_bytes: u64) -> u64 {
         order_bytes.max(RUN_BYTES * self.runs.len() as u64)
     }
 
-    /// Notes that an order was sent that lets runs go on until then.
+    /// Records that an order was sent that extends the lease until then.
     pub(crate) fn lease_sent(&mut self, until_worker_ms: u64) {
         let Some(clock) = self.clock else { return };
         let left = until_worker_ms.saturating_sub(clock.worker_ms);
@@ -710,8 +721,8 @@
         }
     }
 
-    /// Returns whether nothing runs on it, nothing may start any more, and
-    /// it was told that its ends are stored.
+    /// Returns whether the worker has no runs and no reservations, nothing may
+    /// start any more, and all its ends are acknowledged.
     pub(crate) fn is_settled(&self) -> bool {
         !self.is_occupied()
             && !self.has_reservations()
@@ -719,19 +730,19 @@
             && self.acknowledged >= self.seen_end
     }
 
-    /// Returns whether some end that it listed isn't stored yet.
+    /// Returns whether some reported end isn't stored yet.
     pub(crate) fn has_ends_to_store(&self) -> bool {
         !self.unstored.is_empty()
     }
 
-    /// Takes note of an end; returns false if it was known already.
+    /// Records a reported end. Returns false if it was known already.
     pub(crate) fn record_end(&mut self, number: u64) -> bool {
         let new = number > self.seen_end;
         self.seen_end = self.seen_end.max(number);
         new
     }
 
-    /// Notes that an end is part of a change that isn't stored yet.
+    /// Records that an end is part of a change that isn't stored yet.
     pub(crate) fn end_pending_store(
         &mut self,
         number: u64,
@@ -741,19 +752,19 @@
         self.unstored.push_back(UnstoredEnd { number, job, sequence });
     }
 
-    /// Forgets the ends of a job whose change isn't stored, and all after the
-    /// first of them, so that they are heard again.
+    /// Discards the unstored ends of a job and all ends reported after the
+    /// first of them, so that the worker reports them again.
     pub(crate) fn redeliver(&mut self, job: JobId) {
         let first = self.unstored.iter().position(|end| end.job == job);
         let Some(first) = first else { return };
         self.seen_end = self.unstored[first].number.saturating_sub(1);
         self.unstored.truncate(first);
-        // As after a lost answer: it is asked at once.
+        // The next hold is due immediately, as after a lost answer.
         self.missed_hold = true;
     }
 
-    /// Moves on what may be acknowledged: the ends, in their order, whose
-    /// change is stored.
+    /// Advances the end that may be acknowledged, in order, up to the first
+    /// end whose change isn't stored.
     pub(crate) fn advance_stored_ends(
         &mut self,
         now_ms: u64,
@@ -775,7 +786,7 @@
         self.suspended_until_ms = 0;
     }
 
-    /// Takes note of a failure; returns true if it suspends the worker.
+    /// Records a failed task. Returns true if the worker is suspended for it.
     pub(crate) fn task_failed(
         &mut self,
         job: JobId,
@@ -793,34 +804,33 @@
         true
     }
 
-    /// Notes that it has taken a start.
+    /// Records that the worker has accepted a start.
     pub(crate) fn start_accepted(&mut self) {
         self.last_start_refused = false;
         self.unanswered_starts = 0;
     }
 
-    /// Notes that a start had no answer and yet was carried out.
+    /// Records that a start was carried out although its answer was lost.
     pub(crate) fn start_confirmed(&mut self) {
         self.unanswered_starts = 0;
     }
 
-    /// Notes that a start under the newest token got no answer; returns whether
-    /// too many in a row did.
+    /// Records that a start under the newest token got no answer. Returns
+    /// whether too many did in a row.
     pub(crate) fn count_unanswered_start(&mut self) -> bool {
         self.unanswered_starts = self.unanswered_starts.saturating_add(1);
         self.unanswered_starts >= UNANSWERED_TO_SUSPEND
     }
 
-    /// Notes that it has refused a start without being at fault itself;
-    /// returns whether it did so before, with none taken between.
+    /// Records that the worker has refused a start without being faulty.
+    /// Returns whether the start before was refused too.
     pub(crate) fn repeats_refusal(&mut self) -> bool {
         std::mem::replace(&mut self.last_start_refused, true)
     }
 
-    /// Sends nothing for a while, twice as long each time in a row.
+    /// Suspends the worker for a while, which doubles each time in a row.
     ///
-    /// What was sent before that says nothing new: a burst of refusals is
-    /// one.
+    /// Has no effect on a suspended worker: a burst of refusals counts as one.
     pub(crate) fn suspend(&mut self, now_ms: u64, options: &Options) {
         if now_ms < self.suspended_until_ms {
             return;
@@ -830,7 +840,7 @@
         self.suspensions += 1;
     }
 
-    /// Forgives a failure that turned out to be the job's own.
+    /// Removes a failure that turned out to be caused by the job itself.
     pub(crate) fn clear_failure(&mut self, job: JobId) {
         self.failed_jobs.remove(&job);
     }
--- a/crates/dewspar/src/schedule/worker/clock.rs
+++ b/crates/dewspar/src/schedule/worker/clock.rs
@@ -1,11 +1,13 @@
 /*!
-The clock of a worker, by which its lease counts.
+Conversion of durations on a worker's clock to the local clock.
 
-It may run slower than ours, so that what is left of a lease lasts longer.
+Leases count by the worker's clock. That clock may run slower than the local
+one, so the rest of a lease may last longer locally.
 */
 
-/// How much longer a worker's clock may take than ours, in thousandths: 2 %
-/// by the workers' protocol, and a little for reading the clocks.
+/// The longest local duration of a period on a worker's clock, in thousandths
+/// of that period. The worker protocol allows a drift of 2 %, and the rest
+/// covers reading the clocks.
 const SLOW_CLOCK_PER_MILLE: u64 = 1_021;
 
 /// A reading of a worker's clock.
@@ -15,7 +17,8 @@
     pub(super) at_ms: u64,
 }
 
-/// Returns how long a worker's time may take on our clock.
+/// Returns the longest local duration of a period on a worker's clock, in
+/// milliseconds.
 pub(super) fn max_elapsed_ms(worker_ms: u64) -> u64 {
     worker_ms * SLOW_CLOCK_PER_MILLE / 1_000
 }
--- a/crates/dewspar/src/schedule/worker/hold.rs
+++ b/crates/dewspar/src/schedule/worker/hold.rs
@@ -1,9 +1,10 @@
 /*!
-When a worker is asked what runs on it, and what its answers say of itself.
+Hold requests, by which a worker is asked what runs on it, and the state that
+their answers confirm.
 
-One question is under way at a time, and one more under a new token while
-earlier orders are being made void. A single answer may be lost on its way;
-only a second one in a row makes a worker silent.
+One hold is in flight at a time, plus one under a new fencing token while
+earlier orders are being voided. A single answer may be lost in transit; only a
+second consecutive loss marks a worker as silent.
 */
 
 use {
@@ -11,12 +12,13 @@
     crate::schedule::{HoldOrder, HoldReport, Options},
 };
 
-/// How long a worker may wait for an end while this node's link or processor is
-/// short, in milliseconds. Workers with lasting runs only answer when their time
-/// is up, and longer polls take less of both.
+/// How long a worker may delay its answer while waiting for a run to end, if
+/// this node's link or processor is overloaded, in milliseconds. Workers with
+/// only long-running tasks answer just when this time is up, and longer polls
+/// use less of both.
 const BUSY_WAIT_MS: u64 = 1_000;
 
-/// A hold that is owed to a worker.
+/// A hold to be sent to a worker.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct DueHold {
     pub(crate) order: HoldOrder,
@@ -29,8 +31,8 @@
         self.next_hold_due_ms().filter(|due_ms| now_ms >= *due_ms)
     }
 
-    /// Returns from when a hold is due, unless none is wanted or one is under
-    /// way.
+    /// Returns from when a hold is due, unless none is wanted or one is in
+    /// flight.
     fn next_hold_due_ms(&self) -> Option<u64> {
         let fencing = self.fencing && !self.fence_hold_in_flight;
         let wanted = self.is_occupied()
@@ -42,18 +44,19 @@
             return None;
         }
         if fencing {
-            // Nothing starts there before that: it isn't put off.
+            // Not subject to the backoff: nothing starts on the worker before
+            // it has answered.
             return Some(self.next_hold_ms);
         }
         ordinary.then_some(self.next_hold_ms.max(self.backoff_until_ms))
     }
 
-    /// Returns from when its lease is over for certain, if it is silent.
+    /// Returns from when the lease of a silent worker is certainly over.
     pub(crate) fn lapses_from_ms(&self) -> Option<u64> {
         self.silent_since_ms.map(|_| self.lease_over_ms + 1)
     }
 
-    /// Returns whether some run is to be ordered to stop now.
+    /// Returns whether an order to stop some run is due.
     pub(crate) fn has_stops_due(
         &self,
         now_ms: u64,
@@ -64,8 +67,8 @@
         stops.any(|due_ms| now_ms >= due_ms)
     }
 
-    /// Returns from when it may want something, unless nothing is to be done
-    /// about it before it changes.
+    /// Returns from when something about the worker is due, or `None` if
+    /// nothing is before the worker changes.
     pub(crate) fn due_from_ms(&self, options: &Options) -> Option<u64> {
         let stops =
             self.runs.values().filter_map(|run| run.stop_due_ms(options));
@@ -73,7 +76,7 @@
         stops.chain(others.into_iter().flatten()).min()
     }
 
-    /// Returns whether it wants something now.
+    /// Returns whether something about the worker is due.
     pub(crate) fn is_due(&self, now_ms: u64, options: &Options) -> bool {
         let silent = self.silent_since_ms.is_some();
         self.hold_due_ms(now_ms).is_some()
@@ -85,7 +88,7 @@
         self.seen_end > self.stored_end
     }
 
-    /// Returns the hold that is owed now, if any, and marks it as sent.
+    /// Returns the hold that is due now, if any, and marks it as sent.
     pub(crate) fn take_due_hold(
         &mut self,
         now_ms: u64,
@@ -93,8 +96,8 @@
     ) -> Option<DueHold> {
         self.hold_due_ms(now_ms)?;
         let fencing = self.fencing;
-        // While ends wait to be stored, the worker would answer at once; what
-        // a lost answer held is wanted at once.
+        // While ends wait to be stored, the worker would answer immediately
+        // anyway. The content of a lost answer is wanted immediately.
         let at_once = fencing
             || self.has_unstored_ends()
             || self.missed_hold
@@ -105,8 +108,8 @@
             (false, false) => watching.hold_wait_ms,
             (false, true) => watching.hold_wait_ms.max(BUSY_WAIT_MS),
         };
-        // A worker that is silent gets no longer lease, nor does one on which
-        // all is to stop: its runs must be over for certain some day.
+        // The lease of a silent worker, or of one on which all runs are to
+        // stop, isn't extended: its runs must be certainly over at some time.
         let silent = self.silent_since_ms.is_some();
         let lease_until_ms = if !self.has_wanted_runs() || silent {
             None
@@ -122,8 +125,8 @@
             self.hold_in_flight = true;
             self.asked_ms = now_ms;
         }
-        // What is acknowledged already isn't said again: a process that has taken
-        // this one's place would forget its own ends by it, unheard.
+        // An acknowledgement isn't repeated: a process that has replaced this
+        // one would take it for its own ends and drop them unreported.
         let news = self.stored_end > self.acknowledged;
         let order = HoldOrder {
             fence: self.fence(),
@@ -134,30 +137,31 @@
         Some(DueHold { order, fencing })
     }
 
-    /// Returns whether the question that was sent to it at this time has no
-    /// answer yet.
+    /// Returns whether the hold sent at this time is still unanswered.
     pub(crate) fn awaits_answer_since(&self, sent_ms: u64) -> bool {
         self.hold_in_flight && self.asked_ms == sent_ms
     }
 
-    /// Sets whether it may wait longer for an end before it answers.
+    /// Sets whether the worker may delay its answers for longer.
     pub(crate) fn set_long_poll(&mut self, long_poll: bool) {
         self.long_poll = long_poll;
     }
 
-    /// Asks it nothing before that, but for what makes earlier orders void.
+    /// Sends no holds until then, except those that void earlier orders.
     ///
-    /// A short answer for each end is what a busy node has no time for.
+    /// An overloaded node has no time for a short answer for each run that
+    /// ends.
     pub(crate) fn back_off(&mut self, until_ms: u64) {
         self.backoff_until_ms = until_ms;
     }
 
-    /// Sets from when it is asked again.
+    /// Sets the earliest time of the next hold.
     pub(crate) fn set_next_hold_ms(&mut self, from_ms: u64) {
         self.next_hold_ms = from_ms;
     }
 
-    /// Notes the answer to a hold; returns whether it is the newest so far.
+    /// Records the answer to a hold. Returns whether it is the newest one so
+    /// far.
     pub(crate) fn hold_answered(
         &mut self,
         held: &DueHold,
@@ -177,8 +181,8 @@
         if held.order.fence == self.fence() {
             self.fencing = false;
             if !self.synced {
-                // From here on only this holder's orders count, and what a
-                // former one was granted is bounded.
+                // From here on only orders of this lease holder are accepted,
+                // and the leases granted by a former one are bounded.
                 let longest = max_elapsed_ms(options.max_lease_ms);
                 let inherited = now_ms + longest;
                 self.lease_over_ms = self.lease_over_ms.min(inherited);
@@ -195,7 +199,8 @@
             .last()
             .is_some_and(|end| end.number > self.stored_end);
         self.next_hold_ms = if unstored {
-            // Storing usually brings this forward; see `stored`.
+            // Usually brought forward once the ends are stored; see
+            // `advance_stored_ends`.
             now_ms + options.unstored_hold_ms
         } else {
             now_ms
@@ -203,8 +208,8 @@
         newest
     }
 
-    /// Notes whether what its answer lists was taken in; returns whether this is
-    /// the first of a row that wasn't.
+    /// Records whether the lists of an answer were used. Returns whether this
+    /// is the first of a series of answers whose lists weren't.
     pub(crate) fn record_lists_passed_over(&mut self, newest: bool) -> bool {
         let before = std::mem::replace(&mut self.lists_passed_over, !newest);
         !newest && !before
--- a/crates/dewspar/src/schedule/workers.rs
+++ b/crates/dewspar/src/schedule/workers.rs
@@ -1,23 +1,23 @@
 /*!
-The workers, and when each is next to be looked at.
+The known workers, and when something is due for each of them.
 
-A plan asks of every worker whether a question is due, whether a run on it is to
-be stopped, and whether it has been silent for too long. For nearly all the
-answer is no: at a thousand workers and hundreds of plans a second some ten of
-them want something. So for each worker the time is kept from which it may want
-something, and a plan looks only at those whose time has come.
+A scheduling pass needs the workers to which a hold is due, on which a run has
+to be stopped, or which have been silent for too long. That is the case for
+very few of them: at a thousand workers and hundreds of passes a second, about
+ten. The time at which something becomes due is therefore cached for each
+worker, and a pass examines only the workers whose time has come.
 
-That time is worked out again once the worker may have changed. Everything that
-changes a worker goes through [`Workers`], which notes it, so that no change
-can be missed.
+The cached time is computed again once a worker may have changed. All mutable
+access goes through [`Workers`], which tracks it, so that no change can be
+missed.
 
-Each process of a worker that is added has a session of its own. An answer belongs
-to the session in which its question was asked; one of a former session may be
-that of another process.
+Each added worker process gets its own session number. An answer belongs to the
+session of its question; an answer from an earlier session may come from
+another process.
 
-Within the scheduler a worker goes by its number, its place in a list. To find
-one by its identifier, a text, takes a look into a table of hashes; the lists
-that are gone through by the order of identifiers hold numbers.
+Within the scheduler a worker is referred to by its number, an index into a
+list. Looking it up by its identifier, a string, costs a hash table access, so
+lists sorted by identifier contain numbers.
 */
 
 use {
@@ -25,37 +25,37 @@
     std::collections::{BTreeMap, HashMap},
 };
 
-/// A worker's number, as long as it is known.
+/// The number of a worker. Numbers are reused after a worker is removed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) struct WorkerNumber(usize);
 
-/// The workers that are known.
+/// The known workers.
 #[derive(Debug, Default)]
 pub(super) struct Workers {
-    /// By number; `None` for a number that isn't in use.
+    /// By number; `None` for an unused number.
     workers: Vec<Option<Worker>>,
-    /// What was worked out of each, by number.
+    /// The cached state of each worker, by number.
     due_entries: Vec<DueEntry>,
     numbers: HashMap<WorkerId, WorkerNumber>,
-    /// All that are in use, in the order of the identifiers.
+    /// All numbers in use, ordered by worker identifier.
     ordered: Vec<WorkerNumber>,
-    /// The same of each pool.
+    /// The numbers of each pool, ordered by worker identifier.
     pools: BTreeMap<String, Vec<WorkerNumber>>,
-    /// Those that may have changed since the due_entries was worked out.
+    /// The workers that may have changed since their entries were computed.
     changed: Vec<WorkerNumber>,
     free_numbers: Vec<WorkerNumber>,
-    /// How many workers were added so far.
+    /// The number of workers added so far.
     sessions: u64,
 }
 
-/// What was worked out of a worker.
+/// The cached state of a worker.
 #[derive(Clone, Copy, Debug)]
 struct DueEntry {
-    /// From when it may want something; `u64::MAX` for never.
+    /// From when something about it is due; `u64::MAX` for never.
     due_from_ms: u64,
-    /// Whether some end that it listed isn't stored yet.
+    /// Whether the worker has reported an end that isn't stored yet.
     has_unstored_ends: bool,
-    /// Whether it may have changed since.
+    /// Whether the worker may have changed since this was computed.
     changed: bool,
 }
 
@@ -93,7 +93,7 @@
         self.workers.get(number.0)?.as_ref()
     }
 
-    /// Returns a worker by its number, to be changed.
+    /// Returns a worker by its number for modification.
     pub(super) fn at_mut(
         &mut self,
         number: WorkerNumber,
@@ -107,12 +107,12 @@
         Some(worker)
     }
 
-    /// Returns all workers in the order of their identifiers.
+    /// Returns all workers, ordered by identifier.
     pub(super) fn values(&self) -> impl Iterator<Item = &Worker> {
         self.all_at(&self.ordered).map(|(_, worker)| worker)
     }
 
-    /// Returns the workers of a pool in the order of their identifiers.
+    /// Returns the workers of a pool, ordered by identifier.
     pub(super) fn in_pool(
         &self,
         pool: &str,
@@ -169,7 +169,8 @@
         Some(worker)
     }
 
-    /// Notes what a worker says of itself; returns it, if it is known.
+    /// Updates the directory entry of a worker. Returns the worker if it is
+    /// known.
     pub(super) fn update_listing(
         &mut self,
         listing: WorkerListing,
@@ -198,8 +199,7 @@
         }
     }
 
-    /// Returns the workers that want something now, in the order of their
-    /// identifiers.
+    /// Returns the workers for which something is due, ordered by identifier.
     pub(super) fn due(
         &mut self,
         now_ms: u64,
@@ -209,8 +209,8 @@
         self.select(|entry| entry.due_from_ms <= now_ms)
     }
 
-    /// Returns the workers with ends that aren't stored yet, in the order of
-    /// their identifiers.
+    /// Returns the workers with ends that aren't stored yet, ordered by
+    /// identifier.
     pub(super) fn with_unstored_ends(
         &mut self,
         options: &Options,
@@ -224,7 +224,7 @@
         chosen.filter(|number| wanted(&self.due_entries[number.0])).collect()
     }
 
-    /// Works out again what may have changed.
+    /// Recomputes the entries of all workers that may have changed.
     fn update(&mut self, options: &Options) {
         while let Some(number) = self.changed.pop() {
             let Some(worker) = self.at(number) else { continue };
@@ -236,8 +236,9 @@
         }
     }
 
-    /// Returns whether exactly those workers want something now; for builds
-    /// with assertions, since it takes as long as the due_entries saves.
+    /// Returns whether `due` contains exactly the workers for which something
+    /// is due. Only for builds with debug assertions, since it costs as much
+    /// as the cache saves.
     pub(super) fn match_full_scan(
         &self,
         due: &[WorkerNumber],
@@ -251,7 +252,7 @@
     }
 }
 
-/// Puts a number where it belongs by its worker's identifier.
+/// Inserts a number into a list ordered by worker identifier.
 fn insert_sorted(
     numbers: &mut Vec<WorkerNumber>,
     number: WorkerNumber,
