--- a/crates/dewspar/src/schedule/crash_bursts.rs
+++ b/crates/dewspar/src/schedule/crash_bursts.rs
@@ -1,25 +1,26 @@
 /*!
-Many tasks of a pool that crash their workers at once.
-
-One task that crashes its workers is found out about by itself; see
-[`suspects`](super::suspects). When many begin at once, most runs that are lost
-are those of sound tasks: a crash takes along what stood on the worker, and all
-of that is suspected, far more than there are workers to keep it apart on.
-
-The order of events tells more. A bad task acts as it is loaded, so the runs
-that a worker was told to start last before it fell silent are *likely* to be
-the cause, a few of some twenty. A *series* is on in a pool once one task was
-likely twice in a row, which chance hardly does, and for as long as that
-happens again every few seconds. While it is on:
-
-- Likely tasks start again by themselves after their first crash already,
-  beside runs that have proven sound, so that their second crash takes
-  nothing else young along.
-- Several workers are kept free for that, each for one task; such tasks start
-  nowhere else.
-- Tasks that are likely and have crashed twice go last, since most of them are
-  bad and take a worker out for seconds each time: one at a time in a pool.
-  Those that are sound are cleared and done meanwhile.
+Bursts of crashes: many tasks of a pool that crash their workers at the same
+time.
+
+A single task that crashes its workers is detected on its own; see
+[`suspects`](super::suspects). When many such tasks start at once, most lost
+runs are sound: each crash takes down everything on the worker, and all of it
+becomes suspected, far more than there are workers to isolate it on.
+
+The order of events narrows that down. A bad task crashes while it is loaded,
+so only the runs that a worker was told to start last before it fell silent are
+*likely* causes: a few of some twenty. A *burst* is active in a pool once one
+task was a likely cause twice in a row, which hardly happens by chance, and for
+as long as that recurs every few seconds. During a burst:
+
+- Likely tasks are tested after their first crash already, beside proven runs
+  only, so that their second crash takes down nothing else that started
+  recently.
+- Several workers are reserved, each for one task; such tasks start nowhere
+  else.
+- Likely tasks that have crashed twice go last, one at a time in a pool, since
+  most of them are bad and each crash takes a worker out for seconds. The sound
+  ones are cleared and done meanwhile.
 
 # Example
 
@@ -39,34 +40,35 @@
     std::collections::BTreeMap,
 };
 
-/// For how long a series is on after a task was likely the cause of a crash
-/// twice in a row, in milliseconds: a crash is known after half a second, and
-/// the task's next start may have to wait for some others.
+/// For how long a burst stays active after a task was a likely cause twice in
+/// a row, in milliseconds. A crash is known after half a second, and the
+/// task's next start may have to wait for some others.
 const BURST_MS: u64 = 5_000;
 
-/// How much earlier than the last start before the end of its worker a likely
-/// run was ordered, in milliseconds: an order's way, and how unevenly a worker
-/// loads what it starts.
+/// How much earlier than the last start on a lost worker a run may have been
+/// ordered to be a likely cause, in milliseconds. It covers the transit time
+/// of an order and the jitter with which a worker loads what it starts.
 const LIKELY_MARGIN_MS: u64 = 50;
 
-/// Which part of a pool's workers is kept free for single tasks, as a divisor:
-/// the others must carry all that is sound.
+/// The fraction of a pool's workers that may be reserved for single tasks, as
+/// a divisor; the other workers must carry all sound tasks.
 const RESERVED_DIVISOR: usize = 4;
 
-/// How many workers of a pool are kept free for tasks that are most likely bad.
+/// The number of a pool's workers that may be reserved for tasks that are most
+/// likely bad.
 const MAX_RESERVED_FOR_BAD: usize = 1;
 
-/// For whom a worker is kept free.
+/// The tasks that a worker is reserved for.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum ReservedFor {
-    /// Any task that is being found out about.
+    /// Any task under test.
     Tested,
-    /// This task.
+    /// Only this task.
     Only(TaskId),
 }
 
 impl ReservedFor {
-    /// Returns whether a task may start there.
+    /// Returns whether a task may start on the worker.
     pub(super) fn allows(self, task: &TaskId, tested: bool) -> bool {
         match self {
             ReservedFor::Tested => tested,
@@ -75,42 +77,42 @@
     }
 }
 
-/// The series of crashes of each pool.
+/// The crash bursts of all pools.
 #[derive(Debug, Default)]
 pub(super) struct CrashBursts {
-    /// When a task was last likely the cause twice in a row, by its pool.
+    /// When a task was last a likely cause twice in a row, by pool.
     last_ms: BTreeMap<String, u64>,
 }
 
 impl CrashBursts {
-    /// Notes that a task of a pool was likely the cause twice in a row.
+    /// Notes that a task of a pool was a likely cause twice in a row.
     pub(super) fn note(&mut self, pool: &str, now: Now) {
         self.last_ms.insert(pool.to_owned(), now.steady_ms);
     }
 
-    /// Returns whether a series is on in a pool.
+    /// Returns whether a burst is active in a pool.
     pub(super) fn is_active(&self, pool: &str, now: Now) -> bool {
         let last_ms = self.last_ms.get(pool);
         last_ms.is_some_and(|at_ms| now.steady_ms < at_ms + BURST_MS)
     }
 }
 
-/// Returns how old a run may be at most when its worker was lost to be a likely
-/// cause, in milliseconds, by the ages of all that were lost with it.
+/// Returns the age up to which a run lost with its worker is a likely cause,
+/// in milliseconds, given the ages of all runs that were lost with it.
 pub(super) fn likely_age_ms(ages_ms: impl Iterator<Item = u64>) -> u64 {
     ages_ms.min().unwrap_or(0) + LIKELY_MARGIN_MS
 }
 
-/// A task that waits for a worker that is kept free for it.
+/// A task that waits for a worker to be reserved for it.
 pub(super) struct ReservationRequest<'a> {
     pub(super) task: TaskId,
     pub(super) pool: &'a str,
-    /// Whether it was likely the cause of a second crash, so that it is most
+    /// Whether it was a likely cause of a second crash, so that it is most
     /// likely bad.
     pub(super) is_bad: bool,
 }
 
-/// How many more workers of a pool may be kept free.
+/// How many more workers of a pool may be reserved.
 struct RemainingReservations {
     /// In all.
     any: usize,
@@ -119,7 +121,7 @@
 }
 
 impl RemainingReservations {
-    /// Takes a worker for a task; returns whether there was one left.
+    /// Takes a worker for a task; returns whether one was left.
     fn take(&mut self, is_bad: bool) -> bool {
         if self.any == 0 || (is_bad && self.bad == 0) {
             return false;
@@ -131,8 +133,8 @@
 }
 
 impl Scheduler {
-    /// Returns the workers of the pools with a series that are kept free, each
-    /// for one of the tasks that wait for that.
+    /// Returns the workers to reserve in the pools with an active burst, each
+    /// for one of the waiting tasks.
     pub(super) fn reserve_burst_workers<'a>(
         &'a self,
         mut requests: Vec<ReservationRequest<'a>>,
@@ -157,8 +159,8 @@
                     && !kept.contains_key(worker.id())
                     && suits(request, worker)
             });
-            // The one that is kept for it already has fewer unproven runs by
-            // now than any other.
+            // The worker already reserved for the task has fewer unproven runs
+            // by now than any other.
             let chosen = suitable.min_by_key(|worker| {
                 let same = self.reserved.get(worker.id()) == Some(&wanted);
                 (!same, worker.runs.len(), worker.id())
--- a/crates/dewspar/src/schedule/suspects.rs
+++ b/crates/dewspar/src/schedule/suspects.rs
@@ -1,33 +1,35 @@
 /*!
-Tasks that may crash the workers that start them.
-
-A worker that crashes lists no ends, so nothing says which of its runs did it,
-if any. Started again as if nothing had happened, such a task takes down one
-worker after the other, with all that stands beside it. Yet most runs that are
-lost with a worker are sound, and must neither be given up nor wait for long.
-
-What tells them apart is that a bad task does it each time, and soon after it
-begins:
-
-- A run that its worker hadn't confirmed for long is *suspected* once the
-  worker is lost; each loss in a row counts. The count is stored with the
-  job's progress, so a new holder knows of it.
-- A suspected task starts again where no other suspect stands, so that the
-  next crash says more. After two crashes it starts only beside runs that have
-  proven sound, on a worker that is kept free for it, with nothing started
-  beside it until it is cleared, and once both crashes are stored. Else two bad
-  tasks that begin together hide behind each other: in 5 of 50 runs of the fault
-  soak sound jobs were given up for them, or bad ones started a sixth time.
-- It is *cleared* once a run of it lives on for longer than those that were
-  lost, or ends by itself.
-- It is given up, and its job failed, after its third crash if nothing else can
-  have done it, neither another run nor a VM whose workers crash anyway; and
-  after its fourth whatever else was there.
-
-Starts count as well: the record says of a suspected task whether a run of it
-was under way, since a new holder can't know how that ended. Nor can it know
-whether a worker that it never heard of alive had just started one of the tasks
-that wait; see [`unseen_starts`](super::unseen_starts).
+Detection of tasks that crash the workers that run them.
+
+A worker that crashes reports no ends, so nothing shows which of its runs
+caused the crash, if any did. If such a task is simply started again, it takes
+down one worker after the other, together with every run beside it. Yet most
+runs that are lost with a worker are sound: they must not be given up, and must
+not be delayed for long.
+
+A bad task differs from a sound one in that it crashes its worker on every run,
+soon after the start. The scheduler uses that as follows:
+
+- A run that its worker had confirmed for only a short time becomes *suspected*
+  when the worker is lost. Consecutive losses of a task are counted, and the
+  count is stored with the job's progress, so that it survives a takeover.
+- A suspected task starts next where no other suspect runs, so that the next
+  crash says more. After two crashes it is *under test*: it starts only beside
+  runs that have been confirmed for a while, on a worker reserved for it, on
+  which nothing else starts until the task is cleared, and only after both
+  crashes are stored. Otherwise two bad tasks that start together mask each
+  other: in 5 of 50 runs of the fault soak, sound jobs were given up because of
+  that, or bad ones were started a sixth time.
+- A task is *cleared* when one of its runs outlives those that were lost, or
+  ends by itself.
+- A task is given up, and its job fails, after its third crash if nothing else
+  can have caused it: neither another run nor a VM whose workers crash anyway.
+  After its fourth crash it is given up regardless.
+
+Starts count as well. The record of a suspected task says whether a run of it
+was in progress, since a new holder can't know how that run ended. Nor can it
+know whether a worker that it never reached had just started one of the waiting
+tasks; see [`unseen_starts`](super::unseen_starts).
 
 # Example
 
@@ -55,109 +57,117 @@
     std::collections::BTreeMap,
 };
 
-/// For how long a worker must have confirmed a run for the run to be beyond
-/// suspicion, in milliseconds: a bad task acts as it is loaded, and answers
-/// come every 300 ms, or every second on a short link.
+/// How recently a run must have begun to be suspected, in milliseconds: a run
+/// that its worker has confirmed for at least this long is not. A bad task
+/// crashes while it is loaded, and answers arrive every 300 ms, or every
+/// second on a short link.
 const SUSPECT_AGE_MS: u64 = 1_000;
 
-/// What is added to twice the age at which suspected runs were lost to clear
-/// the next one, in milliseconds: an answer's way, and how unevenly a worker
-/// loads what it starts.
+/// Margin added to twice the age at which suspected runs were lost, to get the
+/// age that clears the next run, in milliseconds. It covers the transit time
+/// of an answer and the jitter with which a worker loads what it starts.
 const CLEARED_MARGIN_MS: u64 = 100;
 
-/// How long a task that was suspected once looks for a worker without another
-/// suspect before it takes any, in milliseconds: about as long as a suspect
-/// stays one where it is, so that sound tasks lose no more than the time of
-/// one answer.
+/// For how long a task that was suspected once avoids workers with another
+/// suspect before it accepts any worker, in milliseconds. A suspect remains
+/// one for about this long, so sound tasks lose no more than the time of one
+/// answer.
 const AVOID_SUSPECTS_MS: u64 = 300;
 
-/// For how long a worker may have been silent before its end is known, in
-/// milliseconds, for that end to be a crash under what began before: nearly two
-/// of the slowest readings of the list of VMs. One that was cut off for longer
-/// may have lived on, and gone for some other reason.
+/// The longest silence before a worker's end that still makes the end count as
+/// a crash under the runs that had begun before, in milliseconds: nearly two
+/// of the slowest reads of the VM list. A worker that was unreachable for
+/// longer may have lived on and ended for another reason.
 const MAX_SILENCE_MS: u64 = 2_200;
 
-/// For how long a worker must have confirmed the runs beside which a task is
-/// being found out about, in milliseconds: as long as a question may wait. Two
-/// bad tasks that begin together would each hide behind the other.
+/// For how long a worker must have confirmed the other runs on it before a
+/// task under test may start there, in milliseconds: as long as a hold may
+/// wait. Two bad tasks that start together would mask each other.
 const PROVEN_MS: u64 = 300;
 
-/// For how long a worker must have confirmed the runs beside which a task starts
-/// that is most likely bad, in milliseconds: most tasks end sooner, and the
-/// start of such a task can wait so long.
+/// For how long a worker must have confirmed the other runs on it before a
+/// task that is most likely bad may start there, in milliseconds. Most tasks
+/// end sooner, and the start of such a task can wait for that.
 const LONG_PROVEN_MS: u64 = 2_000;
 
-/// After how many crashes nothing is started beside a task, and its next start
-/// waits until they are stored. One crash is mere chance for nearly all.
+/// The number of crashes after which a task is under test: nothing starts
+/// beside it, and its next start waits until the crashes are stored. A single
+/// crash is mere chance for nearly all tasks.
 const TEST_AFTER_CRASHES: u32 = 2;
 
-/// After how many crashes a task is given up that alone can have caused the
-/// last one. A sound one would have to be beside a bad one, and twice in a row
-/// on its own on a worker that crashes within a second by itself.
+/// The number of crashes after which a task is given up if nothing else can
+/// have caused the last one. For a sound task to reach it, it would have to
+/// run beside a bad one, and then twice in a row alone on a worker that
+/// crashes by itself within a second.
 const MAX_CERTAIN_CRASHES: u32 = 3;
 
-/// After how many crashes a task is given up in any case: it may be started
-/// twice more after three, and a crash that no holder saw takes one of these.
+/// The number of crashes after which a task is given up in any case. A task
+/// may start twice more after its third crash, and a crash that no holder saw
+/// uses up one of these starts.
 const MAX_CRASHES: u32 = 4;
 
-/// How old each run of a task may have been for its workers' crashes to be
-/// certainly its doing, also on VMs that have crashed of late, in milliseconds.
-/// Where tasks crash many workers at once, no VM of the pool is steady for long.
-/// A VM that crashes by itself every 4 s hits one such span of 40, three in a row
-/// once in 64,000.
+/// The age up to which lost runs of a task prove that the task caused the
+/// crashes, even on VMs that have crashed recently, in milliseconds. When
+/// tasks crash many workers at once, no VM of the pool stays stable for long.
+/// A VM that crashes by itself every 4 s hits one such span in 40, and three
+/// in a row once in 64,000.
 const IMMEDIATE_CRASH_MS: u64 = 100;
 
-/// How often a task may be started in all under which three workers crashed,
-/// with the runs whose end no holder saw: one more would be the third start
-/// after three crashes.
+/// How often a task may be started in all after three crashes, counting the
+/// runs whose end no holder saw. One more would be the third start after three
+/// crashes.
 const MAX_STARTS: u32 = 5;
 
-/// How long a task that is being found out about waits for a worker on a VM
-/// that hasn't crashed of late, in milliseconds: as long as one that failed
-/// waits for another worker.
+/// For how long a task under test waits for a worker on a VM that hasn't
+/// crashed recently, in milliseconds: as long as a failed task waits for
+/// another worker.
 const STABLE_VM_WAIT_MS: u64 = 1_500;
 
-/// How much a suspected task prefers a worker near its data, counted in runs:
-/// more than all else, since elsewhere it takes twice as long.
+/// The score that a suspected task gives to a worker near its data, in runs.
+/// It exceeds everything else, since the task takes twice as long elsewhere.
 const NEAR_DATA_SCORE: i64 = 1_000;
 
-/// The crashes in a row under one task.
+/// The consecutive crashes under one task.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Crashes {
     pub(crate) count: u32,
-    /// How many more runs there were whose end says nothing for sure, most of
-    /// them those of former holders.
+    /// The number of further runs whose outcome is unknown, most of them
+    /// started by previous holders.
     unseen: u32,
-    /// How old a run can have been at most when its worker crashed, in
-    /// milliseconds. Kept when the task is cleared: one that doesn't always
-    /// take the same time is found out in the end.
+    /// The upper bound of a run's age when its worker crashed, in
+    /// milliseconds, over all crashes. It is kept when the task is cleared, so
+    /// that a task whose crashes take varying times is still detected
+    /// eventually.
     most_age_ms: u64,
-    /// The same for the run that was youngest.
+    /// The same upper bound for the youngest run.
     least_age_ms: Option<u64>,
-    /// When the last was noticed; 0 for under a former holder.
+    /// When the last crash was noticed; 0 if under a previous holder.
     noticed_ms: u64,
     /// Whether the last run was among those that its worker started last.
     likely: bool,
     /// Whether a run was started since, or is about to be.
     under_way: bool,
-    /// Whether a former holder may have started the task without a trace.
+    /// Whether a previous holder may have started the task without recording
+    /// it.
     pub(super) may_have_begun: bool,
-    /// How many of the runs whose end says nothing count for workers that were
-    /// lost before they had named theirs.
+    /// How many of the runs with unknown outcome stand for workers that were
+    /// lost before they had answered this holder.
     unsynced: u32,
-    /// Whether the run under way is on record for that alone.
+    /// Whether the run in progress is the only reason for a record.
     is_told: bool,
-    /// The change by which all of this is stored; 0 for not by this holder.
+    /// The change that stores all of this; 0 if it isn't by this holder.
     sequence: u64,
-    /// The newest change when the run under way was told; 0 for not by this
-    /// holder.
+    /// The newest change when the run in progress was recorded as ordered; 0
+    /// if it wasn't by this holder.
     told_sequence: u64,
 }
 
 impl Crashes {
-    /// Makes those that a former holder stored; how old the runs were isn't.
+    /// Restores the crashes that a previous holder stored. The ages of the
+    /// runs aren't stored.
     pub(crate) fn restored(record: &TaskRecord) -> Crashes {
-        // Of a run that nobody was told to start the record says enough.
+        // The record alone accounts for a run that no worker was told to
+        // start.
         let announced = record.told.as_deref() == Some("");
         let count = record.crashes;
         let unseen = record.unseen.saturating_sub(u32::from(announced));
@@ -171,8 +181,8 @@
         }
     }
 
-    /// Makes those of a task that a former holder may have started so often on
-    /// workers that crashed.
+    /// Returns the crashes of a task that a previous holder may have started
+    /// this many times on workers that crashed.
     fn possible(starts: u32) -> Crashes {
         Crashes {
             unseen: starts,
@@ -183,32 +193,34 @@
         }
     }
 
-    /// Returns how many starts count of which nothing but workers that were
-    /// lost unsynced tells; `None` if something else is known of the task.
+    /// Returns the number of starts that are counted only because workers were
+    /// lost before they had answered; `None` if anything else is known of the
+    /// task.
     pub(super) fn only_unsynced(&self) -> Option<u32> {
         let other =
             self.count > 0 || self.unseen > self.unsynced || self.is_told;
         (self.may_have_begun && !other).then_some(self.unsynced)
     }
 
-    /// Returns whether there is something that a later holder must know.
+    /// Returns whether a later holder must know anything of this.
     pub(crate) fn are_on_record(&self) -> bool {
         self.count > 0 || self.unseen > 0 || self.is_told
     }
 
-    /// Returns whether the run that is under way is all that a later holder must
+    /// Returns whether the run in progress is all that a later holder must
     /// know of.
     fn is_only_told(&self) -> bool {
         self.is_told && self.count == 0 && self.unseen == 0
     }
 
-    /// Returns whether a later holder must know of the run that is under way.
+    /// Returns whether a later holder must know of the run in progress.
     pub(crate) fn have_recorded_run(&self) -> bool {
         self.are_on_record() && self.under_way
     }
 
-    /// Returns how many runs a later holder can't know the end of: one that
-    /// is under way may have taken its worker down before that holder looks.
+    /// Returns the number of runs whose end a later holder can't know. A run
+    /// in progress counts, since it may have crashed its worker before that
+    /// holder looks.
     pub(crate) fn unseen_on_record(&self) -> u32 {
         self.unseen + u32::from(self.have_recorded_run())
     }
@@ -220,30 +232,31 @@
         self.under_way
     }
 
-    /// Notes that the run that was under way is over, and can't have crashed
-    /// its worker; returns whether it was on record.
+    /// Notes that the run in progress is over and can't have crashed its
+    /// worker; returns whether it was on record.
     fn end(&mut self) -> bool {
         self.is_told = false;
         std::mem::take(&mut self.under_way)
     }
 
-    /// Notes that the run that former holders told of is found where it was to
-    /// start.
+    /// Notes that the run that previous holders recorded was found on its
+    /// worker.
     pub(super) fn found(&mut self) {
         self.unseen = self.unseen.saturating_sub(1);
         self.is_told = !self.are_on_record();
         self.under_way = true;
     }
 
-    /// Notes that the run that former holders told of isn't where it was to
-    /// start, though its worker is.
+    /// Notes that the run that previous holders recorded isn't on its worker,
+    /// although the worker is there.
     pub(super) fn did_not_start(&mut self) {
         self.unseen = self.unseen.saturating_sub(1);
     }
 
-    /// Adds a run that former holders told of, whose worker is gone.
+    /// Counts a crash for a run that previous holders recorded and whose
+    /// worker is gone.
     ///
-    /// The start that came before the first such run left no trace.
+    /// The start before the first such run left no record.
     pub(super) fn add_unseen_crash(&mut self, sequence: u64, now_ms: u64) {
         self.did_not_start();
         if !self.are_on_record() {
@@ -257,7 +270,7 @@
         self.sequence = sequence;
     }
 
-    /// Returns whether a start waits until these crashes are stored.
+    /// Returns whether the next start waits until these crashes are stored.
     fn must_be_stored_first(&self) -> bool {
         self.count >= TEST_AFTER_CRASHES
             || (self.count == 0 && self.unseen > 0)
@@ -269,9 +282,9 @@
         self.may_have_begun || self.must_be_stored_first()
     }
 
-    /// Adds a run that was lost. One that had lived on for longer than another
-    /// needed for its crash counts as a start alone: a bad task acts alike each
-    /// time.
+    /// Adds a run that was lost. A run that had lived longer than another
+    /// needed to crash its worker counts only as a start, since a bad task
+    /// behaves alike each time.
     fn add(&mut self, run: &LostRun, likely: bool, now_ms: u64) {
         let least_ms = self.least_age_ms.unwrap_or(SUSPECT_AGE_MS);
         let alike = run.confirmed_ms <= 2 * least_ms + CLEARED_MARGIN_MS;
@@ -293,19 +306,19 @@
         self.likely && self.count >= TEST_AFTER_CRASHES
     }
 
-    /// Returns how old a run can have been at most when its worker crashed, in
+    /// Returns the upper bound of a run's age when its worker crashed, in
     /// milliseconds.
     pub(super) fn most_age_ms(&self) -> u64 {
         self.most_age_ms
     }
 
-    /// Returns whether each run was lost as soon as it was started, which no
-    /// VM that crashes by itself does again and again.
+    /// Returns whether each run was lost right after its start, which a VM
+    /// that crashes by itself doesn't cause repeatedly.
     fn were_immediate(&self) -> bool {
         self.most_age_ms <= IMMEDIATE_CRASH_MS
     }
 
-    /// Returns whether the task has been started as often as it may.
+    /// Returns whether the task has used up its starts.
     pub(super) fn exceed_limits(&self) -> bool {
         self.count >= MAX_CRASHES
             || (self.count >= MAX_CERTAIN_CRASHES
@@ -321,19 +334,19 @@
     }
 }
 
-/// Beside which runs a task may start.
+/// The runs beside which a task may start.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum Colocation {
-    /// Any.
+    /// Any run.
     Any,
-    /// Any but one that is being found out about.
+    /// Any run whose task isn't under test.
     Untested,
-    /// None that is suspected.
+    /// No suspected run.
     Unsuspected,
-    /// Only those that their worker has confirmed for a while.
+    /// Only runs that their worker has confirmed for a while.
     Proven,
-    /// Only those that have gone on for longer than most take: the others are
-    /// let end first, as the worker will most likely crash.
+    /// Only runs that have lasted longer than most. The others are allowed to
+    /// end first, as the worker will most likely crash.
     LongProven,
 }
 
@@ -350,48 +363,50 @@
         }
     }
 
-    /// Returns whether a task is being found out about.
+    /// Returns whether this applies to a task under test.
     pub(super) fn is_for_tested(self) -> bool {
         matches!(self, Colocation::Proven | Colocation::LongProven)
     }
 }
 
-/// Returns whether a worker has confirmed all of its runs for that long, and
-/// none of them is suspected.
+/// Returns whether a worker has confirmed all of its runs for at least this
+/// long, in milliseconds, and none of them is suspected.
 fn all_runs_confirmed_for(worker: &Worker, least_ms: u64) -> bool {
     let reported_ms = worker.latest_report_ms();
     let confirmed = |run: &Run| run.confirmed_ms(reported_ms) >= least_ms;
     !worker.has_suspects() && worker.runs.values().all(confirmed)
 }
 
-/// A run that went down with its worker.
+/// A run that was lost with its worker.
 struct LostRun {
     task: TaskId,
-    /// How long the worker had confirmed it.
+    /// How long the worker had confirmed it, in milliseconds.
     confirmed_ms: u64,
-    /// How old it can have been at most.
+    /// The upper bound of its age, in milliseconds.
     most_age_ms: u64,
     suspicion: Suspicion,
 }
 
-/// The runs that went down with one worker.
+/// The runs that were lost with one worker.
 pub(super) struct LostRuns {
-    /// The VM, unless its worker was to go or doesn't name it.
+    /// The VM that crashed; `None` if the worker's end was planned or it
+    /// doesn't name its VM.
     crashed_vm: Option<String>,
-    /// Set if the worker was lost before it had named its runs to this holder.
+    /// Set if the worker was lost before it had reported its runs to this
+    /// holder.
     pub(super) unsynced: Option<UnsyncedLoss>,
     /// Whether the worker fell silent long before its end was known.
     pub(super) was_silent: bool,
-    /// Whether the worker was about to end anyway.
+    /// Whether the worker was draining.
     was_draining: bool,
     runs: Vec<LostRun>,
 }
 
 impl LostRuns {
-    /// Looks at what a worker had when it was lost.
+    /// Takes stock of a worker's runs when it was lost.
     ///
-    /// One that is draining ends by itself. One that is being emptied doesn't
-    /// before it is empty: whatever it still had was lost in a crash.
+    /// A draining worker ends by itself. A worker that is being emptied ends
+    /// only once it is empty, so whatever it still ran was lost in a crash.
     pub(super) fn of(worker: &Worker, now: Now) -> LostRuns {
         let draining = worker.listing.draining;
         let planned =
@@ -404,7 +419,7 @@
             most_age_ms: over_ms.saturating_sub(run.since_ms),
             suspicion: run.suspicion,
         };
-        // The others went down with the process before.
+        // The others were lost with the previous process.
         let counts = |(_, run): &(&TaskId, &Run)| !run.is_outlived;
         let vm = &worker.listing.vm;
         let unsynced = !worker.synced && !draining;
@@ -417,9 +432,9 @@
         }
     }
 
-    /// Returns the runs that may have taken the worker down: all that began of
-    /// late, or where some are being found out about, those and what isn't
-    /// proven.
+    /// Returns the runs that may have crashed the worker: all that began
+    /// recently. If some of these are under test, only those and the runs that
+    /// aren't proven yet.
     fn suspects(&self) -> impl Iterator<Item = &LostRun> {
         let of_late = |run: &&LostRun| run.confirmed_ms < SUSPECT_AGE_MS;
         let young = || self.runs.iter().filter(of_late);
@@ -431,13 +446,13 @@
         })
     }
 
-    /// Returns how old a run may be at most to be a likely cause.
+    /// Returns the age up to which a run is a likely cause, in milliseconds.
     fn likely_age_ms(&self) -> u64 {
         likely_age_ms(self.runs.iter().map(|run| run.most_age_ms))
     }
 
-    /// Returns whether no other run can have taken the worker down, if this
-    /// task takes as long as it did for that.
+    /// Returns whether no other run can have crashed the worker, assuming that
+    /// the task needs as long for a crash as it did before.
     fn is_only_suspect(&self, task: &TaskId, crashes: &Crashes) -> bool {
         let enough_ms = crashes.cleared_after_ms();
         self.runs.iter().filter(|run| run.task != *task).all(|run| {
@@ -489,7 +504,8 @@
         }
     }
 
-    /// Counts a crash; returns all of its task, if that is still to be done.
+    /// Counts a crash; returns all crashes of the task, unless the task is
+    /// done or its job is over.
     fn count_crash(
         &mut self,
         run: &LostRun,
@@ -515,8 +531,8 @@
         Some(*crashes)
     }
 
-    /// Clears a task of which a run lives on for longer than those that were
-    /// lost with their workers.
+    /// Clears a task if its run has outlived those that were lost with their
+    /// workers.
     pub(super) fn clear_if_sound(
         &mut self,
         worker_id: &WorkerId,
@@ -537,7 +553,7 @@
         }
     }
 
-    /// Clears a task that a worker has survived.
+    /// Clears a task whose run a worker has survived.
     pub(super) fn clear(&mut self, worker_id: &WorkerId, task: &TaskId) {
         if let Some(worker) = self.workers.get_mut(worker_id) {
             worker.clear_suspicion(task);
@@ -553,8 +569,8 @@
         }
     }
 
-    /// Notes that what is on record of a task's run has changed, unless only a
-    /// log of starts tells of that run.
+    /// Marks the record of a task's run as changed, unless only a start log
+    /// holds that run.
     fn mark_told_changed(&mut self, id: JobId, crashes: &Crashes) {
         let stored = self
             .jobs
@@ -569,9 +585,11 @@
         }
     }
 
-    /// Notes that a task is started, so that its run counts for the next holder,
-    /// which can't know how it ends, if it is suspected or a former holder may
-    /// have started it before; returns its crashes.
+    /// Notes that a task is started; returns how its run is suspected.
+    ///
+    /// The run is recorded for the next holder, which can't know how it ends,
+    /// if the task is suspected or a previous holder may have started it
+    /// before.
     pub(super) fn note_suspect_started(
         &mut self,
         task: &TaskId,
@@ -600,8 +618,8 @@
         suspicion
     }
 
-    /// Notes that a suspected task's run came to nothing, or ended in a way that
-    /// says nothing: it isn't under way.
+    /// Notes that a suspected task's run never began, or ended in a way that
+    /// says nothing about the task, so that it is no longer in progress.
     pub(super) fn note_suspect_ended(&mut self, task: &TaskId) {
         let job = self.jobs.get_mut(&task.job);
         let state = job.and_then(|job| job.task_mut(task));
@@ -612,14 +630,15 @@
         }
     }
 
-    /// Puts the next start of tasks on record, before which they don't start:
-    /// of those that are being found out about, and those that a former holder
-    /// may have started unseen, as many of these as may start now.
+    /// Records the intended next start of tasks that must not start before
+    /// that is stored: those under test, and those that a previous holder may
+    /// have started without a record. Of the latter only as many are recorded
+    /// as may start now.
     pub(super) fn announce_starts(&mut self, tasks: &[TaskId]) {
         let mut room = self.window.room();
         let mut all_are_known = !self.is_loading();
         for task in tasks {
-            // Soon it is known whether that start counts.
+            // Whether that start counts will be known soon.
             if self.recorded_starts.contains_key(task) {
                 continue;
             }
@@ -646,8 +665,8 @@
                 state.crashes = crashes;
             }
         }
-        // Looking through all that waits takes a plan a millisecond where
-        // thousands of jobs do.
+        // Scanning all waiting tasks takes a millisecond per plan with
+        // thousands of waiting jobs.
         if all_are_known {
             self.uncounted_pools.clear();
         }
@@ -658,12 +677,12 @@
         self.finish(task.job, Phase::Failed, now);
     }
 
-    /// Returns beside what a task may start now.
+    /// Returns beside which runs a task may start now.
     ///
-    /// One that is being found out about waits as long as it takes: a worker is
-    /// kept free for it, and each suspect there is cleared or has crashed its
-    /// worker within a second. The members of a gang, which start together,
-    /// can't wait for that.
+    /// A task under test waits for as long as it takes: a worker is reserved
+    /// for it, and each suspect there is cleared or has crashed the worker
+    /// within a second. Members of a gang, which start together, can't wait
+    /// for that.
     pub(super) fn colocation(
         &self,
         spec: &StepSpec,
@@ -689,8 +708,8 @@
         }
     }
 
-    /// Returns whether a task is being found out about: its next run has
-    /// nothing young beside it.
+    /// Returns whether a task is under test: its next run has no recently
+    /// started runs beside it.
     pub(super) fn is_tested(
         &self,
         state: &Task,
@@ -702,10 +721,9 @@
             || (count > 0 && likely && self.crash_bursts.is_active(pool, now))
     }
 
-    /// Keeps workers free from other starts for as long as tasks wait that are
-    /// to be found out about: one in each pool, several while a series of
-    /// crashes is on there. Else those would have to wait until nothing starts
-    /// in a busy pool for a while.
+    /// Reserves workers for as long as tasks under test wait: one in each
+    /// pool, several during a burst of crashes there. Otherwise such tasks
+    /// would have to wait until nothing starts in a busy pool for a while.
     pub(super) fn reserve_workers(&mut self, waiting: &[TaskId], now: Now) {
         let mut kept: BTreeMap<&str, (WorkerId, ReservedFor)> =
             BTreeMap::new();
@@ -758,8 +776,7 @@
         self.reserved = reserved;
     }
 
-    /// Returns whether a worker may be kept free for a task that is to be found
-    /// out about.
+    /// Returns whether a worker may be reserved for a task under test.
     fn can_be_reserved(
         &self,
         worker: &Worker,
@@ -773,8 +790,9 @@
         };
         let wanted =
             self.required_stability(spec, state, &job.terms.pool, now);
-        // One with a kept place would be closed to the task that was stopped for
-        // it: that was without work for 1.65 s in a random run.
+        // A worker with a reserved place would be closed to the task that was
+        // stopped to take that place: in a randomized run the task had no
+        // worker for 1.65 s.
         worker.is_usable()
             && !worker.keeps_room()
             && worker.listing.capacity.contains(&demand(spec))
@@ -782,8 +800,8 @@
             && self.is_stable_enough(worker, wanted, now)
     }
 
-    /// Returns whether a worker is kept free for other tasks, or this task has
-    /// to wait for one that is kept free for it.
+    /// Returns whether a worker is reserved for other tasks, or this task has
+    /// to wait for a worker that is reserved for it.
     pub(super) fn is_reserved_for_others(
         &self,
         worker: &Worker,
@@ -800,10 +818,10 @@
         }
     }
 
-    /// Returns how steady the VM must be on which a task starts.
+    /// Returns the stability that the VM must have on which a task starts.
     ///
     /// A sound task that was lost twice must not end up on the one VM of a
-    /// full pool that has room since it goes up and down.
+    /// full pool that has capacity because it is flapping.
     pub(super) fn required_stability(
         &self,
         spec: &StepSpec,
@@ -835,7 +853,7 @@
         wanted.min(best.unwrap_or(VmStability::Flapping))
     }
 
-    /// Returns whether a worker's VM is as steady as that.
+    /// Returns whether a worker's VM is at least this stable.
     pub(super) fn is_stable_enough(
         &self,
         worker: &Worker,
@@ -846,17 +864,18 @@
             || self.vm_stability(&worker.listing.vm, now) >= wanted
     }
 
-    /// Returns whether a task goes where it does least harm, and not where it
-    /// suits best.
+    /// Returns whether a task is placed where it does the least harm instead
+    /// of where it fits best.
     pub(super) fn is_isolated(&self, spec: &StepSpec, state: &Task) -> bool {
-        // One that lasts stays where it is put: not for a single crash.
+        // A long-running task stays where it is placed, so a single crash
+        // doesn't suffice.
         let least = if spec.long_running { TEST_AFTER_CRASHES } else { 1 };
         self.options.policy.placing.separates_suspects
             && state.crashes.count >= least
     }
 
-    /// Returns how well a worker suits a task that may crash it: the fewer
-    /// runs it would lose, the better.
+    /// Returns the score of a worker for a task that may crash it: the fewer
+    /// runs it would lose, the higher.
     pub(super) fn isolation_score(
         &self,
         worker: &Worker,
@@ -873,10 +892,12 @@
 }
 
 impl Job {
-    /// Returns whether all that must be on record before a task starts is.
+    /// Returns whether everything is stored that must be on record before a
+    /// task starts.
     ///
-    /// A holder that can't store its crashes may start a task once more; its
-    /// successor, which knows of none, must not go on as if there were none.
+    /// A holder that can't store its crashes may start a task once more. Its
+    /// successor, which knows of none, must not continue as if there were
+    /// none.
     pub(super) fn may_start(&self, state: &Task) -> bool {
         !state.crashes.must_be_stored_first()
             || self.stored_sequence >= state.crashes.sequence
@@ -884,8 +905,8 @@
 }
 
 impl Crashes {
-    /// Returns how a run that is found, or that starts together with others, is
-    /// suspected.
+    /// Returns how a run is suspected that is found on a worker or starts
+    /// together with others.
     pub(crate) fn suspicion(&self) -> Suspicion {
         let tested = self.count >= TEST_AFTER_CRASHES;
         Suspicion { crashes: self.count, tested }
--- a/crates/dewspar/src/schedule/unseen_starts.rs
+++ b/crates/dewspar/src/schedule/unseen_starts.rs
@@ -1,29 +1,32 @@
 /*!
-Starts of which no holder saw how they ended.
+Starts whose outcome no holder observed.
 
 A holder that is lost right after it has ordered a start can't tell whether the
-task crashed its worker. To have each start on record would take a write a start.
-But what waits when a holder takes over is little, and among it is all whose last
-start no holder saw the end of. So the starts of these tasks are on record before
-they are ordered, with the worker that is told (see
-[`write_ahead`](super::write_ahead)). A holder that finds such a start looks at that
-worker:
+task crashed its worker. Recording every start would cost one write per start.
+But few tasks wait at a takeover, and they include all tasks whose last start
+had no observed end. So only the starts of these tasks are recorded before they
+are ordered, with the worker that is told (see
+[`write_ahead`](super::write_ahead)). A holder that finds such a record checks
+the worker:
 
-- It runs the task: all is well.
-- It answers and doesn't: the order never arrived, or the run has ended.
-- It is gone, or another process has taken its place: it was lost soon after the start, as a record is cleared once a run
-  lives on. That is a crash like one that a holder has seen, and the start before
-  the first one on record counts as well, since it left no trace.
+- It runs the task: the start is accounted for.
+- It answers and doesn't run the task: the order never arrived, or the run has
+  ended.
+- It is gone, or another process has taken its place: it was lost soon after
+  the start, since a record is cleared once the run lives on. That counts like
+  a crash that a holder has seen. The start before the first recorded one
+  counts as well, since it left no record.
 
-What was started before anything was on record is unknown where a worker is gone
-before it has named its runs. So each task that waited in that pool when the
-holder took over counts as started once for each such worker, twice at most, and
-its next start waits until that is on record.
+If a worker is gone before it has reported its runs, nothing is known of the
+starts that came before any record. So each task that waited in that pool at
+the takeover counts as started once per such worker, twice at most, and its
+next start waits until that is stored.
 
-A worker whose VM the former holder had taken down, to move or to maintain it,
-is gone too. It was empty, since a VM is only ordered to change once nothing
-runs there, so this says nothing of any task. The list of VMs shows what the VM
-does, and the record of the changes that were ordered names it once it is back.
+A worker is also gone if the previous holder had taken its VM down to move or
+maintain it. Such a worker was empty, since a VM is only ordered to change once
+nothing runs there, so its absence says nothing about any task. The VM list
+shows what the VM is doing, and the record of ordered changes names it once it
+is back.
 */
 
 use crate::{
@@ -37,18 +40,19 @@
     },
 };
 
-/// How many starts of a task count at most for workers that were lost unsynced:
-/// with its second crash on record a holder starts nothing.
+/// How many starts of a task count at most for workers that were lost before
+/// they had answered. A holder starts nothing of a task whose second crash
+/// isn't stored.
 const MAX_UNSEEN: u32 = 2;
 
-/// What became of a start that is on record.
+/// The outcome of a recorded start.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Outcome {
     /// Its worker hasn't answered yet.
     Pending,
-    /// It isn't found out in time.
+    /// It can't be determined in time.
     Unknown,
-    /// The run is where it was started.
+    /// The run is on the worker on which it was started.
     Found,
     /// There is no such run.
     NotRunning,
@@ -56,7 +60,7 @@
     Crashed,
 }
 
-/// A start that is on record, with the process that was told.
+/// A recorded start, with the process that was told.
 #[derive(Debug)]
 pub(super) struct RecordedStart {
     worker: WorkerId,
@@ -69,7 +73,7 @@
     }
 }
 
-/// A worker that was lost before it had named its runs to this holder.
+/// A worker that was lost before it had reported its runs to this holder.
 #[derive(Debug)]
 pub(super) struct UnsyncedLoss {
     pool: String,
@@ -85,7 +89,7 @@
 }
 
 impl Scheduler {
-    /// Keeps in mind which workers former holders told to start tasks of a job.
+    /// Remembers which workers previous holders told to start tasks of a job.
     pub(super) fn note_recorded_starts(
         &mut self,
         id: JobId,
@@ -104,8 +108,8 @@
         }
     }
 
-    /// Keeps in mind which worker a former holder told to start a task, on a VM
-    /// whose name is empty where it isn't known.
+    /// Remembers which worker a previous holder told to start a task, on a VM
+    /// whose name is empty if it isn't known.
     pub(super) fn note_recorded_start(
         &mut self,
         task: TaskId,
@@ -118,7 +122,7 @@
         self.recorded_starts.insert(task, start);
     }
 
-    /// Finds out what became of the starts that former holders told of.
+    /// Determines the outcome of the starts that previous holders recorded.
     pub(super) fn settle_recorded_starts(&mut self, now: Now) {
         let settled =
             self.recorded_starts.iter().filter_map(|(task, start)| {
@@ -132,7 +136,7 @@
         }
     }
 
-    /// Settles the starts on a worker that is lost.
+    /// Settles the recorded starts on a worker that is lost.
     pub(super) fn settle_starts_on(
         &mut self,
         worker: &WorkerId,
@@ -140,7 +144,7 @@
         now: Now,
     ) {
         let outcome = match &lost.unsynced {
-            // What it had is known: a run that was lost counts by itself.
+            // The worker's runs are known, and a lost run counts by itself.
             None => Outcome::NotRunning,
             Some(unsynced) if self.was_taken_down(unsynced, now) => {
                 Outcome::NotRunning
@@ -226,7 +230,8 @@
         }
     }
 
-    /// Gives a task up that has crashed too many workers.
+    /// Counts the crash as suspected, and gives up a task that has crashed too
+    /// many workers.
     fn judge_unseen_crash(
         &mut self,
         task: &TaskId,
@@ -251,7 +256,7 @@
         self.options.policy.placing.copy_after_ms
     }
 
-    /// Returns whether a worker is gone since a former holder moved or
+    /// Returns whether a worker is gone because a previous holder moved or
     /// maintained its VM.
     pub(super) fn was_taken_down(
         &self,
@@ -265,16 +270,16 @@
         changes || self.was_ordered_before(&lost.vm, now)
     }
 
-    /// Notes that a worker may have crashed under starts of former holders.
+    /// Notes that a worker may have crashed under starts of previous holders.
     pub(super) fn note_unsynced_loss(&mut self, lost: &UnsyncedLoss) {
         *self.unsynced_losses.entry(lost.pool.clone()).or_insert(0) += 1;
         self.uncounted_pools.insert(lost.pool.clone());
         self.knows_suspects = true;
     }
 
-    /// Returns whether a former holder may have started a task on a worker
-    /// that crashed before this holder had heard of it: it waits, and nothing
-    /// is known of any run.
+    /// Returns whether a previous holder may have started a task on a worker
+    /// that crashed before this holder had reached it: the task waits, and
+    /// nothing is known of any run.
     pub(super) fn may_have_crashed_unseen(
         &self,
         job: &Job,
@@ -283,9 +288,9 @@
         self.unseen_starts(job, task) > 0
     }
 
-    /// Returns how often a former holder may have started a task on workers that
-    /// crashed before this holder had heard of them, if not all of that counts
-    /// yet; 0 otherwise.
+    /// Returns how often a previous holder may have started a task on workers
+    /// that crashed before this holder had reached them, if not all of these
+    /// starts are counted yet; 0 otherwise.
     pub(super) fn unseen_starts(&self, job: &Job, task: &Task) -> u32 {
         let pool = &job.terms.pool;
         if !self.uncounted_pools.contains(pool) {
--- a/crates/dewspar/src/schedule/vm_stability.rs
+++ b/crates/dewspar/src/schedule/vm_stability.rs
@@ -1,15 +1,15 @@
 /*!
-How steady VMs are: whether their workers have crashed of late.
+VM stability: whether the workers on a VM have crashed recently.
 
-A task that may crash its workers is best found out about on a VM that doesn't
-crash by itself; else a sound task that was lost twice is lost a third time on
-the one VM with room, which has it since it goes up and down.
+A task that may crash its workers is best tested on a VM that doesn't crash by
+itself. Otherwise a sound task that was lost twice is lost a third time on the
+one VM with free capacity, which has it because it is flapping.
 */
 
 use crate::schedule::{Now, Scheduler};
 
 /// For how long a crash counts against a VM, in milliseconds: several times
-/// what one that goes up and down takes for that.
+/// the period of a flapping VM.
 const CRASH_MEMORY_MS: u64 = 30_000;
 
 /// When the workers on a VM crashed last, and the time before that.
@@ -19,14 +19,14 @@
     previous_ms: u64,
 }
 
-/// How a VM has done of late.
+/// The recent stability of a VM.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub(super) enum VmStability {
-    /// Its workers have crashed twice or more.
+    /// Its workers have crashed at least twice.
     Flapping,
     /// Its worker has crashed, or may have.
     Unproven,
-    /// None has crashed.
+    /// No worker has crashed.
     Stable,
 }
 
@@ -50,7 +50,7 @@
 }
 
 impl Scheduler {
-    /// Notes that a VM's worker has crashed; returns whether the VM was steady
+    /// Notes that a VM's worker has crashed; returns whether the VM was stable
     /// before.
     pub(super) fn note_vm_crash(
         &mut self,
@@ -67,10 +67,10 @@
         steady
     }
 
-    /// Returns how a VM has done of late.
+    /// Returns the recent stability of a VM.
     pub(super) fn vm_stability(&self, vm: &str, now: Now) -> VmStability {
         let crashes = self.vm_crashes.get(vm).copied().unwrap_or_default();
-        // What its workers did under a former holder isn't known.
+        // Crashes under a previous holder aren't known.
         let known = now.steady_ms >= self.taken_over_ms + CRASH_MEMORY_MS;
         match crashes.stability(now.steady_ms) {
             VmStability::Stable if !known => VmStability::Unproven,
