--- a/crates/dewspar/src/schedule/in_doubt.rs
+++ b/crates/dewspar/src/schedule/in_doubt.rs
@@ -1,25 +1,25 @@
 /*!
-Starts whose outcome is in doubt, since their orders got no answer.
+Starts whose outcome is in doubt because their orders got no answer.
 
-Such an order may be carried out seconds later. The process that it was sent to
-refuses it once it has answered under a higher token, but a worker's next
-process has seen no token: it would start the run, while the task is at work
-elsewhere by then. Orders name the worker and not its process, so neither end can
-tell the two apart.
+Such an order may still be carried out seconds later. The process that it was
+sent to refuses it once it has answered under a higher token. But the next
+process of the same worker has seen no token: it would start the run while the
+task runs elsewhere. Orders name the worker and not its process, so neither end
+can tell the two apart.
 
-So as long as an order may still arrive, its task starts on that worker only.
-There the two can't run side by side: while the process lives it refuses the
-earlier order, and if it ends, the later run ends with it, and nothing is started
-before the next process has answered under a token that makes void what was sent
-before. A worker that answers takes the task again at once, so that this costs
+So while an order may still arrive, its task starts on that worker only. There
+the two runs can't overlap. While the process lives, it refuses the earlier
+order; if it ends, the later run ends with it, and nothing is started before
+the next process has answered under a token that invalidates all earlier
+orders. A worker that answers gets the task again at once, so this restricts
 nothing but the choice of a worker.
 
-Workers that don't tell their processes come back under another name, which
-refuses orders for the former one; so they need none of this, and neither do
+Workers that don't report their processes come back under another name and
+refuse orders for the former one, so they need no such protection. Neither do
 tasks of which copies may run.
 
-Starts in doubt are stored with the job's progress: the next holder, which can't
-know when they were sent, counts from when it took over.
+Starts in doubt are stored with the job's progress. The next holder can't know
+when they were sent, so it counts from its takeover.
 
 # Example
 
@@ -48,7 +48,7 @@
 /// milliseconds.
 const MAX_DELIVERY_MS: u64 = 12_000;
 
-/// The number of a run that a former holder has on record as ordered.
+/// The number of a run that a previous holder recorded as ordered.
 const UNKNOWN_RUN: u64 = 0;
 
 /// A start whose order got no answer.
@@ -59,7 +59,7 @@
     vm: String,
     /// The run's number, or [`UNKNOWN_RUN`].
     run: u64,
-    /// When it was ordered; `None` for by a former holder.
+    /// When it was ordered; `None` if by a previous holder.
     ordered_ms: Option<u64>,
 }
 
@@ -76,7 +76,7 @@
 pub(crate) struct StartsInDoubt(Vec<InDoubt>);
 
 impl StartsInDoubt {
-    /// Makes those that a former holder stored.
+    /// Restores the starts that a previous holder stored.
     pub(crate) fn restored(records: &[InDoubtRecord]) -> StartsInDoubt {
         let restored = records.iter().map(|record| InDoubt {
             worker: WorkerId::new(&record.worker),
@@ -91,7 +91,7 @@
         self.0.is_empty()
     }
 
-    /// Returns what a later holder must know of them.
+    /// Returns the records that a later holder needs.
     pub(crate) fn records(&self) -> Vec<InDoubtRecord> {
         let record = |start: &InDoubt| InDoubtRecord {
             worker: start.worker.to_string(),
@@ -101,7 +101,7 @@
         self.0.iter().map(record).collect()
     }
 
-    /// Adds those that are on record and aren't known.
+    /// Adds those of the recorded starts that aren't known yet.
     pub(crate) fn add(&mut self, records: &[InDoubtRecord]) {
         for start in StartsInDoubt::restored(records).0 {
             if !self.has(&start.worker, start.run) {
@@ -132,8 +132,8 @@
 }
 
 impl Scheduler {
-    /// Notes that it isn't known whether a run that was ordered at this time, in
-    /// milliseconds, has begun or will.
+    /// Notes that it isn't known whether a run that was ordered at this time,
+    /// in milliseconds, has begun or will begin.
     pub(super) fn note_in_doubt(
         &mut self,
         task: &TaskId,
@@ -148,7 +148,7 @@
         }
     }
 
-    /// Notes the same of all starts without an answer on a worker that is lost.
+    /// Notes the same for all unanswered starts on a worker that is lost.
     pub(super) fn note_lost_in_doubt(
         &mut self,
         worker: &Worker,
@@ -176,7 +176,7 @@
         self.note(Decision::StartInDoubt { task: *task, worker, for_ms });
     }
 
-    /// Notes that a former holder has a start on record as ordered.
+    /// Notes that a previous holder recorded a start as ordered.
     pub(super) fn note_recorded_in_doubt(
         &mut self,
         task: &TaskId,
@@ -190,7 +190,7 @@
         self.tasks_in_doubt.insert(*task);
     }
 
-    /// Returns a task that is still to be done and must not run twice at once.
+    /// Returns a task that isn't done and must not run twice at the same time.
     fn at_most_once_task(&mut self, task: &TaskId) -> Option<&mut Task> {
         let job = self.jobs.get_mut(&task.job)?;
         let copies = job.step_spec(task)?.may_duplicate;
@@ -200,27 +200,27 @@
         job.task_mut(task).filter(|state| !state.done)
     }
 
-    /// Returns whether some start of a task is in doubt.
+    /// Returns whether any start of a task is in doubt.
     pub(super) fn is_in_doubt(&self, task: &TaskId) -> bool {
         self.tasks_in_doubt.contains(task)
     }
 
-    /// Keeps in mind which tasks of a job that was loaded are in doubt.
+    /// Remembers which tasks of a loaded job are in doubt.
     pub(super) fn note_loaded_in_doubt(&mut self, id: JobId) {
         let Some(job) = self.jobs.get(&id) else { return };
         let in_doubt = job.tasks(id).filter(|(_, t)| !t.in_doubt.is_empty());
         self.tasks_in_doubt.extend(in_doubt.map(|(task, _)| task));
     }
 
-    /// Notes that a run is where it was ordered: its order can't be carried out
-    /// once more.
+    /// Notes that a run is on the worker on which it was ordered, so its order
+    /// can't be carried out again.
     pub(super) fn settle_in_doubt(
         &mut self,
         task: &TaskId,
         worker_id: &WorkerId,
         run: u64,
     ) {
-        // Nearly no task is in doubt, and this is asked of each run that is listed.
+        // Hardly any task is in doubt, and this is called for each listed run.
         if !self.is_in_doubt(task) {
             return;
         }
@@ -230,7 +230,7 @@
         }
     }
 
-    /// Notes the same of a run that this holder hasn't ordered.
+    /// Notes the same for a run that this holder hasn't ordered.
     pub(super) fn settle_found_in_doubt(
         &mut self,
         task: &TaskId,
@@ -241,8 +241,8 @@
         self.settle_in_doubt(task, worker_id, UNKNOWN_RUN);
     }
 
-    /// Forgets the starts in doubt that can't be carried out any more: their
-    /// time is over, or their VM runs a worker of another name.
+    /// Drops the starts in doubt that can't be carried out any more, because
+    /// their time is over or their VM runs a worker of another name.
     pub(super) fn drop_expired_in_doubt(&mut self, now: Now) {
         let tasks = std::mem::take(&mut self.tasks_in_doubt);
         for task in tasks {
--- a/crates/dewspar/src/schedule/processes.rs
+++ b/crates/dewspar/src/schedule/processes.rs
@@ -1,25 +1,26 @@
 /*!
-Workers whose processes end, and may start again under their identifiers.
+Worker restarts: processes that end and may start again under the same
+identifier.
 
-A worker's identifier outlives its process. What is known of a worker is known
-of one process: what runs there, which of its ends were heard, what its clock
-shows, which token it has seen. So all of that begins anew with the next process,
-which tells when it was started, in the directory and in each answer:
+A worker's identifier outlives its process, but everything known of a worker
+belongs to one process: its runs, the ends it has reported, its clock and the
+highest token it has seen. So all of that is reset for the next process. A
+process reports its start time in the directory and in each answer:
 
-- One that was started later than the known one takes its place. What the known
-  one had listed as running has ended with it, for certain. What was sent to it
-  and has no answer may still be carried out by the next: the tasks wait until
-  that has answered under a token that is higher than any that was used before.
-- One that was started earlier is a former one, whatever the order in which its
-  answers and entries arrive: it says nothing.
+- A process that started later than the known one replaces it. The runs that
+  the known one had listed have certainly ended. An unanswered order may still
+  be carried out by the next process, so its task waits until that process has
+  answered under a higher token than any used before.
+- A process that started earlier is a former one, in whatever order its answers
+  and entries arrive. What it reports is ignored.
 
-The room that is kept there for tasks stays kept, since it is the VM's. Whether the
-worker is to be emptied is decided anew: its VM may have been moved or maintained
-just now.
+Room that is reserved on the worker stays reserved, since it belongs to the VM.
+Whether the worker is to be emptied is decided anew, as its VM may just have
+been moved or maintained.
 
-A process that has ended or whose lease was over is remembered, so that its entry
-in the directory doesn't bring it back, and so that the tokens of the next go on
-from its own.
+A process that has ended or whose lease was over is remembered. So its
+directory entry doesn't bring it back, and the tokens of the next process
+continue from its own.
 
 # Example
 
@@ -43,18 +44,19 @@
     std::collections::BTreeMap,
 };
 
-/// For how long after a process has ended its entry may still be read, in
-/// milliseconds: several times the three heartbeats after which entries go.
+/// For how long after a process has ended its directory entry may still be
+/// read, in milliseconds: several times the three heartbeats after which
+/// entries expire.
 const ENTRY_LINGERS_MS: u64 = 10_000;
 
-/// How a process that tells of itself stands to the known one of its worker.
+/// How a reporting process relates to the known process of its worker.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum IncarnationOrder {
-    /// It is the known one.
+    /// It is the known process.
     Same,
-    /// It has taken the known one's place.
+    /// It has replaced the known process.
     Newer,
-    /// The known one has taken its place.
+    /// It was replaced by the known process.
     Older,
 }
 
@@ -73,17 +75,17 @@
     }
 }
 
-/// How a process came to be a former one.
+/// How a process became a former one.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum ProcessEnd {
     /// It has ended.
     Ended,
-    /// It was silent until its lease was over, or until it had left the
-    /// directory, and may be back.
+    /// It was silent until its lease was over or its directory entry had
+    /// expired, and may come back.
     Lapsed,
 }
 
-/// The last process of a worker that isn't used any more.
+/// The last process of a worker that is no longer in use.
 #[derive(Clone, Copy, Debug)]
 struct FormerProcess {
     incarnation: Incarnation,
@@ -92,7 +94,7 @@
     ended_ms: u64,
 }
 
-/// The workers that aren't used any more, each with its last process.
+/// The workers that are no longer in use, each with its last process.
 #[derive(Debug, Default)]
 pub(super) struct FormerProcesses(BTreeMap<WorkerId, FormerProcess>);
 
@@ -108,8 +110,7 @@
         self.0.insert(worker.id().clone(), former);
     }
 
-    /// Notes that a worker's process may be back, of which it was noted that it
-    /// had ended.
+    /// Notes that a worker's process, which was noted as ended, may come back.
     pub(super) fn mark_lapsed(&mut self, id: &WorkerId) {
         if let Some(former) = self.0.get_mut(id) {
             former.end = ProcessEnd::Lapsed;
@@ -121,16 +122,16 @@
         self.0.get(id).is_some_and(|former| former.end == ProcessEnd::Ended)
     }
 
-    /// Returns whether a worker's last process had ended before this time of the
-    /// steady clock, in milliseconds.
+    /// Returns whether a worker's last process had ended before this time of
+    /// the steady clock, in milliseconds.
     pub(super) fn had_ended(&self, id: &WorkerId, by_ms: u64) -> bool {
         let former = self.0.get(id);
         former
             .is_some_and(|f| f.end == ProcessEnd::Ended && f.ended_ms < by_ms)
     }
 
-    /// Returns whether an entry that was asked for at this time, in
-    /// milliseconds, is that of a process that has ended.
+    /// Returns whether an entry that was requested at this time, in
+    /// milliseconds, belongs to a process that has ended.
     pub(super) fn is_from_ended(
         &self,
         listing: &WorkerListing,
@@ -143,7 +144,7 @@
             && (lingers || listing.incarnation == Incarnation::UNKNOWN)
     }
 
-    /// Takes the tokens out that were used up on a worker.
+    /// Takes the tokens that were used on a worker.
     pub(super) fn take_tokens_used(
         &mut self,
         id: &WorkerId,
@@ -153,8 +154,8 @@
 }
 
 impl Scheduler {
-    /// Judges which process of a worker tells of itself, and notes it if that
-    /// isn't the known one.
+    /// Compares the reporting process of a worker with the known one, and
+    /// notes it if they differ.
     pub(super) fn check_incarnation(
         &mut self,
         id: &WorkerId,
@@ -173,9 +174,10 @@
         judged
     }
 
-    /// Goes on with the next process of a worker, as of the time at which it was
-    /// known what that says of itself, in milliseconds of the steady clock; 0
-    /// for not yet.
+    /// Replaces a worker's process by the next one.
+    ///
+    /// `reported_at_ms` is the time as of which the next process's own report
+    /// is known, in milliseconds of the steady clock; 0 if there is none yet.
     pub(super) fn replace_process(
         &mut self,
         listing: WorkerListing,
@@ -206,9 +208,9 @@
         }
     }
 
-    /// Notes that a worker's next process is now the one that may carry out the
-    /// order to start a task: the end of the one before is known, and must not be
-    /// found anew by the next holder.
+    /// Notes that a worker's next process is now the one that may carry out
+    /// the order to start a task. The end of the previous process is known and
+    /// must not be counted again by the next holder.
     fn update_recorded_process(&mut self, task: &TaskId, id: &WorkerId) {
         let Some(worker) = self.workers.get(id) else { return };
         let process = worker.listing.incarnation;
--- a/crates/dewspar/src/schedule/record_merge.rs
+++ b/crates/dewspar/src/schedule/record_merge.rs
@@ -1,12 +1,12 @@
 /*!
-Going on from a job's record that this holder didn't know of.
+Merging a job's record that this holder didn't know of.
 
-A holder knows what is stored of a job from loading it and from its own writes.
-Where a write finds another record (see [`crate::job::conflict`]), what that
-record says is added to what is known: tasks that are done there aren't run
-again, failed runs count, and a job that is over there is over. Nothing that is
-known here is taken back, so a record that is older than what is known changes
-nothing.
+A holder knows what is stored of a job because it loaded the job or wrote the
+record itself. If a write finds a different record (see
+[`crate::job::conflict`]), that record is merged into the known state: tasks
+that are done in the record aren't run again, failed runs count, and a job that
+is over there is over. The merge undoes nothing that is already known, so a
+record older than the known state changes nothing.
 */
 
 use crate::{
@@ -19,10 +19,10 @@
 };
 
 impl Scheduler {
-    /// Adds what a job's record says to what is known of the job, and has the
-    /// outcome stored.
+    /// Merges a job's record into the known state of the job, and queues the
+    /// result to be stored.
     ///
-    /// A job that is unknown stays unknown.
+    /// An unknown job stays unknown.
     ///
     /// # Example
     ///
@@ -76,8 +76,8 @@
         self.finish_if_over(task, failures, now);
     }
 
-    /// Ends a job as its record says, which counts more than how it ended
-    /// here: callers may have been told.
+    /// Ends a job as its record says. The record takes precedence over how the
+    /// job ended here, since callers may already have been told.
     fn adopt_recorded_end(&mut self, id: JobId, record: &Progress, now: Now) {
         self.finish(id, record.phase, now);
         let Some(job) = self.jobs.get_mut(&id) else { return };
@@ -93,8 +93,8 @@
     TaskId { job, round, step, index }
 }
 
-/// Adds what is on record of a task; returns the runs that are of no use any
-/// more, since the task is done.
+/// Merges the record of a task; returns the runs that are obsolete because the
+/// task is done.
 fn add_record(
     job: &mut Job,
     id: JobId,
@@ -117,7 +117,7 @@
 }
 
 impl Task {
-    /// Adds all that is on record but whether the task is done.
+    /// Merges everything in the record except whether the task is done.
     fn add(&mut self, record: &TaskRecord) {
         for run in &record.failed_runs {
             if !self.failed_runs.contains(run) {
--- a/crates/dewspar/src/schedule/start_log.rs
+++ b/crates/dewspar/src/schedule/start_log.rs
@@ -1,29 +1,29 @@
 /*!
-Starts that are put on record together.
+A log of starts that are recorded together.
 
 A start that must be on record before it is ordered (see
-[`write_ahead`](super::write_ahead)) could be written with its job. But a holder
-that takes over a peak has thousands of jobs with such starts, and a store takes a
-few hundred writes a second. What the next holder has to know of a start is little:
-which task, which run, which process was told. So the starts of a plan are written
-as one value, a *start log*, several of which may be under way: a group commit, as
-of a write-ahead log.
+[`write_ahead`](super::write_ahead)) could be written with its job. But a
+holder that takes over at peak load has thousands of jobs with such starts, and
+a store takes a few hundred writes a second. The next holder needs little about
+a start: the task, the run, and the process that was told. So the starts of a
+plan are written as one value, a *start log*, as in the group commit of a
+write-ahead log. Several logs may be in flight at a time.
 
-A job's record needn't be written for such a start. The log stays until each of its
-starts is settled: its run has lived on, or the job's record says what became of it.
-Then the log is deleted. So there are few logs at a time, and what a new holder reads
-of them is what it must know.
+The job's record isn't written for such a start. A log stays until each of its
+starts is settled: the run has lived on, or the job's record says what became
+of it. Then the log is deleted. So there are few logs at a time, and a new
+holder reads only what it needs.
 
-The next holder reads the logs before it starts anything that it has inherited, and
-takes each start in with its job. It puts these on record with their jobs, so that
-the logs of former holders can go.
+The next holder reads the logs before it starts any inherited task, and merges
+each start into its job. It stores these starts with their jobs, so that the
+logs of previous holders can be deleted.
 
 | what | how |
 |---|---|
 | size of a log | bounded by how many starts may be withheld at a time |
-| a start that can't be read | is passed over by itself |
-| a write without an answer | counts as not done, and its starts are written again; a start that is in two logs is one |
-| logs of two holders | lie under the revisions of their leases |
+| an unreadable start | is skipped by itself |
+| a write without an answer | counts as failed, and its starts are written again; a start that is in two logs counts once |
+| logs of two holders | are stored under the revisions of their leases |
 
 # Example
 
@@ -49,10 +49,10 @@
     std::collections::{BTreeMap, BTreeSet},
 };
 
-/// How often it is looked which logs are settled, in milliseconds.
+/// How often the logs are checked for settled starts, in milliseconds.
 const SETTLED_CHECK_INTERVAL_MS: u64 = 500;
 
-/// What is logged of a start.
+/// A logged start.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct LoggedStart {
     /// The task.
@@ -64,14 +64,14 @@
     /// The VM of that worker; empty if it doesn't name one.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub vm: String,
-    /// When that worker's process was started, in milliseconds of the Unix epoch;
-    /// `None` if it doesn't say.
+    /// When that worker's process was started, in milliseconds of the Unix
+    /// epoch; `None` if it doesn't say.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub born_unix_ms: Option<u64>,
-    /// As [`TaskRecord::crashes`].
+    /// The same as [`TaskRecord::crashes`].
     #[serde(default, skip_serializing_if = "is_zero")]
     pub crashes: u32,
-    /// As [`TaskRecord::unseen`], with this start.
+    /// The same as [`TaskRecord::unseen`], including this start.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub unseen: u32,
 }
@@ -88,7 +88,7 @@
 }
 
 impl StartLog {
-    /// Returns the log's number, rising from 1 under each lease.
+    /// Returns the log's number; numbers rise from 1 under each lease.
     pub fn number(&self) -> u64 {
         self.number
     }
@@ -99,31 +99,33 @@
     }
 }
 
-/// A start whose log can't go yet.
+/// A start whose log can't be deleted yet.
 #[derive(Clone, Copy, Debug)]
 struct OpenStart {
     task: TaskId,
     run: u64,
-    /// The newest change when it was logged.
+    /// The newest change when the start was logged.
     sequence: u64,
 }
 
-/// The logs of this lease, and what was logged under former ones.
+/// The logs of this lease, and the starts logged under previous leases.
 #[derive(Debug, Default)]
 pub(super) struct StartLogs {
-    /// Whether starts are logged at all; else they go on record with their jobs.
+    /// Whether starts are logged at all; otherwise they are stored with their
+    /// jobs.
     enabled: bool,
     last: u64,
     /// The starts that wait to be logged.
     waiting: BTreeSet<TaskId>,
     /// The logs that were written or may have been, with their open starts.
     written: BTreeMap<u64, Vec<OpenStart>>,
-    /// The logs whose write is under way.
+    /// The logs whose write is in flight.
     under_way: BTreeSet<u64>,
     checked_at_ms: u64,
-    /// What former holders have logged of jobs that aren't loaded yet.
+    /// The starts that previous holders logged, of jobs that aren't loaded
+    /// yet.
     inherited: BTreeMap<JobId, Vec<LoggedStart>>,
-    /// The jobs whose records don't hold yet what former holders have logged.
+    /// The jobs whose records don't yet contain what previous holders logged.
     unstored: BTreeSet<JobId>,
 }
 
@@ -132,7 +134,7 @@
         self.enabled
     }
 
-    /// Has a start logged.
+    /// Queues a start to be logged.
     pub(super) fn add(&mut self, task: TaskId) {
         self.waiting.insert(task);
     }
@@ -143,8 +145,8 @@
 }
 
 impl Scheduler {
-    /// Has starts that must be on record written together, in place of the records
-    /// of their jobs.
+    /// Enables the start log: starts that must be on record are written
+    /// together instead of with the records of their jobs.
     pub fn enable_start_log(&mut self) {
         self.start_logs.enabled = true;
     }
@@ -152,7 +154,7 @@
     /// Takes the starts that wait to be logged; `None` if there are none.
     ///
     /// Call [`Scheduler::start_log_stored`] or [`Scheduler::start_log_failed`]
-    /// once the outcome is known. Several may be under way at a time.
+    /// once the outcome is known. Several logs may be in flight at a time.
     pub fn take_start_log(&mut self) -> Option<StartLog> {
         let waiting = std::mem::take(&mut self.start_logs.waiting);
         let starts: Vec<LoggedStart> = waiting
@@ -199,8 +201,8 @@
         }
     }
 
-    /// Notes that a log isn't in the store, or may not be. Its starts are logged
-    /// again, as far as they still wait for that.
+    /// Notes that a log isn't in the store, or may not be. Its starts are
+    /// logged again if they still wait for that.
     pub fn start_log_failed(&mut self, log: &StartLog) {
         self.start_logs.under_way.remove(&log.number);
         for start in &log.starts {
@@ -210,7 +212,7 @@
         }
     }
 
-    /// Takes the numbers of this lease's logs that nobody needs any more.
+    /// Takes the numbers of this lease's logs that are no longer needed.
     pub fn take_settled_logs(&mut self, now: Now) -> Vec<u64> {
         if now.steady_ms
             < self.start_logs.checked_at_ms + SETTLED_CHECK_INTERVAL_MS
@@ -235,11 +237,11 @@
         numbers
     }
 
-    /// Returns whether a later holder knows of a start what it must without the
-    /// log.
+    /// Returns whether a later holder knows what it must about a start without
+    /// the log.
     fn is_settled(&self, start: &OpenStart) -> bool {
         let id = start.task.job;
-        // One that is over and stored isn't known any more.
+        // A job that is over and stored isn't known any more.
         let Some(job) = self.jobs.get(&id) else { return true };
         if self.changed.contains_key(&id) || self.storing.contains_key(&id) {
             return false;
@@ -250,8 +252,8 @@
         state.done || !goes_on || job.stored_sequence > start.sequence
     }
 
-    /// Takes in what former holders have logged, before any of their jobs is
-    /// submitted.
+    /// Adds the starts that previous holders logged. Call this before any of
+    /// their jobs is submitted.
     pub fn inherit_logged_starts(&mut self, starts: Vec<LoggedStart>) {
         for start in starts {
             let of_job =
@@ -260,7 +262,7 @@
         }
     }
 
-    /// Takes in what former holders have logged of a job that is loaded.
+    /// Merges the starts that previous holders logged into a loaded job.
     pub(super) fn merge_logged_starts(&mut self, id: JobId) {
         let Some(starts) = self.start_logs.inherited.remove(&id) else {
             return;
@@ -276,7 +278,8 @@
         }
     }
 
-    /// Returns whether a start says more than the record of its job.
+    /// Merges a logged start; returns whether it says more than the record of
+    /// its job.
     fn merge_logged_start(&mut self, start: &LoggedStart) -> bool {
         let job = self.jobs.get_mut(&start.task.job);
         let state = job.and_then(|job| job.task_mut(&start.task));
@@ -305,8 +308,8 @@
         true
     }
 
-    /// Returns whether the logs of former holders can go: all that they say is on
-    /// record with its jobs, or of jobs that are over.
+    /// Returns whether the logs of previous holders can be deleted: everything
+    /// in them is stored with its jobs, or belongs to jobs that are over.
     pub fn are_logged_starts_stored(&mut self) -> bool {
         let (changed, storing) = (&self.changed, &self.storing);
         self.start_logs
--- a/crates/dewspar/src/schedule/storing.rs
+++ b/crates/dewspar/src/schedule/storing.rs
@@ -1,5 +1,5 @@
 /*!
-What must be in the store before ends may be acknowledged.
+Changes that must be stored before ends may be acknowledged.
 */
 
 use {
@@ -10,20 +10,21 @@
     std::collections::BTreeSet,
 };
 
-/// What must be stored before ends may be acknowledged.
+/// Changes that must be stored before ends may be acknowledged.
 #[derive(Clone, Debug, Default)]
 pub struct Changes {
     /// The progress of the jobs that changed.
     pub progress: Vec<(JobId, Progress)>,
-    /// The jobs among them that are over and of which something may still run:
-    /// a later holder has to know before it has loaded them.
+    /// The jobs among them that are over while some of their runs may still be
+    /// active. A later holder has to know these before it has loaded them.
     unstopped: BTreeSet<JobId>,
-    /// The newest change that is in it.
+    /// The newest change that is included.
     sequence: u64,
 }
 
 impl Changes {
-    /// Takes out the changes of some jobs, so that they go their own way.
+    /// Splits off the changes of some jobs, so that they can be written
+    /// separately.
     pub fn take(&mut self, ids: &BTreeSet<JobId>) -> Changes {
         let progress =
             self.progress.extract_if(.., |(id, _)| ids.contains(id)).collect();
@@ -32,34 +33,36 @@
         Changes { progress, unstopped, sequence: self.sequence }
     }
 
-    /// Returns whether a job is over while something of it may still run.
+    /// Returns whether a job is over while some of its runs may still be
+    /// active.
     pub fn is_unstopped(&self, id: JobId) -> bool {
         self.unstopped.contains(&id)
     }
 }
 
 impl Scheduler {
-    /// Takes what changed and isn't being stored, at most `most` jobs; those
-    /// that are over come first, since callers wait for them, then those for
-    /// which starts wait, in the order of these, then those whose change has
-    /// waited for longest.
+    /// Takes the changes of at most `most` jobs that aren't being stored yet.
+    ///
+    /// Jobs that are over come first, since callers wait for them. Then come
+    /// the jobs for which starts wait, in the order of these starts, then the
+    /// others, the longest-waiting change first.
     ///
     /// Call [`Scheduler::changes_stored`] or [`Scheduler::changes_failed`]
-    /// once the outcome is known. Several may be under way at a time: no job
-    /// is in two of them.
+    /// once the outcome is known. Several batches may be in flight at a time;
+    /// no job is in two of them.
     pub fn take_changes(&mut self, most: usize) -> Changes {
         self.take_changes_within(most, |_| 1)
     }
 
-    /// Takes the same for a write that holds `most_entries`, of which a job in a
-    /// phase takes `entries_of` that phase.
+    /// Does the same for a write that holds `most_entries`, of which a job in
+    /// a phase takes `entries_of` that phase.
     pub fn take_changes_within(
         &mut self,
         most_entries: usize,
         entries_of: impl Fn(Phase) -> usize,
     ) -> Changes {
-        // In no fixed order of jobs: where more change all the time than can
-        // be stored, the last ones never would be.
+        // Not in a fixed order of jobs: if more jobs change continuously than
+        // can be stored, the last ones would never be stored.
         let mut ids: Vec<(bool, u64, u64, JobId)> = self
             .unstored()
             .filter_map(|(id, since)| {
@@ -101,8 +104,8 @@
         })
     }
 
-    /// Returns the jobs that changed and aren't being stored, each with its
-    /// first change that isn't.
+    /// Returns the changed jobs that aren't being stored, each with its first
+    /// unstored change.
     fn unstored(&self) -> impl Iterator<Item = (JobId, u64)> {
         let waiting = self.changed.iter();
         waiting
@@ -128,7 +131,7 @@
         self.store_ends(now);
     }
 
-    /// Moves on what may be acknowledged to each worker.
+    /// Advances what may be acknowledged to each worker.
     pub(super) fn store_ends(&mut self, now: Now) {
         let (jobs, unreadable_jobs) = (&self.jobs, &self.unreadable_jobs);
         for number in self.workers.with_unstored_ends(&self.options) {
@@ -151,7 +154,7 @@
         }
     }
 
-    /// Puts changes back that couldn't be stored.
+    /// Puts back changes that couldn't be stored.
     pub fn changes_failed(&mut self, changes: &Changes) {
         for (id, _) in &changes.progress {
             let since = self.storing.remove(id).unwrap_or(changes.sequence);
@@ -166,9 +169,9 @@
 
     /// Takes finished jobs whose keys need no longer be kept.
     ///
-    /// A cancelled job of which something may still run is kept, however old
-    /// it is: once its keys are gone, a later holder would take the run for
-    /// one of a job that it hasn't loaded, and renew its lease.
+    /// A cancelled job with runs that may still be active is kept, however old
+    /// it is. Without its keys, a later holder would take the run for one of a
+    /// job that isn't loaded yet, and renew its lease.
     pub fn take_expired(&mut self, now: Now, most: usize) -> Vec<JobId> {
         let kept_ms = self.options.kept_ms;
         let over = |at: u64| now.unix_ms >= at + kept_ms;
--- a/crates/dewspar/src/schedule/unreadable_jobs.rs
+++ b/crates/dewspar/src/schedule/unreadable_jobs.rs
@@ -1,12 +1,13 @@
 /*!
 Ends of runs whose job can't be read.
 
-What is done of a job whose record or entry can't be read isn't known, so
-nothing more of it runs. Its runs still end, and a later holder that can read
-the job must know which of them did their work. A worker forgets an end once it
-is acknowledged, and lists all ends since as long as one of them isn't. So such
-an end is *set aside*: it is stored as it was heard, by itself, and acknowledged
-then. A holder that reads the job takes in what was set aside of it.
+If the record or entry of a job can't be read, it isn't known what is done, so
+nothing more of the job runs. Its current runs still end, and a later holder
+that can read the job must know which of them completed. A worker forgets an
+end once it is acknowledged, and until then lists it together with all later
+ends. So such an end is *set aside*: it is stored by itself as it was reported,
+and then acknowledged. A holder that can read the job applies the ends that
+were set aside for it.
 
 # Example
 
@@ -48,7 +49,7 @@
 /// An end of a run whose job can't be read.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct DeferredEnd {
-    /// The worker's life that listed it.
+    /// The worker that listed it.
     pub worker: String,
     /// The end.
     pub end: EndedRun,
@@ -81,7 +82,7 @@
 }
 
 impl UnreadableJobs {
-    /// Returns whether an end's change is in the store.
+    /// Returns whether the change of an end is in the store.
     pub(super) fn is_stored(
         &self,
         jobs: &Jobs,
@@ -95,8 +96,11 @@
 }
 
 impl Scheduler {
-    /// Runs nothing more of a job of which nobody knows what was done, and
-    /// stores nothing of it but the ends of its runs, set aside.
+    /// Stops scheduling a job that can't be read, so that it isn't known what
+    /// was done.
+    ///
+    /// Its runs are stopped, and nothing of it is stored except the ends of
+    /// its runs.
     pub fn mark_unreadable(&mut self, id: JobId) {
         self.unreadable_jobs.jobs.insert(id);
         let Some(job) = self.jobs.get(&id) else { return };
@@ -111,7 +115,8 @@
         self.changed.remove(&id);
         self.storing.remove(&id);
         self.awaited.remove(&id);
-        // Else they are acknowledged with the next write of other jobs.
+        // Otherwise they would be acknowledged with the next write of other
+        // jobs.
         for worker in self.workers.values_mut() {
             worker.redeliver(id);
         }
@@ -119,7 +124,7 @@
     }
 
     /// Sets an end aside if its job can't be read; returns the number of the
-    /// change, 0 for none.
+    /// change, 0 if there is none.
     pub(super) fn defer_end(
         &mut self,
         worker_id: &WorkerId,
@@ -135,10 +140,10 @@
         self.sequence
     }
 
-    /// Takes ends that are to be stored by themselves, at most so many.
+    /// Takes at most `most` ends that are to be stored by themselves.
     ///
-    /// Call [`Scheduler::deferred_ends_stored`] or [`Scheduler::deferred_ends_failed`] once
-    /// the outcome is known.
+    /// Call [`Scheduler::deferred_ends_stored`] or
+    /// [`Scheduler::deferred_ends_failed`] once the outcome is known.
     pub fn take_deferred_ends(&mut self, most: usize) -> DeferredEndBatch {
         let UnreadableJobs { unstored, storing, .. } =
             &mut self.unreadable_jobs;
@@ -160,15 +165,15 @@
         self.store_ends(now);
     }
 
-    /// Puts ends back that couldn't be stored.
+    /// Puts back ends that couldn't be stored.
     pub fn deferred_ends_failed(&mut self, ends: &DeferredEndBatch) {
         for number in ends.0.keys() {
             self.unreadable_jobs.storing.remove(number);
         }
     }
 
-    /// Takes in an end that was set aside, if its job is known; taking it in
-    /// twice changes nothing more.
+    /// Applies an end that was set aside, if its job is known. Applying it
+    /// twice has no further effect.
     pub fn apply_deferred_end(&mut self, aside: &DeferredEnd, now: Now) {
         let DeferredEnd { worker, end } = aside;
         let (worker, task) = (WorkerId::new(worker), &end.task);
--- a/crates/dewspar/src/schedule/write_ahead.rs
+++ b/crates/dewspar/src/schedule/write_ahead.rs
@@ -1,24 +1,26 @@
 /*!
-Starts that are on record before they are ordered.
+Starts that are recorded before they are ordered.
 
-What is on record of a start with its worker tells the next holder all: whether
-the task runs there, never came there, may still come there, or has crashed that
-worker. But only if the record comes first. A holder that is lost while the order
-is out and the write isn't leaves no trace of the start, and the next one does
-the same.
+A recorded start with its worker tells the next holder whether the task runs
+there, never arrived, may still arrive, or has crashed that worker. But that
+only works if the record comes first. If a holder is lost after it sent the
+order and before the write is done, the start leaves no record, and the next
+holder repeats it.
 
-So some starts are *withheld*: those of tasks that a former holder may have started,
-and of those that are being found out about (see [`suspects`](super::suspects)). The
-task takes its room on the worker as if it were ordered, the record names that worker,
-and the order follows once the record is stored. What a holder accepts itself starts
-at once: one such start without a trace is bounded by what the next holders record.
+So some starts are *withheld*: those of tasks that a previous holder may have
+started, and those of tasks under test (see [`suspects`](super::suspects)). The
+task takes its room on the worker as if it were ordered, the record names that
+worker, and the order is sent once the record is stored. Jobs that a holder
+accepts itself start at once: one such unrecorded start is bounded by what the
+next holders record.
 
-The starts are written together (see [`start_log`](super::start_log)), or with their
-jobs where nobody writes such logs. Where the store takes none, or takes long, the
-order goes out without its record: callers wait no longer than [`RECORD_WAIT_MS`].
+The starts are written together (see [`start_log`](super::start_log)), or with
+their jobs if the start log is disabled. If the store fails or is slow, the
+order is sent without a record: a start waits no longer than
+[`RECORD_WAIT_MS`].
 
-If meanwhile the worker takes no orders any more, or the run is to stop, nothing
-was ordered, and the task waits again.
+If the worker stops taking orders meanwhile, or the run is to stop, nothing was
+ordered, and the task waits again.
 
 # Example
 
@@ -40,10 +42,10 @@
     std::collections::BTreeMap,
 };
 
-/// How long a start waits for its record at most, in milliseconds.
+/// The maximum time that a start waits for its record, in milliseconds.
 const RECORD_WAIT_MS: u64 = 300;
 
-/// How many starts may be withheld at a time: they take room on workers.
+/// The maximum number of withheld starts; they take room on workers.
 const MAX_WITHHELD: usize = 512;
 
 /// A run that has its place on a worker and is still to be ordered.
@@ -51,7 +53,7 @@
 pub(super) struct PlacedStart {
     pub(super) worker: WorkerId,
     pub(super) run: u64,
-    /// The ticket of the adviser, where the queue needs one; else empty.
+    /// The adviser's ticket, if the queue needs one; empty otherwise.
     pub(super) ticket: String,
 }
 
@@ -59,15 +61,15 @@
 #[derive(Clone, Debug)]
 struct WithheldStart {
     start: PlacedStart,
-    /// The change by which it is on record with its job.
+    /// The change that records it with its job.
     sequence: u64,
     since_ms: u64,
-    /// Whether it waits no longer: it is on record, or a write that held it wasn't
-    /// done.
+    /// Whether it waits no longer: it is on record, or a write that contained
+    /// it failed.
     is_due: bool,
 }
 
-/// What to do about a start that is withheld.
+/// The next step for a withheld start.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Next {
     Wait,
@@ -75,13 +77,13 @@
     Withdraw,
 }
 
-/// The starts that wait until they are on record.
+/// The withheld starts.
 #[derive(Debug, Default)]
 pub(super) struct WriteAhead {
     withheld: BTreeMap<TaskId, WithheldStart>,
-    /// Those that are due, in the order in which they came to be.
+    /// Those that are due, in the order in which they became due.
     due: Vec<TaskId>,
-    /// No start is withheld since before that.
+    /// A lower bound of the time since which any start has been withheld.
     oldest_ms: u64,
 }
 
@@ -91,13 +93,13 @@
         self.withheld.contains_key(task)
     }
 
-    /// Returns whether no more starts are withheld for now.
+    /// Returns whether no more starts can be withheld for now.
     pub(super) fn is_full(&self) -> bool {
         self.withheld.len() >= MAX_WITHHELD
     }
 
-    /// Notes that a job's changes up to this one are in the store, or that a write
-    /// of them wasn't done.
+    /// Notes that a job's changes up to this one are in the store, or that a
+    /// write of them failed.
     pub(super) fn note_job_written(&mut self, job: JobId, sequence: u64) {
         let first = TaskId { job, round: 0, step: 0, index: 0 };
         let of_job = self.withheld.range_mut(first..);
@@ -135,7 +137,7 @@
         self.withheld.insert(task, withheld);
     }
 
-    /// Takes the starts that wait no longer, in the order in which they came to be
+    /// Takes the starts that wait no longer, in the order in which they became
     /// due.
     fn take_due(&mut self, now: Now) -> Vec<TaskId> {
         if now.steady_ms >= self.oldest_ms + RECORD_WAIT_MS {
@@ -183,7 +185,7 @@
         self.write_ahead.insert(*task, withheld);
     }
 
-    /// Orders the starts that are on record by now, and withdraws those that
+    /// Orders the starts that are now on record, and withdraws those that
     /// can't be ordered any more.
     pub(super) fn order_withheld(
         &mut self,
@@ -210,8 +212,8 @@
         }
     }
 
-    /// Withdraws the starts that are withheld on a worker: what was never
-    /// ordered there can't have crashed it.
+    /// Withdraws the starts that are withheld on a worker: a run that was
+    /// never ordered can't have crashed it.
     pub(super) fn withdraw_starts_on(&mut self, worker: &WorkerId, now: Now) {
         let here = |_: &TaskId, withheld: &mut WithheldStart| {
             withheld.start.worker == *worker
@@ -223,7 +225,7 @@
         }
     }
 
-    /// Decides about a start that waits for its record no longer.
+    /// Decides what to do with a start that no longer waits for its record.
     fn decide_withheld(&self, task: &TaskId, now: Now) -> Next {
         let Some(withheld) = self.write_ahead.withheld.get(task) else {
             return Next::Withdraw;
@@ -234,18 +236,18 @@
         let (Some(job), Some(worker)) = (job, worker) else {
             return Next::Withdraw;
         };
-        // Its room may have shrunk meanwhile.
+        // The worker's capacity may have shrunk meanwhile.
         let roomy = self.is_sure_of_room(worker, &job.terms.pool, now)
             && worker.listing.capacity.contains(worker.used());
         if !roomy || !may_be_ordered(worker, task, *run, now) {
             return Next::Withdraw;
         }
-        // The members of a gang go together.
+        // The members of a gang start together.
         let gang = job.step_spec(task).is_some_and(|spec| spec.gang);
         if gang || self.may_start() { Next::Order } else { Next::Wait }
     }
 
-    /// Takes back a start that was never ordered.
+    /// Withdraws a start that was never ordered.
     fn withdraw(&mut self, task: &TaskId, start: &PlacedStart, now: Now) {
         self.start_logs.withdraw(task);
         self.settle_in_doubt(task, &start.worker, start.run);
@@ -258,8 +260,8 @@
     }
 }
 
-/// Returns whether the run is still where it has its place, and its worker
-/// takes orders under the token under which it got that.
+/// Returns whether the run still has its place, and its worker takes orders
+/// under the token under which the run got that place.
 fn may_be_ordered(worker: &Worker, task: &TaskId, run: u64, now: Now) -> bool {
     let here = worker.runs.get(task).filter(|here| here.run == run);
     here.is_some_and(|here| {
