--- a/crates/dewspar/src/schedule/cancelled.rs
+++ b/crates/dewspar/src/schedule/cancelled.rs
@@ -1,17 +1,19 @@
 /*!
-The cancellings that the store has on record, and for how long.
+Cancellations that the store has on record, and how long they are kept.
 
-A cancelled job is stored as over at once, since callers ask for that. What
-runs of it is another matter: only workers know, and the node that took the
-cancelling in may be gone before they have carried its orders out. So the entry
-of the cancelling outlives its job's: it stays until every worker that may run
-anything has said what, and none names the job. The next holder reads these
-entries before all else, and stops what it finds of them before it has loaded a
-single job; neither their runs nor their ends have to wait for that.
+A cancelled job is stored as over at once, since callers ask for that. Its runs
+are a different matter: only workers know of them, and the node that accepted
+the cancellation may be gone before the workers have carried out its orders to
+stop. So the entry of the cancellation outlives the job's entry. It stays until
+every worker that may run anything has listed its runs, and none of them
+belongs to the job. The next holder reads these entries first and stops any run
+of these jobs before it has loaded a single job; neither their runs nor their
+ends have to wait for loading.
 
-The same holds for a job that came to another end, just before its cancelling or
-without one: whatever runs of it is to stop, and the entry goes once nothing
-does. So a job that ends while something of it runs is entered as well.
+The same applies to a job that ended in another way, just before its
+cancellation or without one: any remaining run is to be stopped, and the entry
+is deleted once there is none. So a job that ends while some of its runs are
+active gets an entry as well.
 */
 
 use {
@@ -22,11 +24,11 @@
     std::collections::BTreeSet,
 };
 
-/// How often it is looked whether runs of cancelled jobs are gone, in
-/// milliseconds: each look goes over all runs, and a stop takes up to 900 ms.
+/// How often to check whether the runs of cancelled jobs are gone, in
+/// milliseconds. Each check scans all runs, and a stop takes up to 900 ms.
 const CHECK_INTERVAL_MS: u64 = 250;
 
-/// The jobs whose cancelling is on record.
+/// The jobs whose cancellation is on record.
 #[derive(Debug, Default)]
 pub(super) struct Cancelled {
     on_record: BTreeSet<JobId>,
@@ -44,12 +46,11 @@
 }
 
 impl Scheduler {
-    /// Takes cancelled jobs that are stored as over and of which nothing runs
-    /// any more for certain, at most so many: their cancelling needn't be on
-    /// record any longer.
+    /// Takes at most `most` jobs whose cancellation needn't stay on record:
+    /// they are stored as over, and certainly none of their runs is left.
     ///
-    /// One that couldn't be deleted there is told to the next holder, which
-    /// takes it again.
+    /// If an entry can't be deleted from the store, the next holder reads it
+    /// and takes it again.
     pub fn take_settled_cancellations(
         &mut self,
         now: Now,
@@ -64,7 +65,7 @@
             return Vec::new();
         }
         let on_record = &mut self.cancelled.on_record;
-        // A few jobs are looked for among thousands of runs.
+        // Collects only a few jobs while scanning thousands of runs.
         let running: BTreeSet<JobId> = self
             .workers
             .values()
@@ -72,17 +73,17 @@
             .map(|task| task.job)
             .filter(|job| on_record.contains(job))
             .collect();
-        // Of a job that is neither open nor known to be over nothing can be
-        // said, so its cancelling stays.
+        // Nothing is known about a job that is neither open nor over, so its
+        // cancellation stays on record.
         let finished = &self.finished;
         let settled =
             |id: &JobId| finished.contains_key(id) && !running.contains(id);
         on_record.extract_if(.., |id| settled(id)).take(most).collect()
     }
 
-    /// Returns whether whatever runs anywhere is known: every worker that may
-    /// run something has named all of it under this lease, or can't run
-    /// anything any more.
+    /// Returns whether all runs everywhere are known: every worker that may
+    /// run anything has listed all of its runs under this lease, or its own
+    /// lease is over so that it can't run anything.
     fn knows_every_run(&self, now: Now) -> bool {
         let known = !self.is_loading() && self.lives_known;
         known
--- a/crates/dewspar/src/schedule/directory.rs
+++ b/crates/dewspar/src/schedule/directory.rs
@@ -1,9 +1,9 @@
 /*!
-Which lives of workers there are.
+Tracking which workers are alive.
 
-Three sources tell: the directory, in which workers enter themselves, the VM
-service, and the workers themselves, whose lease is over for certain after a
-time of silence.
+There are three sources: the directory, in which workers enter themselves, the
+VM service, and the workers' leases, which are certainly over after a period of
+silence.
 */
 
 use {
@@ -19,24 +19,25 @@
     std::collections::{BTreeMap, BTreeSet},
 };
 
-/// How long the directory must have gone unread for entries to have lapsed
-/// meanwhile, in milliseconds: less than the three heartbeats after which
-/// workers' entries go, and many times its usual interval.
+/// How long the directory must have been unreadable for entries to have
+/// expired meanwhile, in milliseconds: less than the three heartbeats after
+/// which workers' entries expire, and many times the usual interval between
+/// reads.
 const UNREAD_MS: u64 = 2_000;
 
-/// How long after the directory is read again entries may still be missing
-/// that lapsed meanwhile, in milliseconds: workers enter themselves again
-/// within about that time.
+/// For how long entries that expired meanwhile may be missing after the
+/// directory is readable again, in milliseconds. Workers re-enter themselves
+/// within about this time.
 const ENTERED_WITHIN_MS: u64 = 2_000;
 
 impl Scheduler {
-    /// Takes over the directory of workers as it is now.
+    /// Applies the current content of the directory of workers.
     pub fn list_workers(&mut self, now: Now, listings: Vec<WorkerListing>) {
         self.list_workers_as_of(now.steady_ms, now, listings);
     }
 
-    /// Takes over the directory of workers as it was asked for at this time
-    /// of the steady clock, in milliseconds.
+    /// Applies the content of the directory of workers as requested at this
+    /// time of the steady clock, in milliseconds.
     pub fn list_workers_as_of(
         &mut self,
         asked_ms: u64,
@@ -47,7 +48,8 @@
             self.taken_over_ms = now.steady_ms;
         }
         let settled = self.taken_over_ms + self.options.directory_settle_ms;
-        // Without the VM service, a directory that had time to fill must do.
+        // Without the VM service, a directory that has had time to fill must
+        // suffice.
         self.lives_known |= now.steady_ms >= settled;
         let unread_ms = now.steady_ms.saturating_sub(self.directory_ms);
         if self.directory_ms > 0 && unread_ms >= UNREAD_MS {
@@ -66,15 +68,15 @@
         self.drop_expired_in_doubt(now);
     }
 
-    /// Takes in one worker's entry in the directory as it is now.
+    /// Applies one worker's current entry in the directory.
     pub fn list_worker(&mut self, now: Now, listing: WorkerListing) {
         self.list_worker_as_of(now.steady_ms, now, listing);
     }
 
-    /// Takes in one worker's entry in the directory as it was asked for at
-    /// this time of the steady clock, in milliseconds.
+    /// Applies one worker's entry in the directory as requested at this time
+    /// of the steady clock, in milliseconds.
     ///
-    /// An entry that is older than what is known of the worker says nothing.
+    /// An entry that is older than what is known of the worker is ignored.
     pub fn list_worker_as_of(
         &mut self,
         asked_ms: u64,
@@ -100,7 +102,8 @@
             IncarnationOrder::Older => return,
         }
         let worker = self.workers.get(&listing.id);
-        // A worker that drains since would be given work again.
+        // Otherwise a worker that began to drain since then would be given
+        // work again.
         if worker.is_some_and(|worker| worker.is_reported_since(asked_ms)) {
             return;
         }
@@ -110,9 +113,12 @@
         }
     }
 
-    /// Returns lives that the list of VMs shows and whose entries in the
-    /// directory aren't known, so that they needn't wait until it is read as
-    /// a whole: a VM on which a new worker has begun is wanted at once.
+    /// Returns workers that the VM list shows and whose directory entries
+    /// aren't known.
+    ///
+    /// They can be looked up singly instead of waiting for the next read of
+    /// the whole directory, as a VM on which a new worker has started is
+    /// wanted at once.
     pub fn unlisted_workers(&self) -> Vec<WorkerId> {
         if self.directory_ms == 0 {
             return Vec::new();
@@ -129,7 +135,7 @@
     }
 
     /// Notes which workers the directory no longer lists, unless it couldn't
-    /// be read for a while and workers are still entering themselves again.
+    /// be read for a while and workers are still re-entering themselves.
     fn mark_missing_unlisted(
         &mut self,
         asked_ms: u64,
@@ -156,9 +162,11 @@
         }
     }
 
-    /// Returns the workers on whose VMs the directory lists another life,
-    /// and not them. One that was looked up since the directory was asked for
-    /// isn't among these: there its VM's former worker may still be listed.
+    /// Returns the workers that the directory doesn't list, although it lists
+    /// another worker on their VM.
+    ///
+    /// A worker that was looked up after this read was requested isn't among
+    /// them: the read may still list the previous worker of its VM.
     fn replaced_workers(
         &self,
         asked_ms: u64,
@@ -182,12 +190,12 @@
             .collect()
     }
 
-    /// Takes in which lives of workers there are, each with its pool, as
-    /// the VM service says after a takeover.
+    /// Adds the workers that the VM service reports as alive after a takeover,
+    /// each with its pool.
     ///
-    /// The directory may miss one that lives: entries lapse while the store
-    /// is away. Until it is listed again, it may run anything that a former
-    /// holder started.
+    /// The directory may lack a live worker, since entries expire while the
+    /// store is unavailable. Until it is listed again, such a worker may run
+    /// anything that a previous holder started.
     pub fn expect_workers(
         &mut self,
         now: Now,
@@ -204,13 +212,13 @@
             }
             let listing = WorkerListing::unlisted(id.clone(), pool);
             let mut worker = self.new_worker(listing, now);
-            // It hasn't said anything of itself.
+            // It hasn't reported anything about itself.
             worker.reported_at_ms = 0;
             self.workers.insert(id, worker);
         }
     }
 
-    /// Notes what workers and VMs have room for.
+    /// Notes the capacities of all workers and VMs.
     pub(super) fn note_capacities(&mut self) {
         let workers = self.workers.values().map(|w| w.listing.capacity);
         let vms = self.vms.values().map(|vm| vm.capacity);
@@ -223,14 +231,15 @@
         self.capacities = capacities;
     }
 
-    /// Returns whether the VM service should be asked which workers live.
+    /// Returns whether the VM service should be asked which workers are alive.
     pub fn needs_live_workers(&self) -> bool {
         !self.lives_known
     }
 
-    /// Makes a worker that is listed and wasn't known, or no longer.
+    /// Returns the state for a listed worker that is new, or that was no
+    /// longer known.
     fn listed_worker(&mut self, listing: WorkerListing, now: Now) -> Worker {
-        // A partition may last longer than a lease; the process goes on.
+        // A partition may outlast a lease while the process keeps running.
         let Some(tokens_used) = self.former.take_tokens_used(&listing.id)
         else {
             return self.new_worker(listing, now);
@@ -245,7 +254,7 @@
         Worker::new(listing, revision, now.steady_ms, &self.options)
     }
 
-    /// Notes that a life of a worker has ended, and all that ran there.
+    /// Notes that a worker has ended, together with all of its runs.
     pub fn worker_gone(
         &mut self,
         id: &WorkerId,
@@ -256,7 +265,7 @@
         let Some(mut worker) = self.workers.remove(id) else { return };
         self.former.ended(&worker, now);
         if worker.is_lapsed() {
-            // What was lost with it was told when its lease was over.
+            // Its lost runs were reported when its lease was over.
             self.note(Decision::WorkerGone { worker: id.clone(), reason });
             return;
         }
@@ -269,8 +278,8 @@
         self.note_crash(id, &lost, now);
     }
 
-    /// Gives up runs that have ended with their worker's process, which last
-    /// answered at this time of its clock, in milliseconds.
+    /// Releases runs that have ended with their worker's process, which last
+    /// answered at this time of its own clock, in milliseconds.
     pub(super) fn lose_runs(
         &mut self,
         id: &WorkerId,
@@ -294,8 +303,8 @@
         }
     }
 
-    /// Drops workers whose lease is over for certain, and those that left
-    /// the directory with nothing on them.
+    /// Drops workers whose lease is certainly over, and those that left the
+    /// directory without any runs.
     pub(super) fn drop_lapsed_workers(&mut self, now: Now) {
         let mut gone = Vec::new();
         for number in self.due_workers(now) {
--- a/crates/dewspar/src/schedule/hold_answers.rs
+++ b/crates/dewspar/src/schedule/hold_answers.rs
@@ -1,5 +1,8 @@
 /*!
-What a worker's answer to a hold changes.
+Handling of workers' answers to holds.
+
+A *hold* renews a worker's lease and asks what runs there. Its answer lists the
+worker's active runs and the ends that aren't acknowledged yet.
 */
 
 use {
@@ -18,33 +21,34 @@
     std::collections::BTreeMap,
 };
 
-/// At what share a best-effort run is taken to work that was found running,
-/// in percent: whatever it is, the next steps set it outright.
+/// The assumed pace of a best-effort run that was found running, in percent.
+/// The next pacing steps set it explicitly, whatever it is.
 const ADOPTED_PACE: u8 = 50;
 
-/// What to do about a run that a worker lists as active.
+/// How a run that a worker lists as active relates to the known state.
 enum ListedRun {
-    /// It is the one that was ordered.
+    /// The run that was ordered.
     Expected,
-    /// It belongs to a task that needs it.
+    /// A run of a task that needs it.
     Adopt(Resources),
-    /// Nobody needs it; what it takes is only known if its job is.
+    /// A run that nobody needs; its resource demand is only known if its job
+    /// is.
     Unwanted(Option<Resources>),
 }
 
-/// A run that a worker doesn't list though it would have to.
+/// A run that its worker fails to list.
 struct MissingRun {
     task: TaskId,
     run: u64,
     age_ms: u64,
     ordered_ms: u64,
     begun: bool,
-    /// Whether the process that was to start it has ended.
+    /// Whether the process that was told to start it has ended.
     is_outlived: bool,
 }
 
 impl Scheduler {
-    /// Takes in a worker's answer to a hold.
+    /// Applies a worker's answer to a hold.
     pub fn hold_answered(
         &mut self,
         worker_id: &WorkerId,
@@ -67,7 +71,7 @@
         }
         let pause_ms = self.ask_pause_ms();
         let Some(worker) = self.workers.get_mut(worker_id) else { return };
-        // It may say what was before another process began.
+        // It may describe the time before another process started.
         if held.session != worker.session {
             return;
         }
@@ -89,7 +93,8 @@
         self.claims.answered(worker_id);
         self.note_unknown_runs(worker_id, report, newest, now);
         for end in &report.ended {
-            // It is told again, and all after it, until it is acknowledged.
+            // This end and all later ones are reported again until they are
+            // acknowledged.
             if self.is_unknown(end.task.job) {
                 break;
             }
@@ -98,8 +103,8 @@
                 self.run_ended(worker_id, end, now);
             }
         }
-        // Answers on different connections may overtake each other; what an
-        // older one says is active may have ended since.
+        // Answers on different connections may overtake each other; a run that
+        // is active according to an older one may have ended since.
         if newest {
             for active in &report.active {
                 if self.is_unknown(active.task.job) {
@@ -122,9 +127,9 @@
         }
     }
 
-    /// Goes on with a worker's next process, of which nothing is known but that
-    /// it answers. What it lists is taken in once it answers under a token that
-    /// makes void what was sent before.
+    /// Switches to a worker's next process, of which nothing is known but that
+    /// it answers. The runs that it lists are applied once it answers under a
+    /// token that invalidates all earlier orders.
     fn next_process_answered(
         &mut self,
         worker_id: &WorkerId,
@@ -136,7 +141,7 @@
         self.replace_process(listing, 0, now);
     }
 
-    /// Passes an answer over that a worker's known process hasn't given.
+    /// Ignores an answer that wasn't given by a worker's known process.
     fn former_process_answered(
         &mut self,
         worker_id: &WorkerId,
@@ -144,14 +149,14 @@
         now: Now,
     ) {
         let Some(worker) = self.workers.get_mut(worker_id) else { return };
-        // Asked of the known one, it is as good as none.
+        // The hold was sent to the known process, so this counts as no answer.
         if held.session == worker.session {
             let owed = OwedHold { order: held.order, fencing: held.fencing };
             worker.hold_failed(&owed, now.steady_ms, &self.options);
         }
     }
 
-    /// Takes note that a hold got no answer.
+    /// Notes that a hold got no answer.
     pub fn hold_failed(
         &mut self,
         worker_id: &WorkerId,
@@ -190,7 +195,8 @@
         error: Option<OrderError>,
         now: Now,
     ) {
-        // What the worker was let to wait says nothing of this node.
+        // The time that the worker was allowed to wait says nothing about this
+        // node.
         let sent_ms = held.sent_ms + held.order.wait_ms;
         let end = call_end(sent_ms, error, now);
         if held.in_window {
@@ -220,7 +226,8 @@
             failures: failures.unwrap_or(0),
         });
         let Some(failures) = failures else {
-            // Of a job that is over and stored there is nothing more to store.
+            // There is nothing more to store for a job that is over and
+            // stored.
             let sequence = self.defer_end(worker_id, end);
             self.acknowledge(worker_id, end, sequence, now);
             return;
@@ -237,7 +244,7 @@
             | EndCause::LeaseOver
             | EndCause::GangBroken
             | EndCause::GangIncomplete => {
-                // Its worker has survived it; another run may be under way.
+                // Its worker has survived it; another run may be in progress.
                 if here {
                     self.note_suspect_ended(&task);
                 }
@@ -284,7 +291,8 @@
         if long || step.is_done() {
             return;
         }
-        // The members of a gang end together, and one end stands for all.
+        // The members of a gang end together, so one end counts for all of
+        // them.
         let all = 0..step.tasks.len() as u32;
         let members = if gang { all } else { task.index..task.index + 1 };
         let mut others = Vec::new();
@@ -298,7 +306,7 @@
             let id = TaskId { index, ..*task };
             others.extend(member.on.iter().map(|on| (id, on.clone())));
         }
-        // Copies of a task that is done are of no use.
+        // Other copies of a finished task are obsolete.
         if !gang {
             for (id, on) in others.iter().filter(|(_, on)| on != worker_id) {
                 self.stop_run(id, on, "another copy is done");
@@ -316,7 +324,7 @@
 
     fn task_failed(&mut self, worker_id: &WorkerId, task: &TaskId, now: Now) {
         let Some(job) = self.jobs.get(&task.job) else { return };
-        // A job that fails on more than one worker is at fault itself.
+        // A job that fails on more than one worker is itself the cause.
         let mut failed_on: Vec<WorkerId> = job
             .rounds
             .iter()
@@ -372,7 +380,8 @@
         self.note_progress(active);
         self.note_begun(active.task.job, now);
         let found = self.classify_run(worker_id, active);
-        // A former holder may have slowed it down: it is let go step by step.
+        // A previous holder may have slowed it down: its pace is raised step
+        // by step.
         let spec = self.step_spec(&active.task);
         let best_effort = spec.is_some_and(|spec| spec.best_effort);
         let lasts = spec.is_some_and(|spec| spec.long_running);
@@ -432,10 +441,10 @@
         }
     }
 
-    /// Enters the number and the checkpoint of a run with its task.
+    /// Stores the number and the checkpoint of a run with its task.
     ///
-    /// Most answers say of most runs what is known, and a job that isn't
-    /// changed needn't be looked at again.
+    /// Most answers repeat what is known of most runs, and a job that doesn't
+    /// change needn't be evaluated again.
     fn note_progress(&mut self, active: &ActiveRun) {
         let job = self.jobs.get(&active.task.job);
         let Some(known) = job.and_then(|job| job.task(&active.task)) else {
@@ -498,7 +507,7 @@
         });
     }
 
-    /// Drops the runs that a worker doesn't list though it would have to.
+    /// Drops the runs that a worker fails to list.
     fn drop_missing_runs(
         &mut self,
         worker_id: &WorkerId,
@@ -515,8 +524,9 @@
             .runs
             .iter()
             .filter(|(task, run)| {
-                // A start under an older token can't be carried out any
-                // more; one that was answered before the question was there.
+                // A start under an older token can't be carried out any more.
+                // A start that was answered before the hold was sent must be
+                // listed.
                 let settled = if run.has_begun() {
                     run.since_ms < held.sent_ms
                 } else {
@@ -538,7 +548,7 @@
         for missing in missing {
             let MissingRun { task, run, age_ms, begun, is_outlived, .. } =
                 missing;
-            // It may have ended the process that it was ordered of.
+            // It may have crashed the process from which it was ordered.
             if !begun && !is_outlived {
                 self.note_suspect_ended(&task);
             }
@@ -580,7 +590,7 @@
     }
 }
 
-/// Enters an end with its job; returns how often the task has failed.
+/// Records an end with its job; returns how often the task has failed.
 pub(super) fn note_end(
     job: &mut Job,
     worker_id: &WorkerId,
--- a/crates/dewspar/src/schedule/loading.rs
+++ b/crates/dewspar/src/schedule/loading.rs
@@ -1,24 +1,25 @@
 /*!
-Scheduling while the jobs of former holders are still being loaded.
+Scheduling while the jobs of previous holders are still being loaded.
 
 A new holder finds thousands of open jobs, and on a small link loading them
-takes longer than a lease lasts. It doesn't wait for them: jobs accepted under
-its own lease come over the feed and start at once. Of the others it must not
-believe anything before they are known:
-
-- A run of an unknown job isn't stopped, though nobody here needs it yet; its
-  worker's lease is renewed, and nothing new starts there, since what the run
-  takes isn't known either.
-- The end of an unknown job's run isn't acknowledged, nor is any end after it,
-  so that the worker tells them again.
-- A job that is known starts nothing in a pool as long as some worker there
-  runs or has ended what is unknown: it may be this job's.
-- A cancellation of an unknown job is kept until the job is known. Its runs
-  and ends need nothing more to be known: runs are stopped, ends acknowledged.
-- Nothing is ordered of VMs, since what the pools need isn't known.
-
-Once everything is loaded, the workers with unknown runs are asked again; VMs
-wait for their answers as well.
+takes longer than a lease lasts. It doesn't wait for that: jobs accepted under
+its own lease arrive over the feed and start at once. About the other jobs it
+assumes nothing until they are known:
+
+- A run of an unknown job isn't stopped, even though no known job needs it. Its
+  worker's lease is renewed, and nothing new starts there, since the run's
+  resource demand isn't known either.
+- The end of an unknown job's run isn't acknowledged, nor is any later end, so
+  that the worker reports them again.
+- A known job starts nothing in a pool while some worker there runs or has
+  ended anything unknown, since that may belong to this job.
+- A cancellation of an unknown job is kept until the job is known. Once its
+  cancellation is known, the job's runs are stopped and its ends acknowledged
+  without loading it.
+- No VM changes are ordered, since the pools' needs aren't known.
+
+Once everything is loaded, the workers with unknown runs are asked again. VM
+orders wait for their answers as well.
 
 # Example
 
@@ -42,11 +43,12 @@
     std::collections::BTreeSet,
 };
 
-/// How long after an answer that names unknown jobs a worker is asked again,
-/// in milliseconds: it would answer at once each time, with the same.
+/// How long to wait before asking a worker again whose answer named unknown
+/// jobs, in milliseconds. It would answer at once each time, with the same
+/// content.
 const ASK_AGAIN_MS: u64 = 500;
 
-/// What is known of the jobs of former holders.
+/// The loading state of the jobs of previous holders.
 #[derive(Debug, Default)]
 pub(super) enum Loading {
     /// All of them are known.
@@ -60,17 +62,17 @@
 }
 
 impl Scheduler {
-    /// Notes that jobs of former holders are still to be submitted.
+    /// Notes that jobs of previous holders are still to be submitted.
     pub fn begin_loading(&mut self) {
         self.loading = Loading::UnderWay { cancelled: BTreeSet::new() };
     }
 
-    /// Returns whether jobs of former holders may still be unknown.
+    /// Returns whether jobs of previous holders may still be unknown.
     pub fn is_loading(&self) -> bool {
         matches!(self.loading, Loading::UnderWay { .. })
     }
 
-    /// Notes that every job of former holders was submitted.
+    /// Notes that every job of previous holders was submitted.
     pub fn finish_loading(&mut self, now: Now) {
         self.apply_deferred_cancellations(now);
         self.loading = Loading::Done;
@@ -81,9 +83,9 @@
         }
     }
 
-    /// Returns whether all jobs are loaded and every worker that answers has
-    /// named its runs since. Before that a worker with lasting tasks may look
-    /// empty, and its VM as one that may go.
+    /// Returns whether all jobs are loaded and every responsive worker has
+    /// listed its runs since then. Before that, a worker with long-running
+    /// tasks may look empty, and its VM may look unneeded.
     pub(super) fn knows_all_runs(&self) -> bool {
         let unknown = self.workers.values().any(|worker| {
             worker.has_unknown_runs() && worker.silent_since_ms.is_none()
@@ -91,8 +93,8 @@
         !self.is_loading() && !unknown
     }
 
-    /// Keeps a cancellation for when its job is known; returns whether it has
-    /// to be.
+    /// Keeps a cancellation until its job is known; returns whether that is
+    /// necessary.
     pub(super) fn defer_cancellation(&mut self, id: JobId) -> bool {
         if !self.is_unknown(id) {
             return false;
@@ -103,7 +105,8 @@
         true
     }
 
-    /// Cancels jobs that are known by now and were cancelled before.
+    /// Cancels jobs that were cancelled before they were known and are known
+    /// by now.
     pub(super) fn apply_deferred_cancellations(&mut self, now: Now) {
         let Loading::UnderWay { cancelled } = &mut self.loading else {
             return;
@@ -116,8 +119,8 @@
         }
     }
 
-    /// Returns whether a job may be one that isn't loaded yet and of which it
-    /// isn't known either that it is cancelled.
+    /// Returns whether a job may be one that isn't loaded yet and isn't known
+    /// to be cancelled either.
     pub(super) fn is_unknown(&self, id: JobId) -> bool {
         self.is_loading()
             && !self.jobs.contains_key(&id)
--- a/crates/dewspar/src/schedule/order_answers.rs
+++ b/crates/dewspar/src/schedule/order_answers.rs
@@ -1,5 +1,5 @@
 /*!
-What an answer to an order changes.
+Handling of workers' answers to orders to start and stop runs.
 */
 
 use crate::{
@@ -12,7 +12,7 @@
 };
 
 impl Scheduler {
-    /// Takes in the answer to an order to start a run.
+    /// Applies the answer to an order to start a run.
     pub fn start_answered(
         &mut self,
         worker_id: &WorkerId,
@@ -50,7 +50,8 @@
             }
             Err(error) => error,
         };
-        // A hold has shown it meanwhile, or it is to stop: ends will tell.
+        // A hold has listed the run meanwhile, or the run is to stop: its end
+        // will be reported.
         if known.state == RunState::Running {
             return;
         }
@@ -71,8 +72,9 @@
                     return;
                 }
                 worker.raise_fence(now.steady_ms);
-                // Each costs a token: without pauses they lasted 52 to 231 s,
-                // and a tenth of such workers cost the lease each time.
+                // Each raise uses up a token. Without pauses the tokens lasted
+                // 52 to 231 s, and a tenth of workers like this one cost the
+                // holder its lease each time.
                 if worker.leaves_unanswered_again() {
                     self.suspend(worker_id, error.name(), now);
                 }
@@ -96,9 +98,9 @@
         }
     }
 
-    /// Takes in the answer to an order of a process that has ended since. One
-    /// that was carried out may have been so by that process or by the next,
-    /// which will say what it has.
+    /// Applies the answer to an order that was sent to a process that has
+    /// ended since. If the order was carried out, then by that process or by
+    /// the next one, which will list what it runs.
     fn outlived_start_answered(
         &mut self,
         worker_id: &WorkerId,
@@ -149,8 +151,8 @@
             Refusal::OtherLife => {
                 self.worker_gone(worker_id, "another life answers", now);
             }
-            // Something is there that isn't known here, or the clocks
-            // disagree: ask before anything else is sent.
+            // The worker has something that isn't known here, or the clocks
+            // disagree: ask before sending anything else.
             Refusal::NoRoom | Refusal::LeaseOver | Refusal::StaleRun
                 if under_current_fence =>
             {
@@ -158,7 +160,7 @@
                     return;
                 };
                 worker.raise_fence(now.steady_ms);
-                // What it lists didn't explain the refusal before this one.
+                // The runs that it listed didn't explain the previous refusal.
                 if worker.refuses_again() {
                     self.suspend(worker_id, refusal.name(), now);
                 }
@@ -166,7 +168,8 @@
             Refusal::Unhealthy | Refusal::Invalid => {
                 self.suspend(worker_id, refusal.name(), now);
             }
-            // Sent before the token was raised: the worker is asked already.
+            // Sent before the token was raised: the worker is already being
+            // asked.
             Refusal::Fenced
             | Refusal::NoRoom
             | Refusal::LeaseOver
@@ -175,7 +178,7 @@
         }
     }
 
-    /// Takes in the answer to an order to stop a run.
+    /// Applies the answer to an order to stop a run.
     pub fn stop_answered(
         &mut self,
         worker_id: &WorkerId,
@@ -204,14 +207,15 @@
                     self.query_under_new_token(worker_id, now);
                 }
             }
-            // It is sent again until the end is listed.
+            // The order is sent again until the end is listed.
             OrderError::Refused(_)
             | OrderError::NotSent
             | OrderError::Unknown => {}
         }
     }
 
-    /// Returns whether a task's run is being stopped on a worker's known process.
+    /// Returns whether a task's run is being stopped on a worker's known
+    /// process.
     fn is_stopped_there(&self, worker_id: &WorkerId, task: &TaskId) -> bool {
         let worker = self.workers.get(worker_id);
         let run = worker.and_then(|worker| worker.runs.get(task));
@@ -226,26 +230,28 @@
     }
 }
 
-/// Returns what the end of an order to start says of this node.
+/// Returns what the outcome of an order to start says about this node's load.
 fn start_call_end(
     known: Option<&Run>,
     result: &Result<u64, OrderError>,
     now: Now,
 ) -> CallEnd {
-    // Once a hold has shown the run, it isn't known when the order was sent.
+    // Once a hold has listed the run, the time at which the order was sent
+    // isn't known.
     let starting = known.filter(|run| run.state == RunState::Starting);
     let Some(run) = starting else { return CallEnd::Discarded };
     call_end(run.since_ms, result.as_ref().err().copied(), now)
 }
 
-/// Returns what the end of an order says of this node.
+/// Returns what the outcome of an order says about this node's load.
 pub(super) fn call_end(
     sent_ms: u64,
     error: Option<OrderError>,
     now: Now,
 ) -> CallEnd {
     match error {
-        // A connection that doesn't open is a call without an answer.
+        // A connection that can't be opened counts as a call without an
+        // answer.
         Some(OrderError::Unknown | OrderError::NotSent) => CallEnd::Unanswered,
         Some(OrderError::Refused(_)) | None => {
             let took_ms = now.steady_ms.saturating_sub(sent_ms);
--- a/crates/dewspar/src/schedule/stopping.rs
+++ b/crates/dewspar/src/schedule/stopping.rs
@@ -1,13 +1,14 @@
 /*!
-Runs that are to stop, from the decision to the end.
+Stopping runs, from the decision to the end.
 
-A run is stopped in three steps: it is marked, the order follows with the next
-plan and again until it has worked, and the worker lists the end. Between the
-first and the last its room is taken, and the run does what nobody wants any
-more. Each step can fail by itself: the order is lost or refused, the worker is
-silent, the node that marked the run is gone. So a run that is to stop keeps an
-account of its steps, told once it is over, and once if that takes longer than
-a worker may take for a stop.
+A run is stopped in three steps: it is marked, an order is sent with the next
+plan and repeated until it takes effect, and the worker lists the end. Between
+the first and the last step the run's room stays occupied, and the run does
+work that is no longer wanted. Each step can fail by itself: the order is lost
+or refused, the worker is silent, or the node that marked the run is gone. So a
+run that is to stop keeps an account of these steps. The account is reported
+once the run is over, and also once if that takes longer than a worker may take
+for a stop.
 */
 
 use crate::{
@@ -19,21 +20,21 @@
     },
 };
 
-/// How many runs a plan says of that their stop takes too long, so that a
-/// rack that falls silent doesn't fill the log; the others are told with the
+/// The maximum number of overdue stops that a plan reports, so that a rack
+/// that falls silent doesn't flood the log; the others are reported with the
 /// next plans.
 const MAX_OVERDUE_PER_PLAN: usize = 8;
 
-/// The way of a run that is to stop.
+/// The progress of stopping a run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) struct Stop {
     reason: &'static str,
-    /// Whether the worker has said that it is there; else it may come.
+    /// Whether the worker has listed the run; otherwise it may still begin.
     pub(crate) begun: bool,
-    /// When the first order to stop it was sent, in milliseconds of the
-    /// steady clock; 0 for never.
+    /// When the first order to stop it was sent, in milliseconds of the steady
+    /// clock; 0 if none was.
     first_ms: u64,
-    /// When the last one was sent.
+    /// When the last order was sent.
     ordered_ms: u64,
     orders: u32,
     answered: bool,
@@ -53,8 +54,8 @@
         }
     }
 
-    /// Returns from when the next order is due, where one is tried again
-    /// after so long; all in milliseconds.
+    /// Returns when the next order is due, given the retry interval; both in
+    /// milliseconds.
     pub(crate) fn due_ms(&self, retry_ms: u64) -> u64 {
         if self.orders == 0 { 0 } else { self.ordered_ms + retry_ms }
     }
@@ -79,7 +80,8 @@
 }
 
 impl Scheduler {
-    /// Orders what is marked to stop, and again what goes on.
+    /// Sends orders to stop the marked runs, and repeats those that haven't
+    /// taken effect.
     pub(super) fn order_stops(&mut self, now: Now, actions: &mut Vec<Action>) {
         let now_ms = now.steady_ms;
         let mut overdue = Vec::new();
@@ -127,7 +129,7 @@
         self.decisions.extend(overdue);
     }
 
-    /// Notes that a worker has carried an order to stop out.
+    /// Notes that a worker has carried out an order to stop.
     pub(super) fn note_stop_accepted(
         &mut self,
         worker_id: &WorkerId,
@@ -140,7 +142,7 @@
         }
     }
 
-    /// Tells how a run was stopped that is over, if it was to be stopped.
+    /// Reports how a run that is over was stopped, if it was to be stopped.
     pub(super) fn note_stopped(
         &mut self,
         task: &TaskId,
--- a/crates/dewspar/src/schedule/worker/restart.rs
+++ b/crates/dewspar/src/schedule/worker/restart.rs
@@ -1,7 +1,6 @@
 /*!
-What a worker's next process takes over from the one before: nothing that was
-known of that one, but the room that is kept there, and the orders that may still
-be carried out.
+State that a worker's next process inherits: only the room that is reserved
+there and the orders that may still be carried out.
 */
 
 use {
@@ -14,12 +13,12 @@
 };
 
 impl Worker {
-    /// Makes a worker that is listed again after its lease was over or its
-    /// process had ended: nothing runs there, and nothing starts before it
+    /// Returns a worker that is listed again after its lease was over or its
+    /// process had ended. Nothing runs there, and nothing starts before it
     /// answers.
     ///
-    /// It goes on from the tokens of before: an order under one of these may
-    /// still be on its way.
+    /// Its tokens continue from the earlier ones, since an order under one of
+    /// these may still be in transit.
     pub(crate) fn relisted(
         listing: WorkerListing,
         lease_revision: u64,
@@ -38,16 +37,17 @@
         }
     }
 
-    /// Takes out the runs that its process has listed: they end with it.
+    /// Takes the runs that the worker's process has listed and that end with
+    /// it.
     pub(crate) fn take_listed_runs(&mut self) -> BTreeMap<TaskId, Run> {
         let listed = |_: &TaskId, run: &mut Run| run.is_listed;
         self.runs.extract_if(.., listed).collect()
     }
 
-    /// Makes the worker as it is with its next process.
+    /// Returns the worker as it is with its next process.
     ///
-    /// The runs that are left are those whose orders the next process may carry
-    /// out in place of this one.
+    /// The remaining runs are those whose orders the next process may carry
+    /// out instead of this one.
     pub(crate) fn next_process(
         self,
         listing: WorkerListing,
@@ -71,8 +71,8 @@
 }
 
 impl Run {
-    /// Makes it one that was ordered of a process that has ended, and may begin
-    /// on the next.
+    /// Turns the run into one that was ordered from a process that has ended,
+    /// and that may begin on the next process.
     fn carried_over(self) -> Run {
         let state = match self.state {
             RunState::Starting | RunState::Running => RunState::Starting,
