--- a/crates/dewspar/src/schedule/suspects.rs
+++ b/crates/dewspar/src/schedule/suspects.rs
@@ -125,7 +125,7 @@
 
 /// The score that a suspected task gives to a worker near its data, in runs.
 /// It exceeds everything else, since the task takes twice as long elsewhere.
-const NEAR_DATA_SCORE: i64 = 1_000;
+const DATA_LOCALITY_SCORE: i64 = 1_000;
 
 /// The consecutive crashes under one task.
 #[derive(Clone, Copy, Debug, Default)]
@@ -409,8 +409,8 @@
     /// only once it is empty, so whatever it still ran was lost in a crash.
     pub(super) fn of(worker: &Worker, now: Now) -> LostRuns {
         let draining = worker.listing.draining;
-        let planned =
-            draining || (worker.emptying.is_some() && worker.runs.is_empty());
+        let planned = draining
+            || (worker.drain_reason.is_some() && worker.runs.is_empty());
         let answered_ms = worker.answered_worker_ms();
         let over_ms = worker.unanswered_since_ms().unwrap_or(now.steady_ms);
         let lost = |(task, run): (&TaskId, &Run)| LostRun {
@@ -420,7 +420,7 @@
             suspicion: run.suspicion,
         };
         // The others were lost with the previous process.
-        let counts = |(_, run): &(&TaskId, &Run)| !run.is_outlived;
+        let counts = |(_, run): &(&TaskId, &Run)| !run.process_has_ended;
         let vm = &worker.listing.vm;
         let unsynced = !worker.synced && !draining;
         LostRuns {
@@ -794,7 +794,7 @@
         // stopped to take that place: in a randomized run the task had no
         // worker for 1.65 s.
         worker.is_usable()
-            && !worker.keeps_room()
+            && !worker.has_reservations()
             && worker.listing.capacity.contains(&demand(spec))
             && !worker.has_suspects()
             && self.is_stable_enough(worker, wanted, now)
@@ -885,7 +885,7 @@
         let near = !spec.data_rack.is_empty()
             && worker.listing.rack == spec.data_rack;
         if near {
-            score += NEAR_DATA_SCORE;
+            score += DATA_LOCALITY_SCORE;
         }
         score
     }
--- a/crates/dewspar/src/schedule/unreadable_jobs.rs
+++ b/crates/dewspar/src/schedule/unreadable_jobs.rs
@@ -105,7 +105,7 @@
         self.unreadable_jobs.jobs.insert(id);
         let Some(job) = self.jobs.get(&id) else { return };
         let placed: Vec<(TaskId, WorkerId)> = job
-            .placed(id)
+            .placements(id)
             .map(|(task, worker)| (task, worker.clone()))
             .collect();
         for (task, worker) in placed {
