--- a/crates/dewspar-standin/src/peak.rs
+++ b/crates/dewspar-standin/src/peak.rs
@@ -540,7 +540,7 @@
             self.tally.events += 1;
             self.tally.waited_ms += waited_us / 1_000;
             let now = self.now();
-            self.scheduler.event_waited(waited_us / 1_000, now);
+            self.scheduler.record_event_delay(waited_us / 1_000, now);
             self.take(event);
             self.now_us += processor.event_us;
             self.pass_time();
@@ -583,7 +583,7 @@
                 // The fleet stays as it is: no VM goes to another pool.
                 let holder =
                     OrderIssuer { node: "node-1".to_owned(), incarnation: 1 };
-                scheduler.leave_vms_alone(now, &holder, None);
+                scheduler.hold_off_vm_orders(now, &holder, None);
                 let listings = self.listings.clone();
                 let vms = &self.vms;
                 meter.measure(Part::Directory, || {
--- a/crates/dewspar-standin/src/task_fleet.rs
+++ b/crates/dewspar-standin/src/task_fleet.rs
@@ -210,7 +210,7 @@
         let mut entries = state.workers.values_mut();
         let entry = entries.find(|entry| entry.listing.vm == vm);
         let Some(entry) = entry else { return };
-        let process = Incarnation::born_at(now_ms);
+        let process = Incarnation::started_at(now_ms);
         entry.listing.incarnation = process;
         entry.worker = TaskWorker::new(ROOM).incarnated(process);
         entry.started_ms = now_ms;
@@ -260,7 +260,7 @@
         let id = WorkerId::new(&format!("{vm}-{}", self.next_life));
         self.next_life += 1;
         // Restarted ones tell later times.
-        let process = Incarnation::born_at(0);
+        let process = Incarnation::started_at(0);
         let listing = WorkerListing {
             id: id.clone(),
             incarnation: process,
--- a/crates/dewspar/src/schedule/answers.rs
+++ b/crates/dewspar/src/schedule/answers.rs
@@ -27,7 +27,7 @@
         let sent_ms = known.map_or(0, |run| run.since_ms);
         let end = start_ended(known, &result, now);
         self.window.ended(end);
-        self.order_ended(sent_ms, end, now);
+        self.record_order_end(sent_ms, end, now);
         let Some(worker) = self.workers.get_mut(worker_id) else { return };
         let known = worker.runs.get_mut(task).filter(|r| r.run == run);
         let Some(known) = known else { return };
@@ -45,7 +45,7 @@
                 known.confirm(clock_ms);
                 worker.read_clock(clock_ms, now.steady_ms);
                 worker.start_taken();
-                self.note_begun(task.job, now);
+                self.mark_job_begun(task.job, now);
                 return;
             }
             Err(error) => error,
@@ -80,11 +80,11 @@
             OrderError::NotSent => {
                 self.note_never_began(task, run, worker_id);
                 self.suspend(worker_id, error.name(), now);
-                self.free_run(task, worker_id, now);
+                self.release_run(task, worker_id, now);
             }
             OrderError::Refused(refusal) => {
                 self.note_never_began(task, run, worker_id);
-                self.free_run(task, worker_id, now);
+                self.release_run(task, worker_id, now);
                 self.start_refused(
                     worker_id,
                     task,
@@ -111,7 +111,7 @@
             Ok(_) | Err(OrderError::Unknown) => {}
             Err(OrderError::NotSent | OrderError::Refused(_)) => {
                 self.note_never_began(task, run, worker_id);
-                self.free_run(task, worker_id, now);
+                self.release_run(task, worker_id, now);
             }
         }
     }
--- a/crates/dewspar/src/schedule/cancelled.rs
+++ b/crates/dewspar/src/schedule/cancelled.rs
@@ -84,7 +84,7 @@
     /// run something has named all of it under this lease, or can't run
     /// anything any more.
     fn knows_every_run(&self, now: Now) -> bool {
-        let known = !self.is_loading() && self.lives_known;
+        let known = !self.is_loading() && self.workers_known;
         known
             && self.workers.values().all(|worker| {
                 worker.has_named_all_runs()
--- a/crates/dewspar/src/schedule/directory.rs
+++ b/crates/dewspar/src/schedule/directory.rs
@@ -48,10 +48,10 @@
         }
         let settled = self.taken_over_ms + self.options.directory_settle_ms;
         // Without the VM service, a directory that had time to fill must do.
-        self.lives_known |= now.steady_ms >= settled;
+        self.workers_known |= now.steady_ms >= settled;
         let unread_ms = now.steady_ms.saturating_sub(self.directory_ms);
         if self.directory_ms > 0 && unread_ms >= UNREAD_MS {
-            self.entered_by_ms = now.steady_ms + ENTERED_WITHIN_MS;
+            self.directory_complete_ms = now.steady_ms + ENTERED_WITHIN_MS;
         }
         self.directory_ms = now.steady_ms;
         self.unlist_missing(asked_ms, &listings, now);
@@ -136,7 +136,7 @@
         listings: &[WorkerListing],
         now: Now,
     ) {
-        if now.steady_ms < self.entered_by_ms {
+        if now.steady_ms < self.directory_complete_ms {
             return;
         }
         let listed: BTreeSet<&WorkerId> =
@@ -193,10 +193,10 @@
         now: Now,
         lives: impl IntoIterator<Item = (WorkerId, String)>,
     ) {
-        if self.lives_known {
+        if self.workers_known {
             return;
         }
-        self.lives_known = true;
+        self.workers_known = true;
         for (id, pool) in lives {
             let known = self.workers.contains_key(&id);
             if known || self.former.has_ended(&id) {
@@ -225,7 +225,7 @@
 
     /// Returns whether the VM service should be asked which workers live.
     pub fn wants_lives(&self) -> bool {
-        !self.lives_known
+        !self.workers_known
     }
 
     /// Makes a worker that is listed and wasn't known, or no longer.
@@ -295,7 +295,7 @@
                 other_runs: beside,
             });
             self.note_stopped(&task, id, &run, reason, now);
-            self.free_task(&task, id, run.has_begun(), now);
+            self.release_task(&task, id, run.has_begun(), now);
         }
     }
 
--- a/crates/dewspar/src/schedule/forecast.rs
+++ b/crates/dewspar/src/schedule/forecast.rs
@@ -35,8 +35,8 @@
 }
 
 impl Arrivals {
-    fn note(&mut self, at_ms: u64, work: Resources, policy: &Forecast) {
-        self.drop_old(at_ms, policy);
+    fn record(&mut self, at_ms: u64, work: Resources, policy: &Forecast) {
+        self.drop_expired(at_ms, policy);
         if self.recent.is_empty() {
             self.since_ms = at_ms;
         }
@@ -44,7 +44,7 @@
         self.work.add(&work);
     }
 
-    fn drop_old(&mut self, now_ms: u64, policy: &Forecast) {
+    fn drop_expired(&mut self, now_ms: u64, policy: &Forecast) {
         while let Some(oldest) = self.recent.front() {
             if oldest.at_ms + policy.window_ms > now_ms {
                 return;
@@ -55,8 +55,8 @@
     }
 
     /// Returns what jobs that keep coming like this will use.
-    fn room(&mut self, now_ms: u64, policy: &Forecast) -> Resources {
-        self.drop_old(now_ms, policy);
+    fn expected_usage(&mut self, now_ms: u64, policy: &Forecast) -> Resources {
+        self.drop_expired(now_ms, policy);
         let window_ms = now_ms
             .saturating_sub(self.since_ms)
             .clamp(policy.least_window_ms, policy.window_ms);
@@ -66,33 +66,33 @@
 
 impl Scheduler {
     /// Counts the jobs that came since the last call.
-    pub(super) fn note_arrivals(&mut self, now: Now) {
+    pub(super) fn record_arrivals(&mut self, now: Now) {
         for id in std::mem::take(&mut self.new_jobs) {
             let Some(job) = self.jobs.get(&id) else { continue };
             let pool = job.terms.pool.clone();
             let policy = &self.options.policy.forecast;
-            let work = self.first_work(&job.spec, policy.ahead_ms);
+            let work = self.initial_work(&job.spec, policy.ahead_ms);
             let arrivals = self.arrivals.entry(pool).or_default();
-            arrivals.note(now.steady_ms, work, policy);
+            arrivals.record(now.steady_ms, work, policy);
         }
     }
 
     /// Returns whether a job is known that isn't there for long: from then on
     /// it shows what will be asked of the pools.
     pub(super) fn has_short_jobs(&self) -> bool {
-        let whole = |spec: &JobSpec| self.first_work(spec, u64::MAX);
+        let whole = |spec: &JobSpec| self.initial_work(spec, u64::MAX);
         self.jobs.values().any(|job| whole(&job.spec) != Resources::default())
     }
 
     /// Returns what each pool's arriving jobs will use.
-    pub(super) fn forecasts(
+    pub(super) fn forecast_usage(
         &mut self,
         now: Now,
     ) -> impl Iterator<Item = (&String, Resources)> {
         let policy = &self.options.policy.forecast;
         let pools = self.arrivals.iter_mut().filter(|_| policy.enabled);
         pools.map(move |(pool, arrivals)| {
-            (pool, arrivals.room(now.steady_ms, policy))
+            (pool, arrivals.expected_usage(now.steady_ms, policy))
         })
     }
 }
--- a/crates/dewspar/src/schedule/job_state.rs
+++ b/crates/dewspar/src/schedule/job_state.rs
@@ -309,7 +309,7 @@
     /// the Unix epoch, if it says so.
     fn told_process_on_record(&self) -> Option<u64> {
         let told = !self.done && self.crashes.have_a_run_on_record();
-        let process = self.told_process.born_unix_ms();
+        let process = self.told_process.started_unix_ms();
         process.filter(|_| told && !self.on.is_empty())
     }
 }
--- a/crates/dewspar/src/schedule/long_running.rs
+++ b/crates/dewspar/src/schedule/long_running.rs
@@ -137,18 +137,18 @@
             };
             ((*pool).to_owned(), need)
         });
-        self.lasting_needs = needs.collect();
+        self.long_running_needs = needs.collect();
     }
 
     /// Returns what a pool's tasks that are to last need.
     pub(super) fn lasting_need(&self, pool: &str) -> LastingNeed {
-        self.lasting_needs.get(pool).copied().unwrap_or_default()
+        self.long_running_needs.get(pool).copied().unwrap_or_default()
     }
 
     /// Returns the tasks that are to last, by their pools, the largest first.
     fn lasting_parts(&self, now: Now) -> BTreeMap<&str, PoolParts<'_>> {
         let mut pools: BTreeMap<&str, PoolParts> = BTreeMap::new();
-        for first in &self.lasting_steps {
+        for first in &self.long_running_steps {
             let Some(job) = self.jobs.get(&first.job) else { continue };
             let pool = pools.entry(&job.terms.pool).or_default();
             let part = self.lasting_part(job, *first, &mut pool.on, now);
@@ -242,12 +242,13 @@
 
     /// Returns the room of each VM that is on its way to a pool.
     fn coming_rooms(&self, pool: &str) -> impl Iterator<Item = Resources> {
-        let ordered = self.moving.iter().filter(move |(_, m)| m.to == pool);
+        let ordered =
+            self.pending_moves.iter().filter(move |(_, m)| m.to == pool);
         let ordered =
             ordered.filter_map(|(vm, _)| Some(self.vms.get(vm)?.capacity));
         let leaving = self.workers.values().filter(move |worker| {
             matches!(&worker.emptying, Some(Purpose::Move(to)) if to == pool)
-                && !self.moving.contains_key(&worker.listing.vm)
+                && !self.pending_moves.contains_key(&worker.listing.vm)
         });
         ordered.chain(leaving.map(|worker| worker.listing.capacity))
     }
--- a/crates/dewspar/src/schedule/long_waits.rs
+++ b/crates/dewspar/src/schedule/long_waits.rs
@@ -66,11 +66,12 @@
 
     /// Returns the first waiting task of each step that is ready and to last.
     pub(super) fn waiting_long_steps(&self) -> Vec<TaskId> {
-        let lasting = self.candidates.lasting_steps().filter_map(|step| {
-            let step_state = self.jobs.get(&step.job)?.step(&step)?;
-            let index = *step_state.waiting.first()?;
-            Some(TaskId { index, ..step })
-        });
+        let lasting =
+            self.candidates.long_running_steps().filter_map(|step| {
+                let step_state = self.jobs.get(&step.job)?.step(&step)?;
+                let index = *step_state.waiting.first()?;
+                Some(TaskId { index, ..step })
+            });
         lasting.collect()
     }
 
--- a/crates/dewspar/src/schedule/maintenance.rs
+++ b/crates/dewspar/src/schedule/maintenance.rs
@@ -15,7 +15,7 @@
         schedule::{
             Decision, ManagedVm, Now, Scheduler, VmOrder, VmOrderError,
             VmStatus, WaveRecord, WaveRequest, WorkerId,
-            wave_account::WaveReports,
+            wave_progress::WaveReports,
             wave_state::WaveState,
             worker::{Purpose, RunState, Worker},
         },
@@ -25,20 +25,20 @@
 
 /// How long short tasks may run on a worker that is being emptied before
 /// those with a checkpoint are stopped, in milliseconds: most end by then.
-const CHECKPOINTED_PATIENCE_MS: u64 = 2_500;
+const CHECKPOINTED_DRAIN_TIMEOUT_MS: u64 = 2_500;
 
 /// How long before all short tasks are stopped, in milliseconds: longer than
 /// nearly any of them takes.
-const PATIENCE_MS: u64 = 6_000;
+const DRAIN_TIMEOUT_MS: u64 = 6_000;
 
 /// Whether a task is to leave a worker that is being emptied.
-enum Leave {
+enum Eviction {
     /// It goes on for now.
-    NotYet,
+    Defer,
     /// It is stopped, and waits for its turn like any other.
-    AtOnce,
+    Immediate,
     /// It is stopped once it has a place elsewhere.
-    WithPlace,
+    OncePlaced,
 }
 
 impl Scheduler {
@@ -74,12 +74,12 @@
                 record,
                 members: request.vms.iter().cloned().collect(),
                 end_ms: now.steady_ms + left_ms,
-                chosen_ms: now.steady_ms,
+                selected_ms: now.steady_ms,
                 down: BTreeMap::new(),
                 ordered: BTreeMap::new(),
                 missing: BTreeMap::new(),
                 reported: false,
-                told: WaveReports::default(),
+                reports: WaveReports::default(),
                 completed: completed.contains(&request.wave),
             };
             self.waves.insert(request.wave, state);
@@ -119,15 +119,15 @@
         }
         self.expect_workers(now, lives);
         for state in self.waves.values_mut() {
-            state.settle(asked_ms, &self.vms);
+            state.update(asked_ms, &self.vms);
         }
         self.vms_asked_ms = asked_ms;
         self.note_capacities();
-        self.use_again();
+        self.return_to_service();
     }
 
     /// Uses workers again whose VMs were maintained before their turn came.
-    fn use_again(&mut self) {
+    fn return_to_service(&mut self) {
         for worker in self.workers.values_mut() {
             let Some(Purpose::Maintenance(wave)) = &worker.emptying else {
                 continue;
@@ -145,7 +145,11 @@
     }
 
     /// Returns the next orders for VMs under maintenance.
-    pub(super) fn maintain(&mut self, now: Now, orders: &mut Vec<VmOrder>) {
+    pub(super) fn plan_maintenance(
+        &mut self,
+        now: Now,
+        orders: &mut Vec<VmOrder>,
+    ) {
         let waves: Vec<u64> = self
             .waves
             .iter()
@@ -154,21 +158,21 @@
             .collect();
         for wave in waves {
             self.report_running(wave, orders);
-            self.order_empty_vms(wave, now, orders);
-            self.empty_more(wave, now);
+            self.order_drained_vms(wave, now, orders);
+            self.drain_more(wave, now);
             self.complete(wave, orders);
         }
     }
 
     /// Orders the maintenance of what is empty, as far as the wave allows.
-    fn order_empty_vms(
+    fn order_drained_vms(
         &mut self,
         wave: u64,
         now: Now,
         orders: &mut Vec<VmOrder>,
     ) {
         let Some(state) = self.waves.get(&wave) else { return };
-        let mut room = state.room(|vm| self.may_be_down(vm, now));
+        let mut room = state.allowance(|vm| self.may_be_down(vm, now));
         let workers = self.workers_by_vm();
         let mut ready = Vec::new();
         for vm in state.remaining() {
@@ -178,8 +182,9 @@
             if room == 0 && !again {
                 continue;
             }
-            let free = !state.is_waiting(vm, now) && self.may_order(vm, now);
-            if !free || !self.is_empty_for(vm, worker, wave) {
+            let free =
+                !state.in_retry_delay(vm, now) && self.may_order_vm(vm, now);
+            if !free || !self.is_drained_for(vm, worker, wave) {
                 continue;
             }
             ready.push(vm.clone());
@@ -199,11 +204,11 @@
     pub(super) fn may_be_down(&self, vm: &str, now: Now) -> bool {
         let known = self.vms.get(vm);
         known.is_some_and(|vm| vm.status == VmStatus::Maintenance)
-            || self.was_ordered_before(vm, now)
+            || self.was_ordered_by_former(vm, now)
     }
 
     /// Returns whether a VM may go down now.
-    fn is_empty_for(
+    fn is_drained_for(
         &self,
         vm: &str,
         worker: Option<&Worker>,
@@ -244,7 +249,12 @@
     }
 
     /// Lets a worker run dry.
-    pub(super) fn empty(&mut self, id: &WorkerId, purpose: Purpose, now: Now) {
+    pub(super) fn start_drain(
+        &mut self,
+        id: &WorkerId,
+        purpose: Purpose,
+        now: Now,
+    ) {
         let Some(worker) = self.workers.get_mut(id) else { return };
         let reason = match &purpose {
             Purpose::Maintenance(_) => "maintenance",
@@ -257,7 +267,7 @@
     }
 
     /// Stops what has to leave workers that are being emptied or end soon.
-    pub(super) fn empty_workers(&mut self, now: Now) {
+    pub(super) fn drain_workers(&mut self, now: Now) {
         self.forget_unplaced();
         let emptying: Vec<WorkerId> = self
             .workers
@@ -268,12 +278,12 @@
             .map(|worker| worker.id().clone())
             .collect();
         for id in emptying {
-            self.empty_worker(&id, now);
+            self.drain_worker(&id, now);
         }
     }
 
     /// Stops what has to leave one worker.
-    pub(super) fn empty_worker(&mut self, id: &WorkerId, now: Now) {
+    pub(super) fn drain_worker(&mut self, id: &WorkerId, now: Now) {
         let Some(worker) = self.workers.get(id) else { return };
         let emptied = worker.emptying.is_some();
         // Short tasks end by themselves before a worker that drains does, or
@@ -291,10 +301,10 @@
             .map(|(task, _)| *task)
             .collect();
         for task in tasks {
-            match self.leave_for_duty(&task, id, waited_ms, now) {
-                Leave::NotYet => {}
-                Leave::AtOnce => self.displace(&task, id, None, reason),
-                Leave::WithPlace => {
+            match self.eviction_timing(&task, id, waited_ms, now) {
+                Eviction::Defer => {}
+                Eviction::Immediate => self.displace(&task, id, None, reason),
+                Eviction::OncePlaced => {
                     if let Some(place) = self.plan_move(&task, id, now) {
                         self.displace(&task, id, Some(place), reason);
                     }
@@ -304,42 +314,50 @@
     }
 
     /// Returns whether a task is to leave a worker that is being emptied.
-    fn leave_for_duty(
+    fn eviction_timing(
         &self,
         task: &TaskId,
         id: &WorkerId,
         waited_ms: u64,
         now: Now,
-    ) -> Leave {
-        let Some(job) = self.jobs.get(&task.job) else { return Leave::AtOnce };
-        let Some(spec) = job.step_spec(task) else { return Leave::AtOnce };
+    ) -> Eviction {
+        let Some(job) = self.jobs.get(&task.job) else {
+            return Eviction::Immediate;
+        };
+        let Some(spec) = job.step_spec(task) else {
+            return Eviction::Immediate;
+        };
         if !spec.long_running {
-            let patience_ms = if spec.checkpointing {
-                CHECKPOINTED_PATIENCE_MS
+            let timeout_ms = if spec.checkpointing {
+                CHECKPOINTED_DRAIN_TIMEOUT_MS
+            } else {
+                DRAIN_TIMEOUT_MS
+            };
+            let in_time = waited_ms < timeout_ms;
+            return if in_time {
+                Eviction::Defer
             } else {
-                PATIENCE_MS
+                Eviction::Immediate
             };
-            let patient = waited_ms < patience_ms;
-            return if patient { Leave::NotYet } else { Leave::AtOnce };
         }
         // A stop that a former holder ordered may still be under way, and the
         // task still be listed as at work.
         let settled = self.taken_over_ms + self.options.stop_settle_ms;
         if now.steady_ms < settled {
-            return Leave::NotYet;
+            return Eviction::Defer;
         }
         // A worker that wasn't asked yet may have the task already: until that
         // is known it starts nowhere, and was without work for 13 s.
         if self.is_unaccounted_for(job, spec, now) {
-            return Leave::NotYet;
+            return Eviction::Defer;
         }
-        let kept = self.is_kept_by_step(task, id);
-        if kept { Leave::NotYet } else { Leave::WithPlace }
+        let at_limit = self.is_step_at_limit(task, id);
+        if at_limit { Eviction::Defer } else { Eviction::OncePlaced }
     }
 
     /// Returns whether too many others of a task's step are away for it to
     /// leave a worker.
-    pub(super) fn is_kept_by_step(
+    pub(super) fn is_step_at_limit(
         &self,
         task: &TaskId,
         id: &WorkerId,
@@ -348,12 +366,16 @@
         let spec = job.and_then(|job| job.step_spec(task));
         spec.is_some_and(|spec| {
             let spare = spec.max_unavailable.max(1) as usize;
-            self.down_in_step(task, id) >= spare
+            self.unavailable_in_step(task, id) >= spare
         })
     }
 
     /// Counts the other tasks of a long-running step that aren't at work.
-    pub(super) fn down_in_step(&self, task: &TaskId, id: &WorkerId) -> usize {
+    pub(super) fn unavailable_in_step(
+        &self,
+        task: &TaskId,
+        id: &WorkerId,
+    ) -> usize {
         let Some(job) = self.jobs.get(&task.job) else { return 0 };
         let Some(step) = job.step(task) else { return 0 };
         let at_work = |index: u32| {
@@ -376,7 +398,7 @@
     }
 
     /// Returns whether another worker could take a task now.
-    pub(super) fn has_other_place(
+    pub(super) fn has_alternative_worker(
         &self,
         task: &TaskId,
         id: &WorkerId,
@@ -435,7 +457,7 @@
     }
 
     /// Notes that a wave's completion couldn't be reported.
-    pub fn report_failed(&mut self, wave: u64) {
+    pub fn wave_report_failed(&mut self, wave: u64) {
         if let Some(state) = self.waves.get_mut(&wave) {
             state.completed = false;
         }
--- a/crates/dewspar/src/schedule/mod.rs
+++ b/crates/dewspar/src/schedule/mod.rs
@@ -96,7 +96,6 @@
 */
 
 pub use self::{
-    duty::{OrderIssuer, OrderedVms, RecentVmOrder},
     options::Options,
     order::{
         ActiveRun, EndCause, EndedRun, HoldOrder, HoldReport, Incarnation,
@@ -113,8 +112,9 @@
     vm::{
         ManagedVm, VmOrder, VmOrderError, VmStatus, WaveRecord, WaveRequest,
     },
-    wave_account::{RemainingVms, WaveDeadline, WaveProgress},
-    wave_choice::WavePace,
+    vm_orders::{OrderIssuer, OrderedVms, RecentVmOrder},
+    wave_progress::{RemainingVms, WaveDeadline, WaveProgress},
+    wave_selection::WavePace,
 };
 
 use {
@@ -127,7 +127,6 @@
 mod cancelled;
 mod crash_series;
 mod directory;
-mod duty;
 mod forecast;
 mod full_pools;
 mod in_doubt;
@@ -142,9 +141,9 @@
 mod pacing;
 mod placement;
 mod policy;
+mod poll_limit;
 mod processes;
 mod projection;
-mod questions;
 mod records;
 mod report;
 mod reservations;
@@ -159,8 +158,9 @@
 mod token_claims;
 mod unseen_starts;
 mod vm;
-mod wave_account;
-mod wave_choice;
+mod vm_orders;
+mod wave_progress;
+mod wave_selection;
 mod wave_state;
 mod worker;
 mod workers;
--- a/crates/dewspar/src/schedule/options.rs
+++ b/crates/dewspar/src/schedule/options.rs
@@ -24,7 +24,7 @@
     pub(crate) stop_retry_ms: u64,
     pub(crate) suspension_ms: u64,
     pub(crate) max_suspension_doublings: u32,
-    pub(crate) kept_ms: u64,
+    pub(crate) finished_retention_ms: u64,
     pub(crate) directory_settle_ms: u64,
     pub(crate) duty_gap_ms: u64,
     pub(crate) stop_timeout_ms: u64,
@@ -57,7 +57,7 @@
             // again soon.
             max_suspension_doublings: 3,
             // How long callers may ask for a finished job.
-            kept_ms: 120_000,
+            finished_retention_ms: 120_000,
             // Workers are back in the directory some 2 s after the store
             // is, and the holder was there no later.
             directory_settle_ms: 3_000,
@@ -124,8 +124,11 @@
     }
 
     /// Sets how long the keys of a finished job are kept, in milliseconds.
-    pub fn kept_ms(mut self, kept_ms: u64) -> Options {
-        self.kept_ms = kept_ms;
+    pub fn finished_retention_ms(
+        mut self,
+        finished_retention_ms: u64,
+    ) -> Options {
+        self.finished_retention_ms = finished_retention_ms;
         self
     }
 
--- a/crates/dewspar/src/schedule/order.rs
+++ b/crates/dewspar/src/schedule/order.rs
@@ -40,8 +40,8 @@
 /// ```
 /// use dewspar::schedule::Incarnation;
 ///
-/// let former = Incarnation::born_at(1_700_000_000_000);
-/// let newer = Incarnation::born_at(1_700_000_008_250);
+/// let former = Incarnation::started_at(1_700_000_000_000);
+/// let newer = Incarnation::started_at(1_700_000_008_250);
 /// assert!(former < newer);
 /// assert!(Incarnation::UNKNOWN < former);
 /// ```
@@ -65,13 +65,13 @@
 
     /// Returns the one that says that it was started then, in milliseconds of
     /// the Unix epoch.
-    pub fn born_at(unix_ms: u64) -> Incarnation {
+    pub fn started_at(unix_ms: u64) -> Incarnation {
         Incarnation(Some(unix_ms))
     }
 
     /// Returns when it says that it was started, in milliseconds of the Unix
     /// epoch; `None` for one that isn't told.
-    pub(crate) fn born_unix_ms(self) -> Option<u64> {
+    pub(crate) fn started_unix_ms(self) -> Option<u64> {
         self.0
     }
 }
--- a/crates/dewspar/src/schedule/pacing.rs
+++ b/crates/dewspar/src/schedule/pacing.rs
@@ -19,49 +19,49 @@
 /// How often runs that go on are looked at, in milliseconds: a seventh of the
 /// shortest time by which anything is done about one. Looking at each run with
 /// each plan took a busy holder more time than placing tasks.
-const LOOK_INTERVAL_MS: u64 = 100;
+const RUN_CHECK_INTERVAL_MS: u64 = 100;
 
 /// How long a percentage may stand still, in milliseconds: longer than a
 /// restore from a checkpoint, and than three answers of a quiet worker.
-const STALLED_MS: u64 = 2_500;
+const STALL_TIMEOUT_MS: u64 = 2_500;
 
 /// How long a long-running task may take to come to work, in milliseconds:
 /// some are slow to start.
-const SLOW_START_MS: u64 = 5_000;
+const START_TIMEOUT_MS: u64 = 5_000;
 
 /// How long a change of pace is given to show, in milliseconds: it takes
 /// hold within 0.1 s, and the figures cover half a second.
-const PACE_INTERVAL_MS: u64 = 700;
+const PACE_CHANGE_INTERVAL_MS: u64 = 700;
 
 /// By how much the pace is raised again, in percent.
-const PACE_STEP: u8 = 25;
+const PACE_STEP_PERCENT: u8 = 25;
 
 /// How far below its target a task must be for its neighbours to go faster,
 /// in hundredths.
-const CALM_PERCENT: u64 = 70;
+const RECOVERED_PERCENT: u64 = 70;
 
 /// How a worker's serving tasks fare.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Fare {
+enum TargetStatus {
     /// One is over its target.
-    Over,
+    Missed,
     /// All are well below their targets.
-    Calm,
+    WellWithin,
     /// Neither.
-    Near,
+    Within,
 }
 
 impl Scheduler {
     /// Looks after runs that go on, once in a while.
-    pub(super) fn look_after_runs(
+    pub(super) fn monitor_runs(
         &mut self,
         now: Now,
         actions: &mut Vec<Action>,
     ) {
-        if now.steady_ms < self.runs_looked_at_ms + LOOK_INTERVAL_MS {
+        if now.steady_ms < self.runs_checked_ms + RUN_CHECK_INTERVAL_MS {
             return;
         }
-        self.runs_looked_at_ms = now.steady_ms;
+        self.runs_checked_ms = now.steady_ms;
         self.stop_stalled(now);
         self.pace_best_effort(now, actions);
     }
@@ -80,19 +80,22 @@
             for (task, run) in &worker.runs {
                 let still = worker.reported_ms().saturating_sub(run.moved_ms);
                 // Nearly none is: the step is looked up for these alone.
-                let suspicious = still > STALLED_MS
+                let may_be_stalled = still > STALL_TIMEOUT_MS
                     && run.state == RunState::Running
                     && run.percent < 100
                     && run.pace == 100
                     && !worker.unset_paces.contains(task);
-                if !suspicious {
+                if !may_be_stalled {
                     continue;
                 }
                 let Some(spec) = self.step_spec(task) else { continue };
-                let patience_ms =
-                    if spec.long_running { SLOW_START_MS } else { STALLED_MS };
+                let timeout_ms = if spec.long_running {
+                    START_TIMEOUT_MS
+                } else {
+                    STALL_TIMEOUT_MS
+                };
                 // A gang's members wait for one another.
-                if !spec.gang && still > patience_ms {
+                if !spec.gang && still > timeout_ms {
                     stalled.push((worker.id().clone(), *task));
                 }
             }
@@ -125,16 +128,16 @@
         }
         let mut changes: Vec<(WorkerId, TaskId, u8)> = Vec::new();
         for worker in self.workers.values() {
-            if !worker.is_pace_due(now.steady_ms, PACE_INTERVAL_MS) {
+            if !worker.is_pace_due(now.steady_ms, PACE_CHANGE_INTERVAL_MS) {
                 continue;
             }
             let mut best_effort = self.best_effort_runs(worker).peekable();
             if best_effort.peek().is_none() {
                 continue;
             }
-            let fare = self.fare(worker);
+            let target_status = self.target_status(worker);
             for (task, run) in best_effort {
-                let pace = next_pace(fare, run.pace);
+                let pace = next_pace(target_status, run.pace);
                 if pace != run.pace || worker.unset_paces.contains(task) {
                     changes.push((worker.id().clone(), *task, pace));
                 }
@@ -186,31 +189,33 @@
         }
     }
 
-    fn fare(&self, worker: &Worker) -> Fare {
-        let mut fare = Fare::Calm;
+    fn target_status(&self, worker: &Worker) -> TargetStatus {
+        let mut target_status = TargetStatus::WellWithin;
         for (task, run) in &worker.runs {
             let target = self.step_spec(task).map_or(0, |s| s.target_ms);
             if target == 0 {
                 continue;
             }
             if run.gauge > target {
-                return Fare::Over;
+                return TargetStatus::Missed;
             }
-            if run.gauge * 100 > target * CALM_PERCENT {
-                fare = Fare::Near;
+            if run.gauge * 100 > target * RECOVERED_PERCENT {
+                target_status = TargetStatus::Within;
             }
         }
-        fare
+        target_status
     }
 }
 
 /// Returns the share at which a best-effort task should work, in percent.
-fn next_pace(fare: Fare, pace: u8) -> u8 {
-    match fare {
+fn next_pace(target_status: TargetStatus, pace: u8) -> u8 {
+    match target_status {
         // A quarter first, then nothing: the rules allow a few seconds only.
-        Fare::Over if pace > PACE_STEP => PACE_STEP,
-        Fare::Over => 0,
-        Fare::Calm => pace.saturating_add(PACE_STEP).min(100),
-        Fare::Near => pace,
+        TargetStatus::Missed if pace > PACE_STEP_PERCENT => PACE_STEP_PERCENT,
+        TargetStatus::Missed => 0,
+        TargetStatus::WellWithin => {
+            pace.saturating_add(PACE_STEP_PERCENT).min(100)
+        }
+        TargetStatus::Within => pace,
     }
 }
--- a/crates/dewspar/src/schedule/placement.rs
+++ b/crates/dewspar/src/schedule/placement.rs
@@ -101,7 +101,7 @@
         );
         // Taken out, since starting something changes the scheduler.
         let candidates = mem::take(&mut self.candidates);
-        if self.knows_suspects {
+        if self.has_suspects {
             // Of any job of former holders, where a worker was lost unheard.
             let all = !self.uncounted_pools.is_empty();
             let suspects: Vec<TaskId> = candidates
@@ -134,10 +134,11 @@
         self.candidates = candidates;
         // Else some that were without a place weren't looked at.
         if self.may_start() {
-            self.without_place.retain(|pool, _| without_place.contains(pool));
+            self.unplaced_since_ms
+                .retain(|pool, _| without_place.contains(pool));
         }
         for pool in without_place {
-            self.without_place.entry(pool).or_insert(now.steady_ms);
+            self.unplaced_since_ms.entry(pool).or_insert(now.steady_ms);
         }
     }
 
@@ -351,8 +352,9 @@
         let job = self.jobs.get(&task.job);
         let state = job.and_then(|job| job.task(task));
         let demand = demand(spec);
-        let guarded = job
-            .is_none_or(|job| !self.unguarded_pools.contains(&job.terms.pool));
+        let guarded = job.is_none_or(|job| {
+            !self.unenforced_pools.contains(&job.terms.pool)
+        });
         let known = state.zip(job);
         let company = known.map(|(state, job)| {
             self.company(spec, state, &job.terms.pool, now)
@@ -396,7 +398,7 @@
         pool: &str,
         now: Now,
     ) -> bool {
-        !self.unguarded_pools.contains(pool)
+        !self.unenforced_pools.contains(pool)
             || worker.has_sure_room(now.steady_ms, TOLD_MS)
     }
 
@@ -502,7 +504,7 @@
     /// Returns whether a worker wasn't asked yet that may run what a former
     /// holder started.
     fn may_run_unseen(&self, pool: &str, now: Now) -> bool {
-        !self.lives_known
+        !self.workers_known
             || self.workers.in_pool(pool).any(|(_, worker)| {
                 !worker.is_accounted_for()
                     && now.steady_ms <= worker.lease_over_ms
--- a/crates/dewspar/src/schedule/placement/candidates.rs
+++ b/crates/dewspar/src/schedule/placement/candidates.rs
@@ -136,7 +136,7 @@
     /// start, in the order of their turns.
     ///
     /// Asked ten times a second, among thousands of steps.
-    pub(in crate::schedule) fn lasting_steps(
+    pub(in crate::schedule) fn long_running_steps(
         &self,
     ) -> impl Iterator<Item = TaskId> {
         let lasting = self.ordered.iter().filter(|(_, wanted)| wanted.lasts);
--- a/crates/dewspar/src/schedule/questions.rs
+++ b/crates/dewspar/src/schedule/poll_limit.rs
@@ -21,26 +21,26 @@
 
 /// How long after its worker was to give it an answer is late, in milliseconds:
 /// most of what an order takes on a node that keeps up.
-const LATE_MS: u64 = 100;
+const LATE_AFTER_MS: u64 = 100;
 
 /// How many questions may be late, and which part of those under way: some
 /// workers are always slow, and of a rack that falls silent it is known soon.
-const MOST_LATE: usize = 16;
-const MOST_LATE_OF: usize = 8;
+const MAX_LATE: usize = 16;
+const MAX_LATE_DIVISOR: usize = 8;
 
 /// How many questions may be under way in any case.
-const LEAST_OPEN: usize = 32;
+const MIN_IN_FLIGHT: usize = 32;
 
 /// How soon fewer may be under way once more, in milliseconds: what was sent
 /// before says nothing new.
-const FEWER_EACH_MS: u64 = 500;
+const DECREASE_INTERVAL_MS: u64 = 500;
 
 /// How soon an eighth more may, in milliseconds.
-const MORE_EACH_MS: u64 = 200;
+const INCREASE_INTERVAL_MS: u64 = 200;
 
 /// A question whose answer hasn't come.
 #[derive(Clone, Copy, Debug)]
-struct Question {
+struct InFlightPoll {
     worker: WorkerNumber,
     sent_ms: u64,
     late_from_ms: u64,
@@ -48,33 +48,35 @@
 
 /// The questions that were sent and may have no answer yet.
 #[derive(Debug, Default)]
-pub(super) struct Questions {
+pub(super) struct InFlightPolls {
     /// In the order in which they were sent.
-    sent: VecDeque<Question>,
-    late: Vec<Question>,
+    sent: VecDeque<InFlightPoll>,
+    late: Vec<InFlightPoll>,
     /// How many may be under way; `None` while there are no bounds.
-    most_open: Option<usize>,
+    limit: Option<usize>,
     /// When that last changed.
     changed_ms: u64,
 }
 
-impl Questions {
+impl InFlightPolls {
     /// Adapts how many questions may be under way, of which so many are open,
     /// to so many workers.
-    fn adapt(&mut self, open: usize, workers: usize, now_ms: u64) {
+    fn adjust_limit(&mut self, in_flight: usize, workers: usize, now_ms: u64) {
         let since_ms = now_ms.saturating_sub(self.changed_ms);
-        let most = self.most_open.unwrap_or(open);
-        let most_late = MOST_LATE.max(open / MOST_LATE_OF);
-        let next = if self.late.len() > most_late {
-            (since_ms >= FEWER_EACH_MS).then_some(most.min(open) / 2)
+        let most = self.limit.unwrap_or(in_flight);
+        let max_late = MAX_LATE.max(in_flight / MAX_LATE_DIVISOR);
+        let next = if self.late.len() > max_late {
+            (since_ms >= DECREASE_INTERVAL_MS)
+                .then_some(most.min(in_flight) / 2)
         } else {
-            let more = self.most_open.is_some() && since_ms >= MORE_EACH_MS;
+            let more =
+                self.limit.is_some() && since_ms >= INCREASE_INTERVAL_MS;
             more.then_some(most + most / 8)
         };
         if let Some(next) = next {
-            let next = next.max(LEAST_OPEN);
+            let next = next.max(MIN_IN_FLIGHT);
             // Each worker has one question at a time.
-            self.most_open = (next < workers).then_some(next);
+            self.limit = (next < workers).then_some(next);
             self.changed_ms = now_ms;
         }
     }
@@ -85,10 +87,10 @@
         if held.silent {
             return;
         }
-        self.sent.push_back(Question {
+        self.sent.push_back(InFlightPoll {
             worker,
             sent_ms: held.sent_ms,
-            late_from_ms: held.sent_ms + held.order.wait_ms + LATE_MS,
+            late_from_ms: held.sent_ms + held.order.wait_ms + LATE_AFTER_MS,
         });
     }
 }
@@ -96,31 +98,32 @@
 impl Scheduler {
     /// Returns how many questions may be sent now beside those that renew
     /// leases.
-    pub(super) fn room_for_questions(&mut self, now: Now) -> usize {
+    pub(super) fn poll_allowance(&mut self, now: Now) -> usize {
         if !self.options.policy.watching.asks_later {
             return usize::MAX;
         }
-        let Questions { sent, late, .. } = &mut self.questions;
+        let InFlightPolls { sent, late, .. } = &mut self.polls;
         let workers = &self.workers;
-        let is_open = |question: &Question| {
-            let worker = workers.at(question.worker);
-            worker.is_some_and(|w| w.is_asked_since(question.sent_ms))
+        let is_in_flight = |poll: &InFlightPoll| {
+            let worker = workers.at(poll.worker);
+            worker.is_some_and(|w| w.is_asked_since(poll.sent_ms))
         };
-        while let Some(question) = sent.front() {
-            let open = is_open(question);
-            if open && now.steady_ms < question.late_from_ms {
+        while let Some(poll) = sent.front() {
+            let in_flight = is_in_flight(poll);
+            if in_flight && now.steady_ms < poll.late_from_ms {
                 break;
             }
-            if open {
-                late.push(*question);
+            if in_flight {
+                late.push(*poll);
             }
             sent.pop_front();
         }
-        late.retain(is_open);
-        let open = sent.iter().filter(|q| is_open(q)).count() + late.len();
+        late.retain(is_in_flight);
+        let in_flight =
+            sent.iter().filter(|q| is_in_flight(q)).count() + late.len();
         let workers = self.workers.len();
-        self.questions.adapt(open, workers, now.steady_ms);
-        let most_open = self.questions.most_open;
-        most_open.map_or(usize::MAX, |most| most.saturating_sub(open))
+        self.polls.adjust_limit(in_flight, workers, now.steady_ms);
+        let limit = self.polls.limit;
+        limit.map_or(usize::MAX, |most| most.saturating_sub(in_flight))
     }
 }
--- a/crates/dewspar/src/schedule/projection.rs
+++ b/crates/dewspar/src/schedule/projection.rs
@@ -22,9 +22,9 @@
 
 /// What is left of one step's runs.
 #[derive(Clone, Copy, Debug, Default)]
-struct StepRuns {
+struct RemainingRuns {
     /// Until when the longest of them goes on, in milliseconds from now.
-    left_ms: u64,
+    remaining_ms: u64,
     /// What those use that still go on at the time looked at.
     room: Resources,
 }
@@ -35,12 +35,12 @@
 impl Scheduler {
     /// Returns what each pool's known jobs will use `ahead_ms` from now; what
     /// runs for long isn't counted.
-    pub(super) fn project(
+    pub(super) fn project_usage(
         &self,
         now: Now,
         ahead_ms: u64,
     ) -> BTreeMap<String, Resources> {
-        let runs = self.runs_left(now, ahead_ms);
+        let runs = self.remaining_runs(now, ahead_ms);
         let mut pools: HashMap<&str, Resources> = HashMap::new();
         // One for all jobs: a list each was two fifths of the allocations of a
         // look at the VMs.
@@ -60,12 +60,12 @@
     }
 
     /// Returns what is left of the runs of each step.
-    fn runs_left(
+    fn remaining_runs(
         &self,
         now: Now,
         ahead_ms: u64,
-    ) -> HashMap<StepKey, StepRuns> {
-        let mut left: HashMap<StepKey, StepRuns> = HashMap::new();
+    ) -> HashMap<StepKey, RemainingRuns> {
+        let mut remaining: HashMap<StepKey, RemainingRuns> = HashMap::new();
         for worker in self.workers.values() {
             for (task, run) in &worker.runs {
                 let Some(job) = self.jobs.get(&task.job) else { continue };
@@ -74,23 +74,23 @@
                     continue;
                 }
                 let ran_ms = now.steady_ms.saturating_sub(run.since_ms);
-                let left_ms = spec.estimate_ms.saturating_sub(ran_ms);
+                let remaining_ms = spec.estimate_ms.saturating_sub(ran_ms);
                 let key = (task.job, task.round, task.step);
-                let step = left.entry(key).or_default();
-                step.left_ms = step.left_ms.max(left_ms);
-                if left_ms > ahead_ms {
+                let step = remaining.entry(key).or_default();
+                step.remaining_ms = step.remaining_ms.max(remaining_ms);
+                if remaining_ms > ahead_ms {
                     step.room.add(&run.demand);
                 }
             }
         }
-        left
+        remaining
     }
 
     fn project_job(
         &self,
         id: JobId,
         job: &Job,
-        runs: &HashMap<StepKey, StepRuns>,
+        runs: &HashMap<StepKey, RemainingRuns>,
         ends: &mut Vec<u64>,
         now: Now,
         ahead_ms: u64,
@@ -104,27 +104,27 @@
             ends.clear();
             for (step, state) in (0..).zip(steps) {
                 let spec = &job.spec.steps[step as usize];
-                let begins_ms =
-                    begins_ms(&job.spec, step as usize, ends).max(due_in_ms);
-                let lasts_ms = spec.estimate_ms;
-                let going = runs.get(&(id, round, step)).copied();
-                let going = going.unwrap_or_default();
+                let start_ms =
+                    start_ms(&job.spec, step as usize, ends).max(due_in_ms);
+                let duration_ms = spec.estimate_ms;
+                let running = runs.get(&(id, round, step)).copied();
+                let running = running.unwrap_or_default();
                 let ready =
                     job.is_ready(round as usize, step as usize, now.unix_ms);
                 ends.push(if state.is_done() {
                     0
                 } else if ready && state.waiting.is_empty() {
-                    going.left_ms
+                    running.remaining_ms
                 } else {
-                    begins_ms + lasts_ms
+                    start_ms + duration_ms
                 });
                 if spec.long_running || state.is_done() {
                     continue;
                 }
-                used.add(&going.room);
-                let goes_on =
-                    begins_ms <= ahead_ms && ahead_ms < begins_ms + lasts_ms;
-                if !ready && goes_on && self.fits_somewhere(spec) {
+                used.add(&running.room);
+                let runs_then =
+                    start_ms <= ahead_ms && ahead_ms < start_ms + duration_ms;
+                if !ready && runs_then && self.fits_somewhere(spec) {
                     let waiting = state.waiting.len() as u64;
                     used.add(&demand(spec).times(waiting));
                 }
@@ -136,7 +136,7 @@
     /// Returns what a job will use within `ahead_ms` of its coming, times
     /// milliseconds; what runs for long, falls due later or fits nowhere isn't
     /// counted.
-    pub(super) fn first_work(
+    pub(super) fn initial_work(
         &self,
         spec: &JobSpec,
         ahead_ms: u64,
@@ -147,13 +147,13 @@
         let mut ends: Vec<u64> = Vec::with_capacity(spec.steps.len());
         let mut work = Resources::default();
         for (step, step_spec) in spec.steps.iter().enumerate() {
-            let begins_ms = begins_ms(spec, step, &ends);
-            let lasts_ms = step_spec.estimate_ms;
-            ends.push(begins_ms + lasts_ms);
+            let start_ms = start_ms(spec, step, &ends);
+            let duration_ms = step_spec.estimate_ms;
+            ends.push(start_ms + duration_ms);
             if step_spec.long_running || !self.fits_somewhere(step_spec) {
                 continue;
             }
-            let within_ms = lasts_ms.min(ahead_ms.saturating_sub(begins_ms));
+            let within_ms = duration_ms.min(ahead_ms.saturating_sub(start_ms));
             let times = u64::from(step_spec.count).saturating_mul(within_ms);
             work.add(&demand(step_spec).times(times));
         }
@@ -162,7 +162,7 @@
 }
 
 /// Returns when a step begins if the steps before end as given.
-fn begins_ms(spec: &JobSpec, step: usize, ends: &[u64]) -> u64 {
+fn start_ms(spec: &JobSpec, step: usize, ends: &[u64]) -> u64 {
     let before = spec.steps[step].after.iter();
     before.filter_map(|earlier| ends.get(*earlier)).max().copied().unwrap_or(0)
 }
--- a/crates/dewspar/src/schedule/report.rs
+++ b/crates/dewspar/src/schedule/report.rs
@@ -65,7 +65,7 @@
                 return;
             }
         }
-        let pause_ms = self.ask_pause_ms();
+        let pause_ms = self.poll_pause_ms();
         let Some(worker) = self.workers.get_mut(worker_id) else { return };
         // It may say what was before another process began.
         if held.session != worker.session {
@@ -197,7 +197,7 @@
             self.window.ended(end);
         }
         if !held.silent {
-            self.order_ended(held.sent_ms, end, now);
+            self.record_order_end(held.sent_ms, end, now);
         }
     }
 
@@ -226,7 +226,7 @@
             return;
         };
         self.settle_found_in_doubt(&task, worker_id, end.run);
-        self.note_begun(task.job, now);
+        self.mark_job_begun(task.job, now);
         match end.cause {
             EndCause::Done => self.task_done(worker_id, &task, now),
             EndCause::Failed => {
@@ -246,7 +246,7 @@
         let sequence = self.mark_changed(task.job);
         self.acknowledge(worker_id, end, sequence, now);
         if here {
-            self.free_run(&task, worker_id, now);
+            self.release_run(&task, worker_id, now);
         }
         self.finish_if_over(&task, failures, now);
     }
@@ -370,7 +370,7 @@
         now: Now,
     ) {
         self.note_progress(active);
-        self.note_begun(active.task.job, now);
+        self.mark_job_begun(active.task.job, now);
         let found = self.judge(worker_id, active);
         // A former holder may have slowed it down: it is let go step by step.
         let spec = self.step_spec(&active.task);
@@ -549,7 +549,7 @@
                 age_ms,
                 other_runs: beside,
             });
-            self.free_run(&task, worker_id, now);
+            self.release_run(&task, worker_id, now);
         }
     }
 }
--- a/crates/dewspar/src/schedule/scheduler.rs
+++ b/crates/dewspar/src/schedule/scheduler.rs
@@ -9,7 +9,6 @@
             advice::StepAdvice,
             cancelled::Cancelled,
             crash_series::{CrashSeries, KeptFor},
-            duty::InheritedOrder,
             forecast::Arrivals,
             job_state::Job,
             jobs::Jobs,
@@ -17,15 +16,16 @@
             long_running::LastingNeed,
             long_waits::LongWaits,
             placement::Candidates,
+            poll_limit::InFlightPolls,
             processes::FormerProcesses,
-            questions::Questions,
             reservations::KeptPlaces,
             set_aside::SetAside,
-            sizing::{Moving, PoolLoad},
+            sizing::{PendingMove, PoolLoad},
             start_log::StartLogs,
             steadiness::VmCrashes,
             token_claims::Claims,
             unseen_starts::ToldStart,
+            vm_orders::InheritedOrder,
             wave_state::WaveState,
             worker::{OwedHold, Worker},
             workers::{WorkerNumber, Workers},
@@ -73,14 +73,14 @@
     /// The workers that aren't used any more.
     pub(super) former: FormerProcesses,
     /// Whether any task was suspected so far: looking for them costs time.
-    pub(super) knows_suspects: bool,
+    pub(super) has_suspects: bool,
     /// How many workers of each pool were lost before they had named their runs.
-    pub(super) unheard_losses: BTreeMap<String, u32>,
+    pub(super) unreported_losses: BTreeMap<String, u32>,
     /// The pools of which some task may wait for which these don't count yet.
     pub(super) uncounted_pools: BTreeSet<String>,
     /// The starts that former holders told of, with their workers, until it is
     /// known what became of each.
-    pub(super) told_starts: BTreeMap<TaskId, ToldStart>,
+    pub(super) reported_starts: BTreeMap<TaskId, ToldStart>,
     /// The starts that wait until they are on record.
     pub(super) write_ahead: WriteAhead,
     /// Where such starts are put on record together.
@@ -96,22 +96,22 @@
     /// When the directory of workers was last read; 0 for not yet.
     pub(super) directory_ms: u64,
     /// From when the directory is complete again after it couldn't be read.
-    pub(super) entered_by_ms: u64,
+    pub(super) directory_complete_ms: u64,
     /// Whether every worker that may run something is among `workers`.
-    pub(super) lives_known: bool,
+    pub(super) workers_known: bool,
     /// When the first worker was listed under this lease; 0 for not yet.
     pub(super) taken_over_ms: u64,
     /// When changes of each VM were last ordered.
     pub(super) ordered_vms: BTreeMap<String, u64>,
     /// The VMs that former holders touched, who did, and until when that
     /// counts.
-    pub(super) inherited_vms: BTreeMap<String, InheritedOrder>,
+    pub(super) inherited_orders: BTreeMap<String, InheritedOrder>,
     /// From when changes of VMs may be ordered that a former holder touched.
-    pub(super) vms_from_ms: BTreeMap<String, u64>,
-    pub(super) all_vms_from_ms: u64,
+    pub(super) vm_orders_from_ms: BTreeMap<String, u64>,
+    pub(super) all_vm_orders_from_ms: u64,
     pub(super) waves: BTreeMap<u64, WaveState>,
     pub(super) vms: BTreeMap<String, ManagedVm>,
-    pub(super) moving: BTreeMap<String, Moving>,
+    pub(super) pending_moves: BTreeMap<String, PendingMove>,
     /// The places that are kept for tasks.
     pub(super) places: KeptPlaces,
     /// Moves that the VM service will never take.
@@ -119,11 +119,11 @@
     pub(super) serving_pools: BTreeSet<String>,
     pub(super) free_pools: BTreeSet<String>,
     /// The pools whose workers start whatever they are told.
-    pub(super) unguarded_pools: BTreeSet<String>,
+    pub(super) unenforced_pools: BTreeSet<String>,
     pub(super) pool_loads: BTreeMap<String, PoolLoad>,
     /// The pools that have no place for some task which another VM could
     /// hold, and since when.
-    pub(super) without_place: BTreeMap<String, u64>,
+    pub(super) unplaced_since_ms: BTreeMap<String, u64>,
     /// What workers and VMs have room for, each kind once.
     pub(super) capacities: Vec<Resources>,
     /// What the adviser has said, by the first task of each step.
@@ -131,19 +131,19 @@
     /// When the list of VMs was last asked for.
     pub(super) vms_asked_ms: u64,
     /// When the pools' sizes were last looked at.
-    pub(super) sized_ms: u64,
+    pub(super) last_sizing_ms: u64,
     /// Jobs accepted under this lease that aren't counted as arrivals yet.
     pub(super) new_jobs: Vec<JobId>,
     /// The jobs that came to each pool of late.
     pub(super) arrivals: BTreeMap<String, Arrivals>,
     /// The first task of each step of open jobs that is to last and may be
     /// wanted soon.
-    pub(super) lasting_steps: Vec<TaskId>,
+    pub(super) long_running_steps: Vec<TaskId>,
     /// What each pool's tasks that are to last need of VMs.
-    pub(super) lasting_needs: BTreeMap<String, LastingNeed>,
+    pub(super) long_running_needs: BTreeMap<String, LastingNeed>,
     /// How many VMs pools got that lacked most, since the one that lacked
     /// fewest had its turn.
-    pub(super) vms_to_most: u32,
+    pub(super) vms_to_neediest: u32,
     /// How many VMs each pool should have, when that was last looked at.
     pub(super) targets: BTreeMap<String, u64>,
     /// What each pool's known jobs will use a while ahead.
@@ -155,13 +155,13 @@
     /// What this node's link carries of orders.
     pub(super) link: LinkBudget,
     /// The questions under way.
-    pub(super) questions: Questions,
+    pub(super) polls: InFlightPolls,
     /// The worker that is asked first; `None` before any is listed.
-    asked_first: Option<WorkerId>,
+    first_polled: Option<WorkerId>,
     /// How long workers may gather ends, while the processor is short.
     busy: BusyPause,
     /// When runs that go on were last looked at.
-    pub(super) runs_looked_at_ms: u64,
+    pub(super) runs_checked_ms: u64,
     /// What was told of tasks that are to last and wait.
     pub(super) long_waits: LongWaits,
 }
@@ -175,10 +175,10 @@
         Scheduler {
             window,
             link,
-            questions: Questions::default(),
-            asked_first: None,
+            polls: InFlightPolls::default(),
+            first_polled: None,
             busy: BusyPause::default(),
-            runs_looked_at_ms: 0,
+            runs_checked_ms: 0,
             long_waits: LongWaits::default(),
             options,
             lease_revision,
@@ -197,10 +197,10 @@
             decisions: Vec::new(),
             claims: Claims::default(),
             former: FormerProcesses::default(),
-            knows_suspects: false,
-            unheard_losses: BTreeMap::new(),
+            has_suspects: false,
+            unreported_losses: BTreeMap::new(),
             uncounted_pools: BTreeSet::new(),
-            told_starts: BTreeMap::new(),
+            reported_starts: BTreeMap::new(),
             write_ahead: WriteAhead::default(),
             start_logs: StartLogs::default(),
             tasks_in_doubt: BTreeSet::new(),
@@ -208,34 +208,34 @@
             reserved: BTreeMap::new(),
             vm_crashes: BTreeMap::new(),
             directory_ms: 0,
-            entered_by_ms: 0,
-            lives_known: false,
+            directory_complete_ms: 0,
+            workers_known: false,
             taken_over_ms: 0,
             ordered_vms: BTreeMap::new(),
-            inherited_vms: BTreeMap::new(),
-            vms_from_ms: BTreeMap::new(),
-            all_vms_from_ms: 0,
+            inherited_orders: BTreeMap::new(),
+            vm_orders_from_ms: BTreeMap::new(),
+            all_vm_orders_from_ms: 0,
             waves: BTreeMap::new(),
             vms: BTreeMap::new(),
-            moving: BTreeMap::new(),
+            pending_moves: BTreeMap::new(),
             places: KeptPlaces::default(),
             refused_moves: BTreeSet::new(),
             serving_pools: BTreeSet::new(),
             free_pools: BTreeSet::new(),
-            unguarded_pools: BTreeSet::new(),
+            unenforced_pools: BTreeSet::new(),
             pool_loads: BTreeMap::new(),
-            without_place: BTreeMap::new(),
+            unplaced_since_ms: BTreeMap::new(),
             capacities: Vec::new(),
             advice: BTreeMap::new(),
             vms_asked_ms: 0,
-            sized_ms: 0,
+            last_sizing_ms: 0,
             new_jobs: Vec::new(),
             arrivals: BTreeMap::new(),
             targets: BTreeMap::new(),
             projected: BTreeMap::new(),
-            lasting_steps: Vec::new(),
-            lasting_needs: BTreeMap::new(),
-            vms_to_most: 0,
+            long_running_steps: Vec::new(),
+            long_running_needs: BTreeMap::new(),
+            vms_to_neediest: 0,
             first_job_ms: 0,
         }
     }
@@ -286,7 +286,7 @@
         let mut job = Job::new(spec, terms, revision, accepted_at_ms);
         if let Some(progress) = progress {
             job.restore(progress);
-            self.knows_suspects |=
+            self.has_suspects |=
                 progress.tasks.iter().any(|t| t.crashes > 0 || t.unseen > 0);
         }
         if revision > self.lease_revision {
@@ -359,7 +359,7 @@
 
     /// Notes how long an event had waited before it was taken in now, in
     /// milliseconds: that says how short this node's processor is.
-    pub fn event_waited(&mut self, waited_ms: u64, now: Now) {
+    pub fn record_event_delay(&mut self, waited_ms: u64, now: Now) {
         self.busy.waited(waited_ms, now.steady_ms);
     }
 
@@ -367,7 +367,7 @@
     /// milliseconds; 0 while this node keeps up.
     ///
     /// Starts aren't put off, so they come first.
-    pub(super) fn ask_pause_ms(&self) -> u64 {
+    pub(super) fn poll_pause_ms(&self) -> u64 {
         let asks_later = self.options.policy.watching.asks_later;
         if asks_later { self.busy.pause_ms() } else { 0 }
     }
@@ -379,7 +379,7 @@
 
     /// Notes the end of an order that was sent at this time, which says how
     /// fast this node's are.
-    pub(super) fn order_ended(
+    pub(super) fn record_order_end(
         &mut self,
         sent_ms: u64,
         end: CallEnd,
@@ -405,14 +405,14 @@
         self.drop_lapsed(now);
         self.settle_told_starts(now);
         self.order_withheld(now, &mut actions);
-        self.look_after_runs(now, &mut actions);
+        self.monitor_runs(now, &mut actions);
         // First of all orders: this holder may be gone any moment.
         self.order_stops(now, &mut actions);
         self.fence_workers(now, &mut actions);
         self.keep_places(now);
         self.start_waiting(now, &mut actions);
         self.tell_long_waits(now);
-        self.hold_workers(now, &mut actions);
+        self.poll_workers(now, &mut actions);
         actions
     }
 
@@ -420,7 +420,7 @@
     ///
     /// Nothing else makes a job run: an order to start may be refused, may
     /// never arrive, and its sender may be gone before it knows.
-    pub(super) fn note_begun(&mut self, id: JobId, now: Now) {
+    pub(super) fn mark_job_begun(&mut self, id: JobId, now: Now) {
         // Said again with each answer: most know it already.
         if self.phase(id) != Some(Phase::Queued) {
             return;
@@ -478,7 +478,7 @@
     }
 
     /// Takes a run off a worker; its task may be started again.
-    pub(super) fn free_run(
+    pub(super) fn release_run(
         &mut self,
         task: &TaskId,
         worker_id: &WorkerId,
@@ -491,7 +491,7 @@
             self.note_stopped(task, worker_id, run, cause, now);
         }
         let begun = run.is_none_or(|run| run.has_begun());
-        self.free_task(task, worker_id, begun, now);
+        self.release_task(task, worker_id, begun, now);
         if !begun || self.is_lasting_gang(task) {
             self.keep_place_again(task, worker_id, now);
         }
@@ -499,7 +499,7 @@
 
     /// Notes that a task isn't on a worker any more, where a run of it had
     /// begun or was only ordered.
-    pub(super) fn free_task(
+    pub(super) fn release_task(
         &mut self,
         task: &TaskId,
         worker_id: &WorkerId,
@@ -553,11 +553,11 @@
     /// Puts workers in an order that begins elsewhere for each holder: where
     /// none lasts until all are asked, the same ones would otherwise never be,
     /// and keep what nobody wants.
-    fn begin_elsewhere(
+    fn rotate_workers(
         &mut self,
         mut numbers: Vec<WorkerNumber>,
     ) -> Vec<WorkerNumber> {
-        let Some(first) = self.asked_first() else { return numbers };
+        let Some(first) = self.first_polled() else { return numbers };
         let is_before = |number: &WorkerNumber| {
             self.workers.at(*number).is_some_and(|worker| *worker.id() < first)
         };
@@ -567,23 +567,23 @@
     }
 
     /// Returns the worker that this holder asks first.
-    fn asked_first(&mut self) -> Option<WorkerId> {
-        if self.asked_first.is_none() && !self.workers.is_empty() {
+    fn first_polled(&mut self) -> Option<WorkerId> {
+        if self.first_polled.is_none() && !self.workers.is_empty() {
             let spread = self.lease_revision.wrapping_mul(SPREAD) >> 32;
             let skipped = spread % self.workers.len() as u64;
             // OK to convert: it is below the number of workers.
             let mut workers = self.workers.values().skip(skipped as usize);
-            self.asked_first =
+            self.first_polled =
                 workers.next().map(|worker| worker.id().clone());
         }
-        self.asked_first.clone()
+        self.first_polled.clone()
     }
 
     /// Asks under a new token, as far as the window and the link have room;
     /// workers that are silent take no room in the window.
     fn fence_workers(&mut self, now: Now, actions: &mut Vec<Action>) {
         let due = self.due_workers(now);
-        for number in self.begin_elsewhere(due) {
+        for number in self.rotate_workers(due) {
             let Some(worker) = self.workers.at(number) else { continue };
             let due = worker.hold_due_ms(now.steady_ms).is_some();
             if !worker.is_fencing() || !due {
@@ -614,9 +614,9 @@
     /// Asks workers what runs and has ended; those first whose lease must be
     /// renewed, the others as far as the link has room, in the order in which
     /// they were due.
-    fn hold_workers(&mut self, now: Now, actions: &mut Vec<Action>) {
+    fn poll_workers(&mut self, now: Now, actions: &mut Vec<Action>) {
         let long_poll =
-            self.link.is_short(now.steady_ms) || self.ask_pause_ms() > 0;
+            self.link.is_short(now.steady_ms) || self.poll_pause_ms() > 0;
         let mut due: Vec<(Class, u64, WorkerNumber)> = Vec::new();
         for number in self.due_workers(now) {
             let Some(worker) = self.workers.at(number) else { continue };
@@ -629,7 +629,7 @@
         }
         // Stable: those that are alike keep the order of their identifiers.
         due.sort_by_key(|(class, due_ms, _)| (*class, *due_ms));
-        let mut room = self.room_for_questions(now);
+        let mut room = self.poll_allowance(now);
         for (class, _, number) in due {
             if !self.link.allows(class) {
                 return;
@@ -645,7 +645,7 @@
             if let Some(Action::Hold { held, .. }) = &hold {
                 let bytes = worker.question_bytes(self.link.order_bytes());
                 self.link.sent(class, bytes);
-                self.questions.sent(number, held);
+                self.polls.sent(number, held);
             }
             actions.extend(hold);
         }
--- a/crates/dewspar/src/schedule/set_aside.rs
+++ b/crates/dewspar/src/schedule/set_aside.rs
@@ -176,7 +176,7 @@
             return;
         }
         let failures = note_end(job, &worker, end);
-        self.note_begun(task.job, now);
+        self.mark_job_begun(task.job, now);
         if end.cause == EndCause::Done {
             self.task_done(&worker, task, now);
         }
--- a/crates/dewspar/src/schedule/sizing.rs
+++ b/crates/dewspar/src/schedule/sizing.rs
@@ -25,20 +25,20 @@
 };
 
 /// How long a VM is left alone whose move was refused, in milliseconds.
-const REFUSED_MS: u64 = 1_000;
+const REFUSED_MOVE_DELAY_MS: u64 = 1_000;
 
 /// How long a holder waits for a first job before it switches VMs off all
 /// the same, in milliseconds.
-const UNUSED_MS: u64 = 30_000;
+const MAX_OBSERVATION_MS: u64 = 30_000;
 
 /// How long a VM that was ordered to move counts as coming, in milliseconds.
-const COMING_MS: u64 = 4_000;
+const MOVE_TIMEOUT_MS: u64 = 4_000;
 
 /// How many VMs go to the pool that lacks most before one goes to the pool that
 /// lacks fewest. With one each, the days on which a peak begins beside a trouble
 /// were worth 0.04 less on a site of 48 workers; with seven as much as with none
 /// (trials).
-const VMS_TO_MOST: u32 = 7;
+const VMS_TO_NEEDIEST: u32 = 7;
 
 /// What a pool has and what is asked of it.
 #[derive(Clone, Copy, Debug, Default)]
@@ -50,23 +50,23 @@
     /// that are to last.
     forecast: Resources,
     /// What all tasks take that are to last.
-    lasting: Resources,
+    long_running: Resources,
     /// What those of them take that wait.
-    missing: Resources,
+    long_running_waiting: Resources,
     workers: u64,
 }
 
 impl PoolLoad {
     /// Returns what is asked of the pool, now or soon.
-    fn asked(&self) -> Resources {
-        let now = self.used.plus(&self.missing);
+    fn total_demand(&self) -> Resources {
+        let now = self.used.plus(&self.long_running_waiting);
         now.component_max(&self.forecast).plus(&self.waiting)
     }
 
     /// Returns the same without what is to last, which neither grows in a
     /// peak nor shrinks after it.
-    fn asked_by_short(&self) -> Resources {
-        self.asked().minus(&self.lasting)
+    fn short_task_demand(&self) -> Resources {
+        self.total_demand().minus(&self.long_running)
     }
 
     /// Returns how many workers the pool has that aren't about to leave.
@@ -87,11 +87,11 @@
     /// they take of processors keeps VMs here for the next peak.
     pub(super) fn percent_without(&self, less: u64) -> u64 {
         let capacity = self.capacity.minus(&self.vm().times(less));
-        let asked_cpu = self.asked().cpu_millis;
-        let of_all = asked_cpu * 100 / capacity.cpu_millis.max(1);
+        let demand_cpu = self.total_demand().cpu_millis;
+        let of_all = demand_cpu * 100 / capacity.cpu_millis.max(1);
         let least = Resources { cpu_millis: 1, memory_mb: 1, gpus: 1 };
-        let left = capacity.minus(&self.lasting).component_max(&least);
-        let of_left = self.asked_by_short().permille_of(&left) / 10;
+        let left = capacity.minus(&self.long_running).component_max(&least);
+        let of_left = self.short_task_demand().permille_of(&left) / 10;
         of_all.max(of_left)
     }
 
@@ -103,14 +103,15 @@
     fn vms_needed(&self, vm: &Resources, full_percent: u64) -> u64 {
         let filled =
             |room: Resources| room.times(100).divided_by(full_percent);
-        let of_all = filled(self.asked());
-        let of_left = filled(self.asked_by_short()).plus(&self.lasting);
+        let of_all = filled(self.total_demand());
+        let of_left =
+            filled(self.short_task_demand()).plus(&self.long_running);
         let cpu_millis = of_all.cpu_millis;
         Resources { cpu_millis, ..of_left }.units_of(vm)
     }
 
     /// Notes that a worker is to leave.
-    fn leaves(&mut self, capacity: &Resources) {
+    fn remove_worker(&mut self, capacity: &Resources) {
         self.capacity.subtract(capacity);
         self.workers = self.workers.saturating_sub(1);
     }
@@ -118,11 +119,11 @@
 
 /// A move that was ordered.
 #[derive(Debug)]
-pub(super) struct Moving {
+pub(super) struct PendingMove {
     pub(super) to: String,
     pub(super) since_ms: u64,
     /// The life of its worker when that was ordered.
-    pub(super) life: Option<WorkerId>,
+    pub(super) worker: Option<WorkerId>,
 }
 
 impl Scheduler {
@@ -138,8 +139,8 @@
 
     /// Takes over in which pools workers start whatever they are told: their
     /// rooms are to be guarded here.
-    pub fn guard_pools(&mut self, unguarded: BTreeSet<String>) {
-        self.unguarded_pools = unguarded;
+    pub fn enforce_capacity(&mut self, pools: BTreeSet<String>) {
+        self.unenforced_pools = pools;
     }
 
     fn sizing(&self) -> &Sizing {
@@ -169,7 +170,7 @@
         }
         let late_percent = self.options.policy.sizing.late_percent;
         let soon_unix_ms = now.unix_ms + self.options.policy.forecast.ahead_ms;
-        let mut lasting_steps = Vec::new();
+        let mut long_running_steps = Vec::new();
         for (id, job) in self.jobs.iter() {
             if job.phase.is_final() {
                 continue;
@@ -179,10 +180,10 @@
                 for (step, spec) in job.spec.steps.iter().enumerate() {
                     if spec.long_running && self.fits_somewhere(spec) {
                         let count = u64::from(spec.count);
-                        load.lasting.add(&demand(spec).times(count));
+                        load.long_running.add(&demand(spec).times(count));
                         let soon =
                             job.spec.due_ms(round as u32) <= soon_unix_ms;
-                        lasting_steps.extend(soon.then_some(TaskId {
+                        long_running_steps.extend(soon.then_some(TaskId {
                             job: *id,
                             round: round as u32,
                             step: step as u32,
@@ -198,7 +199,7 @@
                     }
                     let room = demand(spec).times(waiting);
                     if spec.long_running {
-                        load.missing.add(&room);
+                        load.long_running_waiting.add(&room);
                         continue;
                     }
                     let late = now.unix_ms > job.objective_ms(round);
@@ -216,11 +217,11 @@
             .map(|(pool, load)| (pool.to_owned(), load))
             .collect();
         for load in loads.values_mut() {
-            load.forecast.add(&load.lasting);
+            load.forecast.add(&load.long_running);
         }
-        self.lasting_steps = lasting_steps;
-        self.note_arrivals(now);
-        for (pool, room) in self.forecasts(now) {
+        self.long_running_steps = long_running_steps;
+        self.record_arrivals(now);
+        for (pool, room) in self.forecast_usage(now) {
             if let Some(load) = loads.get_mut(pool) {
                 load.forecast.add(&room);
             }
@@ -235,15 +236,15 @@
 
     /// Returns the next orders that move VMs between pools.
     pub(super) fn size_pools(&mut self, now: Now, orders: &mut Vec<VmOrder>) {
-        self.settle_moves(now);
-        if now.steady_ms >= self.sized_ms + self.sizing().interval_ms {
-            self.sized_ms = now.steady_ms;
+        self.finish_moves(now);
+        if now.steady_ms >= self.last_sizing_ms + self.sizing().interval_ms {
+            self.last_sizing_ms = now.steady_ms;
             self.project_pools(now);
             self.measure_lasting(now);
             let targets = self.targets(now);
-            self.note_targets(&targets);
-            self.fill_pools(&targets, now, orders);
-            if self.knows_demand(now) {
+            self.record_targets(&targets);
+            self.grow_pools(&targets, now, orders);
+            if self.has_observed_demand(now) {
                 for pool in targets.keys() {
                     self.shrink_pool(pool, now);
                 }
@@ -256,23 +257,23 @@
     fn project_pools(&mut self, now: Now) {
         let Forecast { enabled, ahead_ms, .. } = self.options.policy.forecast;
         if enabled {
-            self.projected = self.project(now, ahead_ms);
+            self.projected = self.project_usage(now, ahead_ms);
             self.measure_pools(now);
         }
     }
 
     /// Returns whether enough was seen to tell which VMs aren't needed.
-    fn knows_demand(&mut self, now: Now) -> bool {
+    fn has_observed_demand(&mut self, now: Now) -> bool {
         if self.first_job_ms == 0 && self.has_short_jobs() {
             self.first_job_ms = now.steady_ms;
         }
-        let unused = now.steady_ms >= self.taken_over_ms + UNUSED_MS;
+        let unused = now.steady_ms >= self.taken_over_ms + MAX_OBSERVATION_MS;
         let observed = self.first_job_ms > 0
             && now.steady_ms >= self.first_job_ms + self.sizing().observed_ms;
         observed || unused
     }
 
-    fn note_targets(&mut self, targets: &BTreeMap<String, u64>) {
+    fn record_targets(&mut self, targets: &BTreeMap<String, u64>) {
         for (pool, target) in targets {
             if self.targets.get(pool) == Some(target) {
                 continue;
@@ -299,29 +300,30 @@
     fn targets(&self, now: Now) -> BTreeMap<String, u64> {
         // A move that was ordered needn't show in the list yet.
         let usable = self.vms.values().filter(|vm| {
-            vm.status == VmStatus::Up && !self.moving.contains_key(&vm.vm)
+            vm.status == VmStatus::Up
+                && !self.pending_moves.contains_key(&vm.vm)
         });
-        let total = usable.count() + self.moving.len();
+        let total = usable.count() + self.pending_moves.len();
         let mut left = total as u64;
-        let typical = self.typical_vm();
+        let largest = self.largest_vm();
         let mut floors: BTreeMap<&String, u64> = BTreeMap::new();
         let mut needs: BTreeMap<&String, u64> = BTreeMap::new();
         for pool in &self.serving_pools {
             floors.insert(pool, self.lasting_need(pool).floor_vms);
-            let need = self.need_for_room(pool, &typical);
+            let need = self.vms_for_load(pool, &largest);
             let need = need.max(self.least_vms(pool));
-            let need = need.max(self.need_for_place(pool, now));
+            let need = need.max(self.vms_for_unplaced_tasks(pool, now));
             let need = need.max(self.need_for_unplaced(pool));
             needs.insert(pool, need);
         }
         let mut targets: BTreeMap<String, u64> = BTreeMap::new();
-        self.share_out(&floors, &mut left, &mut targets);
-        self.share_out(&needs, &mut left, &mut targets);
+        self.allocate(&floors, &mut left, &mut targets);
+        self.allocate(&needs, &mut left, &mut targets);
         targets
     }
 
     /// Gives pools VMs of those that are left, as many as each needs.
-    fn share_out(
+    fn allocate(
         &self,
         needs: &BTreeMap<&String, u64>,
         left: &mut u64,
@@ -350,21 +352,21 @@
 
     /// Returns how many VMs a pool needs so that it is no fuller than it may
     /// be, by the kind of room that it needs most VMs for.
-    fn need_for_room(&self, pool: &str, typical: &Resources) -> u64 {
+    fn vms_for_load(&self, pool: &str, largest: &Resources) -> u64 {
         let load = self.pool_load(pool);
-        let vm = load.vm().component_max(typical);
+        let vm = load.vm().component_max(largest);
         load.vms_needed(&vm, self.sizing().full_percent)
     }
 
     /// Returns how many VMs a pool needs that has no place for some task: as
     /// many more as its tasks that are to last lack, or one more than it has
     /// if others lack something for long.
-    fn need_for_place(&self, pool: &str, now: Now) -> u64 {
-        let lacking = self.lasting_need(pool).lacking_vms;
-        if lacking > 0 {
-            return self.pool_size(pool) + lacking;
+    fn vms_for_unplaced_tasks(&self, pool: &str, now: Now) -> u64 {
+        let deficit = self.lasting_need(pool).lacking_vms;
+        if deficit > 0 {
+            return self.pool_size(pool) + deficit;
         }
-        let since_ms = self.without_place.get(pool);
+        let since_ms = self.unplaced_since_ms.get(pool);
         let long = since_ms.is_some_and(|since| {
             now.steady_ms >= since + self.sizing().without_place_ms
         });
@@ -372,7 +374,7 @@
     }
 
     /// Returns the most that a VM has of each kind of room.
-    fn typical_vm(&self) -> Resources {
+    fn largest_vm(&self) -> Resources {
         let rooms = self.vms.values().map(|vm| vm.capacity);
         rooms
             .fold(Resources::default(), |most, room| most.component_max(&room))
@@ -381,75 +383,80 @@
     /// Returns how many VMs a pool has or is about to have.
     fn pool_size(&self, pool: &str) -> u64 {
         let load = self.pool_load(pool);
-        let coming = self.moving.values().filter(|m| m.to == pool).count();
+        let coming =
+            self.pending_moves.values().filter(|m| m.to == pool).count();
         let leaving = self.workers.values().filter(|worker| {
             worker.emptying == Some(Purpose::Move(pool.to_owned()))
-                && !self.moving.contains_key(&worker.listing.vm)
+                && !self.pending_moves.contains_key(&worker.listing.vm)
         });
         load.workers + (coming + leaving.count()) as u64
     }
 
     /// Brings VMs to pools that have fewer than they should, those first that
     /// tasks to last need.
-    fn fill_pools(
+    fn grow_pools(
         &mut self,
         targets: &BTreeMap<String, u64>,
         now: Now,
         orders: &mut Vec<VmOrder>,
     ) {
-        self.fill_lasting(targets, now, orders);
-        self.fill_others(targets, now, orders);
+        self.grow_for_long_running(targets, now, orders);
+        self.grow_to_targets(targets, now, orders);
     }
 
     /// Brings the VMs that tasks to last lack, to the pool that lacks fewest
     /// first.
-    fn fill_lasting(
+    fn grow_for_long_running(
         &mut self,
         targets: &BTreeMap<String, u64>,
         now: Now,
         orders: &mut Vec<VmOrder>,
     ) {
         let pools = self.serving_pools.iter();
-        let mut lacking: Vec<(u64, String)> = pools
-            .map(|pool| (self.lack_for_lasting(pool), pool.clone()))
-            .filter(|(lack, _)| *lack > 0)
+        let mut deficits: Vec<(u64, String)> = pools
+            .map(|pool| (self.long_running_deficit(pool), pool.clone()))
+            .filter(|(deficit, _)| *deficit > 0)
             .collect();
-        lacking.sort_unstable();
-        for (lack, pool) in lacking {
-            let brought = (0..lack).take_while(|_| {
-                self.bring_vm(&pool, targets, now, orders)
-                    || self.bring_from_short_tasks(&pool, now)
+        deficits.sort_unstable();
+        for (deficit, pool) in deficits {
+            let brought = (0..deficit).take_while(|_| {
+                self.add_vm(&pool, targets, now, orders)
+                    || self.take_vm_from_short_tasks(&pool, now)
             });
             let _ = brought.count();
         }
     }
 
     /// Returns how many VMs a pool lacks for tasks that are to last.
-    fn lack_for_lasting(&self, pool: &str) -> u64 {
-        self.lasting_need(pool).lacking_vms.max(self.lack_to_floor(pool))
+    fn long_running_deficit(&self, pool: &str) -> u64 {
+        self.lasting_need(pool).lacking_vms.max(self.floor_deficit(pool))
     }
 
-    fn lack_to_floor(&self, pool: &str) -> u64 {
+    fn floor_deficit(&self, pool: &str) -> u64 {
         let floor = self.lasting_need(pool).floor_vms;
         floor.saturating_sub(self.pool_size(pool))
     }
 
     /// Brings a VM to a pool whose tasks that are to last need more than it
     /// has, from one that has more than those there need.
-    fn bring_from_short_tasks(&mut self, pool: &str, now: Now) -> bool {
-        if self.lack_to_floor(pool) == 0 {
+    fn take_vm_from_short_tasks(&mut self, pool: &str, now: Now) -> bool {
+        if self.floor_deficit(pool) == 0 {
             return false;
         }
-        let Some(id) = self.spare_of_short_tasks(pool, now) else {
+        let Some(id) = self.spare_short_task_worker(pool, now) else {
             return false;
         };
-        self.empty_to_move(&id, pool, now);
+        self.drain_to_move(&id, pool, now);
         true
     }
 
     /// Returns the least used worker that serves only short tasks, of a pool
     /// that has more VMs than its tasks need that are to last.
-    fn spare_of_short_tasks(&self, pool: &str, now: Now) -> Option<WorkerId> {
+    fn spare_short_task_worker(
+        &self,
+        pool: &str,
+        now: Now,
+    ) -> Option<WorkerId> {
         let over = |from: &str| {
             let floor = self.lasting_need(from).floor_vms;
             let least = floor.max(self.sizing().least_vms);
@@ -461,38 +468,40 @@
     /// Brings VMs to pools that have fewer than they should: to the one that
     /// lacks most, and now and then to the one that lacks fewest, so that a
     /// small need doesn't wait until a large one is met.
-    fn fill_others(
+    fn grow_to_targets(
         &mut self,
         targets: &BTreeMap<String, u64>,
         now: Now,
         orders: &mut Vec<VmOrder>,
     ) {
-        let mut lacking: Vec<(u64, &String)> = targets
+        let mut deficits: Vec<(u64, &String)> = targets
             .iter()
             .map(|(pool, target)| {
                 (target.saturating_sub(self.pool_size(pool)), pool)
             })
-            .filter(|(lack, _)| *lack > 0)
+            .filter(|(deficit, _)| *deficit > 0)
             .collect();
-        lacking.sort_unstable();
-        while !lacking.is_empty() {
-            let most = lacking.len() - 1;
-            let smallest = self.vms_to_most >= VMS_TO_MOST;
-            let (lack, pool) = lacking.remove(if smallest { 0 } else { most });
-            if !self.bring_vm(pool, targets, now, orders) {
+        deficits.sort_unstable();
+        while !deficits.is_empty() {
+            let most = deficits.len() - 1;
+            let serve_smallest = self.vms_to_neediest >= VMS_TO_NEEDIEST;
+            let (deficit, pool) =
+                deficits.remove(if serve_smallest { 0 } else { most });
+            if !self.add_vm(pool, targets, now, orders) {
                 continue;
             }
-            self.vms_to_most = if smallest { 0 } else { self.vms_to_most + 1 };
-            if lack > 1 {
-                lacking.push((lack - 1, pool));
-                lacking.sort_unstable();
+            self.vms_to_neediest =
+                if serve_smallest { 0 } else { self.vms_to_neediest + 1 };
+            if deficit > 1 {
+                deficits.push((deficit - 1, pool));
+                deficits.sort_unstable();
             }
         }
     }
 
     /// Brings a VM to a pool that is switched off or that another has to
     /// spare; returns whether there was one.
-    fn bring_vm(
+    fn add_vm(
         &mut self,
         pool: &str,
         targets: &BTreeMap<String, u64>,
@@ -503,33 +512,33 @@
             self.order_move(&vm, pool, now, orders);
             return true;
         }
-        let Some(id) = self.spare_elsewhere(pool, targets, now) else {
+        let Some(id) = self.spare_worker(pool, targets, now) else {
             return false;
         };
-        self.empty_to_move(&id, pool, now);
+        self.drain_to_move(&id, pool, now);
         true
     }
 
     /// Lets a worker run dry whose VM is to move.
-    fn empty_to_move(&mut self, id: &WorkerId, to: &str, now: Now) {
-        self.empty(id, Purpose::Move(to.to_owned()), now);
+    fn drain_to_move(&mut self, id: &WorkerId, to: &str, now: Now) {
+        self.start_drain(id, Purpose::Move(to.to_owned()), now);
         let Some(worker) = self.workers.get(id) else { return };
         let load = self.pool_loads.get_mut(&worker.listing.pool);
         if let Some(load) = load {
-            load.leaves(&worker.listing.capacity);
+            load.remove_worker(&worker.listing.capacity);
         }
     }
 
-    fn settle_moves(&mut self, now: Now) {
+    fn finish_moves(&mut self, now: Now) {
         let (vms, workers) = (&self.vms, &self.workers);
-        self.moving.retain(|vm, moving| {
+        self.pending_moves.retain(|vm, moving| {
             let there = vms.get(vm).is_some_and(|vm| {
                 let mut life = vm.worker.iter();
                 vm.pool == moving.to
                     && vm.status == VmStatus::Up
                     && life.all(|life| workers.contains_key(life))
             });
-            let late = now.steady_ms > moving.since_ms + COMING_MS;
+            let late = now.steady_ms > moving.since_ms + MOVE_TIMEOUT_MS;
             !there && !late
         });
     }
@@ -540,9 +549,9 @@
             .values()
             .filter(|vm| self.free_pools.contains(&vm.pool))
             .filter(|vm| vm.status == VmStatus::Up)
-            .filter(|vm| !self.moving.contains_key(&vm.vm))
-            .filter(|vm| !self.is_refused(&vm.vm, pool))
-            .filter(|vm| self.may_order(&vm.vm, now))
+            .filter(|vm| !self.pending_moves.contains_key(&vm.vm))
+            .filter(|vm| !self.is_move_refused(&vm.vm, pool))
+            .filter(|vm| self.may_order_vm(&vm.vm, now))
             .filter(|vm| !self.awaits_maintenance(&vm.vm))
             .map(|vm| vm.vm.clone())
             .next()
@@ -550,7 +559,7 @@
 
     /// Returns the least used worker of a pool that has more VMs than it
     /// should; none that long-running tasks would have to leave.
-    fn spare_elsewhere(
+    fn spare_worker(
         &self,
         pool: &str,
         targets: &BTreeMap<String, u64>,
@@ -583,14 +592,14 @@
             .values()
             .filter(|worker| giving.contains(worker.listing.pool.as_str()))
             .filter(|worker| worker.is_usable() && !worker.keeps_room())
-            .filter(|worker| self.may_order(&worker.listing.vm, now))
-            .filter(|worker| !self.is_refused(&worker.listing.vm, pool))
-            .filter(|worker| !self.serves_for_long(worker))
+            .filter(|worker| self.may_order_vm(&worker.listing.vm, now))
+            .filter(|worker| !self.is_move_refused(&worker.listing.vm, pool))
+            .filter(|worker| !self.runs_long_running_task(worker))
             .min_by_key(|worker| worker.used().cpu_millis)
             .map(|worker| worker.id().clone())
     }
 
-    fn serves_for_long(&self, worker: &Worker) -> bool {
+    fn runs_long_running_task(&self, worker: &Worker) -> bool {
         worker.runs.keys().any(|task| {
             self.jobs
                 .get(&task.job)
@@ -604,7 +613,7 @@
         self.lasting_need(pool).floor_vms.max(self.sizing().least_vms)
     }
 
-    fn may_leave(&self, worker: &Worker, now: Now) -> bool {
+    fn may_switch_off(&self, worker: &Worker, now: Now) -> bool {
         let pool = &worker.listing.pool;
         worker.is_usable()
             && worker.is_settled()
@@ -620,14 +629,14 @@
         let most =
             self.pool_load(pool).workers / self.sizing().leaving_divisor + 1;
         for _ in 0..most {
-            if !self.switch_one_off(pool, now) {
+            if !self.switch_off_one(pool, now) {
                 return;
             }
         }
     }
 
     /// Switches one idle VM of a pool off; returns whether there was one.
-    fn switch_one_off(&mut self, pool: &str, now: Now) -> bool {
+    fn switch_off_one(&mut self, pool: &str, now: Now) -> bool {
         let Some(free) = self.free_pools.first().cloned() else {
             return false;
         };
@@ -635,12 +644,12 @@
             .workers
             .values()
             .filter(|worker| worker.listing.pool == pool)
-            .filter(|worker| self.may_leave(worker, now))
-            .find(|worker| !self.is_refused(&worker.listing.vm, &free));
+            .filter(|worker| self.may_switch_off(worker, now))
+            .find(|worker| !self.is_move_refused(&worker.listing.vm, &free));
         let Some(id) = idle.map(|worker| worker.id().clone()) else {
             return false;
         };
-        self.empty_to_move(&id, &free, now);
+        self.drain_to_move(&id, &free, now);
         true
     }
 
@@ -656,8 +665,8 @@
                 }
                 _ => None,
             })
-            .filter(|(vm, _)| !self.moving.contains_key(vm))
-            .filter(|(vm, _)| self.may_order(vm, now))
+            .filter(|(vm, _)| !self.pending_moves.contains_key(vm))
+            .filter(|(vm, _)| self.may_order_vm(vm, now))
             .collect();
         for (vm, pool) in ready {
             self.order_move(&vm, &pool, now, orders);
@@ -674,19 +683,20 @@
         let to = pool.to_owned();
         let since_ms = now.steady_ms;
         let life = self.worker_on(vm).map(|worker| worker.id().clone());
-        self.moving.insert(vm.to_owned(), Moving { to, since_ms, life });
+        self.pending_moves
+            .insert(vm.to_owned(), PendingMove { to, since_ms, worker: life });
         orders
             .push(VmOrder::Move { vm: vm.to_owned(), pool: pool.to_owned() });
     }
 
-    fn is_refused(&self, vm: &str, pool: &str) -> bool {
+    fn is_move_refused(&self, vm: &str, pool: &str) -> bool {
         self.refused_moves.contains(&(vm.to_owned(), pool.to_owned()))
     }
 
     /// Leaves a VM alone for a moment.
-    fn put_off(&mut self, vm: &str, now: Now) {
-        let until_ms = now.steady_ms + REFUSED_MS;
-        self.vms_from_ms.insert(vm.to_owned(), until_ms);
+    fn postpone_vm_orders(&mut self, vm: &str, now: Now) {
+        let until_ms = now.steady_ms + REFUSED_MOVE_DELAY_MS;
+        self.vm_orders_from_ms.insert(vm.to_owned(), until_ms);
     }
 
     /// Takes in the result of an order to move a VM.
@@ -707,9 +717,9 @@
         if error == VmOrderError::Unknown {
             return;
         }
-        let moving = self.moving.remove(vm);
-        self.keep(moving.and_then(|moving| moving.life));
-        self.put_off(vm, now);
+        let moving = self.pending_moves.remove(vm);
+        self.keep(moving.and_then(|moving| moving.worker));
+        self.postpone_vm_orders(vm, now);
     }
 
     /// Uses a worker again that was to leave.
--- a/crates/dewspar/src/schedule/start_log.rs
+++ b/crates/dewspar/src/schedule/start_log.rs
@@ -185,7 +185,7 @@
             run: state.run,
             worker: worker.to_string(),
             vm: vm.unwrap_or_default(),
-            born_unix_ms: state.told_process.born_unix_ms(),
+            born_unix_ms: state.told_process.started_unix_ms(),
             crashes: state.crashes.count,
             unseen: state.crashes.unseen_on_record(),
         })
@@ -268,7 +268,7 @@
             taken_in |= self.take_in_logged_start(start);
         }
         if taken_in {
-            self.knows_suspects = true;
+            self.has_suspects = true;
             self.start_logs.unstored.insert(id);
             self.mark_changed(id);
         }
@@ -297,7 +297,8 @@
         state.crashes = Crashes::restored(&record);
         state.crashes.may_have_begun = true;
         let born = start.born_unix_ms;
-        let process = born.map_or(Incarnation::UNKNOWN, Incarnation::born_at);
+        let process =
+            born.map_or(Incarnation::UNKNOWN, Incarnation::started_at);
         let told = ToldStart::of(WorkerId::new(&start.worker), process);
         self.note_told_start(start.task, told, &start.vm);
         true
--- a/crates/dewspar/src/schedule/storing.rs
+++ b/crates/dewspar/src/schedule/storing.rs
@@ -170,7 +170,7 @@
     /// it is: once its keys are gone, a later holder would take the run for
     /// one of a job that it hasn't loaded, and renew its lease.
     pub fn take_expired(&mut self, now: Now, most: usize) -> Vec<JobId> {
-        let kept_ms = self.options.kept_ms;
+        let kept_ms = self.options.finished_retention_ms;
         let over = |at: u64| now.unix_ms >= at + kept_ms;
         let expired = self
             .finished
--- a/crates/dewspar/src/schedule/suspects.rs
+++ b/crates/dewspar/src/schedule/suspects.rs
@@ -499,7 +499,7 @@
         if over || done {
             return None;
         }
-        self.knows_suspects = true;
+        self.has_suspects = true;
         let sequence = self.mark_changed(run.task.job);
         let job = self.jobs.get_mut(&run.task.job)?;
         let pool = job.terms.pool.clone();
@@ -617,7 +617,7 @@
         let mut all_are_known = !self.is_loading();
         for task in tasks {
             // Soon it is known whether that start counts.
-            if self.told_starts.contains_key(task) {
+            if self.reported_starts.contains_key(task) {
                 continue;
             }
             let Some(job) = self.jobs.get(&task.job) else { continue };
--- a/crates/dewspar/src/schedule/unseen_starts.rs
+++ b/crates/dewspar/src/schedule/unseen_starts.rs
@@ -94,7 +94,7 @@
             let task = TaskId { job: id, round, step, index };
             let born = record.told_born_unix_ms;
             let process =
-                born.map_or(Incarnation::UNKNOWN, Incarnation::born_at);
+                born.map_or(Incarnation::UNKNOWN, Incarnation::started_at);
             let start = ToldStart::of(WorkerId::new(told), process);
             self.note_told_start(task, start, "");
         }
@@ -111,17 +111,18 @@
         if start.process != Incarnation::UNKNOWN {
             self.note_told_in_doubt(&task, &start.worker, vm);
         }
-        self.told_starts.insert(task, start);
+        self.reported_starts.insert(task, start);
     }
 
     /// Finds out what became of the starts that former holders told of.
     pub(super) fn settle_told_starts(&mut self, now: Now) {
-        let settled = self.told_starts.iter().filter_map(|(task, start)| {
-            let outcome = self.outcome(task, start, now);
-            (outcome != Outcome::Open).then_some((*task, outcome))
-        });
+        let settled =
+            self.reported_starts.iter().filter_map(|(task, start)| {
+                let outcome = self.outcome(task, start, now);
+                (outcome != Outcome::Open).then_some((*task, outcome))
+            });
         for (task, outcome) in settled.collect::<Vec<_>>() {
-            if let Some(start) = self.told_starts.remove(&task) {
+            if let Some(start) = self.reported_starts.remove(&task) {
                 self.settle_start(&task, &start.worker, outcome, now);
             }
         }
@@ -145,8 +146,11 @@
             Some(_) => Outcome::Crashed,
         };
         let here = |_: &TaskId, told: &mut ToldStart| told.worker == *worker;
-        let starts: Vec<TaskId> =
-            self.told_starts.extract_if(.., here).map(|(t, _)| t).collect();
+        let starts: Vec<TaskId> = self
+            .reported_starts
+            .extract_if(.., here)
+            .map(|(t, _)| t)
+            .collect();
         for task in starts {
             self.settle_start(&task, worker, outcome, now);
         }
@@ -154,7 +158,7 @@
 
     fn outcome(&self, task: &TaskId, start: &ToldStart, now: Now) -> Outcome {
         let Some(told) = self.workers.get(&start.worker) else {
-            let known = self.lives_known;
+            let known = self.workers_known;
             return if known { Outcome::Crashed } else { Outcome::Open };
         };
         if told.runs.contains_key(task) {
@@ -218,7 +222,7 @@
         crashes: Crashes,
         now: Now,
     ) {
-        self.knows_suspects = true;
+        self.has_suspects = true;
         self.note(Decision::Suspected {
             task: *task,
             worker: worker.clone(),
@@ -242,14 +246,14 @@
             matches!(vm.status, VmStatus::Moving | VmStatus::Maintenance)
                 || vm.pool != lost.pool
         });
-        changes || self.was_ordered_before(&lost.vm, now)
+        changes || self.was_ordered_by_former(&lost.vm, now)
     }
 
     /// Notes that a worker may have crashed under starts of former holders.
     pub(super) fn note_unheard_loss(&mut self, lost: &UnheardLoss) {
-        *self.unheard_losses.entry(lost.pool.clone()).or_insert(0) += 1;
+        *self.unreported_losses.entry(lost.pool.clone()).or_insert(0) += 1;
         self.uncounted_pools.insert(lost.pool.clone());
-        self.knows_suspects = true;
+        self.has_suspects = true;
     }
 
     /// Returns whether a former holder may have started a task on a worker
@@ -271,7 +275,7 @@
         if !self.uncounted_pools.contains(pool) {
             return 0;
         }
-        let lost = self.unheard_losses.get(pool);
+        let lost = self.unreported_losses.get(pool);
         let starts = lost.map_or(0, |lost| (*lost).min(MOST_UNSEEN));
         let counted = task.crashes.only_unheard();
         let waits = task.run == task.ended_run;
--- a/crates/dewspar/src/schedule/duty.rs
+++ b/crates/dewspar/src/schedule/vm_orders.rs
@@ -79,7 +79,7 @@
 
 impl OrdersByIssuer {
     /// Returns whether an order is of these.
-    fn take(&self, order: &RecentVmOrder) -> bool {
+    fn includes(&self, order: &RecentVmOrder) -> bool {
         self.by == order.by && self.other == order.other
     }
 }
@@ -88,7 +88,7 @@
     fn from(vms: OrderedVms) -> Vec<OrdersByIssuer> {
         let mut orders: Vec<OrdersByIssuer> = Vec::new();
         for (vm, order) in vms.0 {
-            match orders.iter_mut().find(|orders| orders.take(&order)) {
+            match orders.iter_mut().find(|orders| orders.includes(&order)) {
                 Some(orders) => {
                     orders.ages_ms.insert(vm, order.age_ms);
                 }
@@ -135,20 +135,20 @@
     /// carried out whoever sends them.
     pub fn plan_vms(&mut self, now: Now) -> Vec<VmOrder> {
         let mut orders = Vec::new();
-        let hindrance = self.hindrance(now);
-        self.tell_waves(hindrance, now);
-        if hindrance.is_some() {
+        let vm_order_blocker = self.vm_order_blocker(now);
+        self.report_waves(vm_order_blocker, now);
+        if vm_order_blocker.is_some() {
             // What leaves workers that are about to end needs no order to the
             // VM service.
             if self.knows_what_runs() && !self.may_be_superseded() {
-                self.empty_workers(now);
+                self.drain_workers(now);
             }
             return orders;
         }
         self.measure_pools(now);
-        self.maintain(now, &mut orders);
+        self.plan_maintenance(now, &mut orders);
         self.size_pools(now, &mut orders);
-        self.empty_workers(now);
+        self.drain_workers(now);
         for order in &orders {
             if let VmOrder::Maintain { vm, .. } | VmOrder::Move { vm, .. } =
                 order
@@ -160,7 +160,7 @@
     }
 
     /// Returns why nothing is ordered of the VM service, if so.
-    fn hindrance(&self, now: Now) -> Option<&'static str> {
+    fn vm_order_blocker(&self, now: Now) -> Option<&'static str> {
         let newest = self.vms_asked_ms + self.options.vm_list_age_ms;
         if self.may_be_superseded() {
             return Some("a worker has seen a newer holder");
@@ -184,8 +184,9 @@
     ) -> OrderedVms {
         let gap_ms = self.options.duty_gap_ms;
         self.ordered_vms.retain(|_, at| now.steady_ms <= *at + gap_ms);
-        self.inherited_vms.retain(|_, order| now.steady_ms < order.until_ms);
-        let inherited = self.inherited_vms.iter().map(|(vm, order)| {
+        self.inherited_orders
+            .retain(|_, order| now.steady_ms < order.until_ms);
+        let inherited = self.inherited_orders.iter().map(|(vm, order)| {
             let InheritedOrder { by, until_ms, other } = order.clone();
             let left_ms = until_ms.saturating_sub(now.steady_ms);
             let age_ms = gap_ms.saturating_sub(left_ms);
@@ -204,7 +205,7 @@
     /// just has; `None` stands for all.
     ///
     /// Those that an earlier process of `holder`'s node ordered are free.
-    pub fn leave_vms_alone(
+    pub fn hold_off_vm_orders(
         &mut self,
         now: Now,
         holder: &OrderIssuer,
@@ -212,7 +213,7 @@
     ) {
         let gap_ms = self.options.duty_gap_ms;
         let Some(vms) = vms else {
-            self.all_vms_from_ms = now.steady_ms + gap_ms;
+            self.all_vm_orders_from_ms = now.steady_ms + gap_ms;
             return;
         };
         for (vm, RecentVmOrder { by, age_ms, other }) in vms.0 {
@@ -220,21 +221,21 @@
                 continue;
             }
             let until_ms = now.steady_ms + gap_ms - age_ms;
-            self.vms_from_ms.insert(vm.clone(), until_ms);
+            self.vm_orders_from_ms.insert(vm.clone(), until_ms);
             let order = InheritedOrder { by, until_ms, other };
-            self.inherited_vms.insert(vm, order);
+            self.inherited_orders.insert(vm, order);
         }
     }
 
     /// Returns whether a former holder ordered a change of a VM of late.
-    pub(super) fn was_ordered_before(&self, vm: &str, now: Now) -> bool {
-        let inherited = self.inherited_vms.get(vm);
+    pub(super) fn was_ordered_by_former(&self, vm: &str, now: Now) -> bool {
+        let inherited = self.inherited_orders.get(vm);
         inherited.is_some_and(|order| now.steady_ms < order.until_ms)
     }
 
     /// Returns whether changes of a VM may be ordered.
-    pub(super) fn may_order(&self, vm: &str, now: Now) -> bool {
-        let from_ms = self.vms_from_ms.get(vm).copied().unwrap_or(0);
-        now.steady_ms >= from_ms.max(self.all_vms_from_ms)
+    pub(super) fn may_order_vm(&self, vm: &str, now: Now) -> bool {
+        let from_ms = self.vm_orders_from_ms.get(vm).copied().unwrap_or(0);
+        now.steady_ms >= from_ms.max(self.all_vm_orders_from_ms)
     }
 }
--- a/crates/dewspar/src/schedule/wave_account.rs
+++ b/crates/dewspar/src/schedule/wave_progress.rs
@@ -11,7 +11,7 @@
     job::TaskId,
     schedule::{
         Decision, ManagedVm, Now, Scheduler, VmStatus,
-        wave_choice::{CALM_PERCENT, WavePace},
+        wave_selection::{QUIET_POOL_PERCENT, WavePace},
         wave_state::WaveState,
         worker::{Purpose, RunState, Worker},
     },
@@ -19,14 +19,14 @@
 
 /// How often a wave is told of while it goes on, in milliseconds: often
 /// enough to see each VM, which takes some seconds.
-const TOLD_EVERY_MS: u64 = 1_000;
+const REPORT_INTERVAL_MS: u64 = 1_000;
 
 /// How often a wave is told of whose time is over, in milliseconds.
-const LATE_TOLD_EVERY_MS: u64 = 10_000;
+const LATE_REPORT_INTERVAL_MS: u64 = 10_000;
 
 /// How many waves a look tells of, so that many at once don't fill the log;
 /// the next looks go on with the others.
-const TOLD_A_LOOK: usize = 2;
+const REPORTS_PER_PASS: usize = 2;
 
 /// Whether the time of a wave is over.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -53,9 +53,9 @@
     /// How many more may go down at once.
     pub room: usize,
     /// How often it was looked at since it was told of last.
-    pub looks: u32,
+    pub passes: u32,
     /// Why nothing is ordered of the VM service now, if so.
-    pub hindrance: Option<&'static str>,
+    pub blocker: Option<&'static str>,
     /// By what VMs are chosen.
     pub pace: WavePace,
     /// What keeps those that are left.
@@ -142,34 +142,34 @@
 /// When a wave was last told of.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct WaveReports {
-    told_ms: u64,
+    last_ms: u64,
     /// Whether it was told that its time is over.
-    over: bool,
+    reported_late: bool,
     /// How often the wave was looked at since.
-    looks: u32,
+    passes: u32,
 }
 
 impl WaveReports {
     /// Returns what of the wave's time is to be told now, if anything.
     fn due(&self, end_ms: u64, now_ms: u64) -> Option<WaveDeadline> {
-        let time = match (now_ms >= end_ms, self.over) {
+        let time = match (now_ms >= end_ms, self.reported_late) {
             (false, _) => WaveDeadline::Ahead,
             (true, false) => return Some(WaveDeadline::Passed),
             (true, true) => WaveDeadline::LongPassed,
         };
         let every_ms = match time {
-            WaveDeadline::LongPassed => LATE_TOLD_EVERY_MS,
-            WaveDeadline::Ahead | WaveDeadline::Passed => TOLD_EVERY_MS,
+            WaveDeadline::LongPassed => LATE_REPORT_INTERVAL_MS,
+            WaveDeadline::Ahead | WaveDeadline::Passed => REPORT_INTERVAL_MS,
         };
-        (now_ms >= self.told_ms + every_ms).then_some(time)
+        (now_ms >= self.last_ms + every_ms).then_some(time)
     }
 }
 
 impl Scheduler {
     /// Tells what keeps the VMs of waves, where that is due.
-    pub(super) fn tell_waves(
+    pub(super) fn report_waves(
         &mut self,
-        hindrance: Option<&'static str>,
+        blocker: Option<&'static str>,
         now: Now,
     ) {
         let mut due: Vec<(u64, WaveDeadline)> = Vec::new();
@@ -177,49 +177,49 @@
             if state.completed {
                 continue;
             }
-            state.told.looks += 1;
-            let time = state.told.due(state.end_ms, now.steady_ms);
+            state.reports.passes += 1;
+            let time = state.reports.due(state.end_ms, now.steady_ms);
             due.extend(time.map(|time| (*wave, time)));
         }
-        for (wave, time) in due.into_iter().take(TOLD_A_LOOK) {
-            self.tell_wave(wave, time, hindrance, now);
+        for (wave, time) in due.into_iter().take(REPORTS_PER_PASS) {
+            self.report_wave(wave, time, blocker, now);
         }
     }
 
-    fn tell_wave(
+    fn report_wave(
         &mut self,
         wave: u64,
         time: WaveDeadline,
-        hindrance: Option<&'static str>,
+        blocker: Option<&'static str>,
         now: Now,
     ) {
         let Some(state) = self.waves.get(&wave) else { return };
-        let account = self.wave_account(wave, state, time, hindrance, now);
+        let progress = self.wave_progress(wave, state, time, blocker, now);
         let Some(state) = self.waves.get_mut(&wave) else { return };
-        state.told = WaveReports {
-            told_ms: now.steady_ms,
-            over: time != WaveDeadline::Ahead,
-            looks: 0,
+        state.reports = WaveReports {
+            last_ms: now.steady_ms,
+            reported_late: time != WaveDeadline::Ahead,
+            passes: 0,
         };
-        self.note(Decision::WaveProgress { wave, progress: account });
+        self.note(Decision::WaveProgress { wave, progress });
     }
 
-    fn wave_account(
+    fn wave_progress(
         &self,
         wave: u64,
         state: &WaveState,
         time: WaveDeadline,
-        hindrance: Option<&'static str>,
+        blocker: Option<&'static str>,
         now: Now,
     ) -> WaveProgress {
         let workers = self.workers_by_vm();
-        let room = state.room(|vm| self.may_be_down(vm, now));
+        let room = state.allowance(|vm| self.may_be_down(vm, now));
         let pace = self.wave_pace(wave, state, now);
-        let look = Look { wave, state, room, pace, now };
+        let view = WaveView { wave, state, room, pace, now };
         let mut left = RemainingVms::default();
         for vm in state.remaining() {
             let worker = workers.get(vm.as_str()).copied();
-            *self.count_of(&look, vm, worker, &mut left) += 1;
+            *self.counter_for(&view, vm, worker, &mut left) += 1;
         }
         let vms = state.request.vms.len();
         WaveProgress {
@@ -228,23 +228,23 @@
             begun: vms.saturating_sub(left.total()),
             down: state.down.len(),
             room,
-            looks: state.told.looks,
-            hindrance,
+            passes: state.reports.passes,
+            blocker,
             pace,
             left,
         }
     }
 
     /// Returns under what a VM that is left is counted.
-    fn count_of<'a>(
+    fn counter_for<'a>(
         &self,
-        look: &Look,
+        view: &WaveView,
         vm: &str,
         worker: Option<&Worker>,
         left: &'a mut RemainingVms,
     ) -> &'a mut usize {
         let Some(known) = self.vms.get(vm) else { return &mut left.unlisted };
-        if look.state.is_ordered(vm) {
+        if view.state.is_ordered(vm) {
             return &mut left.ordered;
         }
         match known.status {
@@ -252,19 +252,20 @@
             VmStatus::Moving => return &mut left.moving,
             VmStatus::Maintenance | VmStatus::Down => return &mut left.down,
         }
-        if !self.may_order(vm, look.now) || look.state.is_waiting(vm, look.now)
+        if !self.may_order_vm(vm, view.now)
+            || view.state.in_retry_delay(vm, view.now)
         {
             return &mut left.left_alone;
         }
         match worker {
-            Some(worker) => self.count_of_worker(look, worker, left),
-            None => count_without_worker(look, known, left),
+            Some(worker) => self.counter_for_worker(view, worker, left),
+            None => counter_without_worker(view, known, left),
         }
     }
 
-    fn count_of_worker<'a>(
+    fn counter_for_worker<'a>(
         &self,
-        look: &Look,
+        view: &WaveView,
         worker: &Worker,
         left: &'a mut RemainingVms,
     ) -> &'a mut usize {
@@ -272,81 +273,88 @@
             return &mut left.silent;
         }
         match &worker.emptying {
-            None => self.count_of_unchosen(look, worker, left),
-            Some(Purpose::Maintenance(wave)) if *wave == look.wave => {
-                self.count_of_emptied(look, worker, left)
+            None => self.counter_for_unselected(view, worker, left),
+            Some(Purpose::Maintenance(wave)) if *wave == view.wave => {
+                self.counter_for_draining(view, worker, left)
             }
             Some(_) => &mut left.moving,
         }
     }
 
-    fn count_of_unchosen<'a>(
+    fn counter_for_unselected<'a>(
         &self,
-        look: &Look,
+        view: &WaveView,
         worker: &Worker,
         left: &'a mut RemainingVms,
     ) -> &'a mut usize {
-        let pace = &look.pace;
+        let pace = &view.pace;
         let percent = || self.pool_percent_without(&worker.listing.pool, 1);
         if pace.under_way >= pace.parallel {
             &mut left.parallel
-        } else if pace.may_wait && percent() > CALM_PERCENT {
+        } else if pace.may_wait && percent() > QUIET_POOL_PERCENT {
             &mut left.calm
         } else {
             &mut left.next
         }
     }
 
-    fn count_of_emptied<'a>(
+    fn counter_for_draining<'a>(
         &self,
-        look: &Look,
+        view: &WaveView,
         worker: &Worker,
         left: &'a mut RemainingVms,
     ) -> &'a mut usize {
         if worker.is_settled() {
-            return if look.room == 0 {
+            return if view.room == 0 {
                 &mut left.max_down
             } else {
                 &mut left.ready
             };
         }
-        let kept = worker
+        let blocker = worker
             .runs
             .iter()
             .map(|(task, run)| match run.state {
-                RunState::Running => self.kept_by(task, worker, look.now),
-                RunState::Starting | RunState::Stopping(_) => Kept::Stopping,
+                RunState::Running => self.run_blocker(task, worker, view.now),
+                RunState::Starting | RunState::Stopping(_) => {
+                    RunBlocker::Stopping
+                }
             })
             .min();
-        match kept {
-            Some(Kept::Place) => &mut left.place,
-            Some(Kept::Step) => &mut left.step,
-            Some(Kept::Settling) => &mut left.settling,
-            Some(Kept::Short) => &mut left.short,
-            Some(Kept::Stopping) => &mut left.stopping,
+        match blocker {
+            Some(RunBlocker::Place) => &mut left.place,
+            Some(RunBlocker::Step) => &mut left.step,
+            Some(RunBlocker::Settling) => &mut left.settling,
+            Some(RunBlocker::Short) => &mut left.short,
+            Some(RunBlocker::Stopping) => &mut left.stopping,
             None if worker.has_ends_to_store() => &mut left.unstored,
             None => &mut left.untold,
         }
     }
 
     /// Returns why a run at work hasn't left its worker.
-    fn kept_by(&self, task: &TaskId, worker: &Worker, now: Now) -> Kept {
+    fn run_blocker(
+        &self,
+        task: &TaskId,
+        worker: &Worker,
+        now: Now,
+    ) -> RunBlocker {
         let job = self.jobs.get(&task.job);
         let Some(spec) = job.and_then(|job| job.step_spec(task)) else {
-            return Kept::Stopping;
+            return RunBlocker::Stopping;
         };
         if !spec.long_running {
-            return Kept::Short;
+            return RunBlocker::Short;
         }
         if now.steady_ms < self.taken_over_ms + self.options.stop_settle_ms {
-            return Kept::Settling;
+            return RunBlocker::Settling;
         }
-        if self.is_kept_by_step(task, worker.id()) {
-            Kept::Step
-        } else if self.has_other_place(task, worker.id(), now) {
-            Kept::Stopping
+        if self.is_step_at_limit(task, worker.id()) {
+            RunBlocker::Step
+        } else if self.has_alternative_worker(task, worker.id(), now) {
+            RunBlocker::Stopping
         } else {
-            Kept::Place
+            RunBlocker::Place
         }
     }
 }
@@ -354,7 +362,7 @@
 /// Why a run is still on a worker that is emptied; of several on one worker,
 /// the first in this order counts.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-enum Kept {
+enum RunBlocker {
     Place,
     Step,
     Settling,
@@ -363,7 +371,7 @@
 }
 
 /// One look at a wave.
-struct Look<'a> {
+struct WaveView<'a> {
     wave: u64,
     state: &'a WaveState,
     room: usize,
@@ -371,14 +379,14 @@
     now: Now,
 }
 
-fn count_without_worker<'a>(
-    look: &Look,
+fn counter_without_worker<'a>(
+    view: &WaveView,
     known: &ManagedVm,
     left: &'a mut RemainingVms,
 ) -> &'a mut usize {
     if known.worker.is_some() {
         &mut left.unknown
-    } else if look.room == 0 {
+    } else if view.room == 0 {
         &mut left.max_down
     } else {
         &mut left.ready
--- a/crates/dewspar/src/schedule/wave_choice.rs
+++ b/crates/dewspar/src/schedule/wave_selection.rs
@@ -31,27 +31,27 @@
 
 /// How long a VM takes from being chosen to being back, in milliseconds:
 /// short tasks to their end, the maintenance itself, and the directory.
-const CYCLE_MS: u64 = 6_000;
+const VM_CYCLE_MS: u64 = 6_000;
 
 /// How much of a pool may be in use for its VMs to be taken while there is
 /// time to wait, in hundredths.
-pub(super) const CALM_PERCENT: u64 = 70;
+pub(super) const QUIET_POOL_PERCENT: u64 = 70;
 
 /// How much more time than needed there must be to wait for a calm pool.
-const SLACK: u64 = 2;
+const SLACK_FACTOR: u64 = 2;
 
 /// The longest time between two looks that is made up for, in milliseconds:
 /// what is due after a longer one would leave the pools all at once.
-const LONGEST_GAP_MS: u64 = 1_000;
+const MAX_CATCH_UP_MS: u64 = 1_000;
 
 /// How long a VM with tasks that are to last takes to be emptied, in
 /// milliseconds: some six of them stop within a second each, some at a time.
-const LASTING_MS: u64 = 4_000;
+const LONG_RUNNING_DRAIN_MS: u64 = 4_000;
 
 /// How many such VMs of a pool are looked at for one that can be emptied, at
 /// each look: what each of its tasks could go to is looked for among all
 /// workers of the pool.
-const LASTING_TRIES: usize = 4;
+const MAX_CANDIDATES: usize = 4;
 
 /// By what the VMs of a wave are chosen.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -72,33 +72,33 @@
 
 /// The workers of one pool that may be chosen.
 #[derive(Default)]
-struct PoolChoice<'a> {
+struct PoolCandidates<'a> {
     /// Those that are left, the next one last.
     workers: Vec<&'a Worker>,
     /// Those of them that hold tasks that are to last, the next one first.
-    lasting: Vec<&'a Worker>,
+    long_running: Vec<&'a Worker>,
     /// How many such workers are being emptied.
-    lasting_under_way: u64,
+    long_running_under_way: u64,
     /// How many were chosen at this look.
-    chosen: u64,
+    selected: u64,
 }
 
 impl Scheduler {
     /// Begins to empty more workers, as many as the time left asks for.
-    pub(super) fn empty_more(&mut self, wave: u64, now: Now) {
+    pub(super) fn drain_more(&mut self, wave: u64, now: Now) {
         let Some(state) = self.waves.get(&wave) else { return };
-        let chosen = self.chosen_for(wave, state, now);
-        for id in &chosen {
-            self.empty(id, Purpose::Maintenance(wave), now);
+        let selected = self.select_workers(wave, state, now);
+        for id in &selected {
+            self.start_drain(id, Purpose::Maintenance(wave), now);
         }
         // Once all are chosen, so that no place is kept on one of them, and before
         // the pools are sized: the place for which a VM was chosen went to another
         // pool in the same look, and the VM was emptied all through the wave.
-        for id in &chosen {
-            self.empty_worker(id, now);
+        for id in &selected {
+            self.drain_worker(id, now);
         }
         if let Some(state) = self.waves.get_mut(&wave) {
-            state.chosen_ms = now.steady_ms;
+            state.selected_ms = now.steady_ms;
         }
     }
 
@@ -109,16 +109,16 @@
         state: &WaveState,
         now: Now,
     ) -> WavePace {
-        let left_ms = state.left_ms(now);
+        let left_ms = state.remaining_ms(now);
         let left = state.remaining().count() as u64;
-        let needed_ms = left * CYCLE_MS;
+        let needed_ms = left * VM_CYCLE_MS;
         let parallel = needed_ms.div_ceil(left_ms);
         let most = state.request.max_down;
         let parallel = usize::try_from(parallel).unwrap_or(most);
         let parallel = parallel.clamp(1, most.max(1));
-        let under_way = state.down.len() + self.emptying_for(wave, state);
-        let gap_ms = now.steady_ms.saturating_sub(state.chosen_ms);
-        let due = (left * gap_ms.min(LONGEST_GAP_MS)).div_ceil(left_ms);
+        let under_way = state.down.len() + self.draining_count(wave, state);
+        let gap_ms = now.steady_ms.saturating_sub(state.selected_ms);
+        let due = (left * gap_ms.min(MAX_CATCH_UP_MS)).div_ceil(left_ms);
         let due = usize::try_from(due.max(1)).unwrap_or(most);
         WavePace {
             left_ms,
@@ -126,12 +126,12 @@
             parallel,
             under_way,
             due: due.min(parallel.saturating_sub(under_way)),
-            may_wait: needed_ms * SLACK < left_ms * parallel as u64,
+            may_wait: needed_ms * SLACK_FACTOR < left_ms * parallel as u64,
         }
     }
 
     /// Counts the workers that are being emptied and aren't down yet.
-    fn emptying_for(&self, wave: u64, state: &WaveState) -> usize {
+    fn draining_count(&self, wave: u64, state: &WaveState) -> usize {
         let purpose = Some(Purpose::Maintenance(wave));
         let emptying = self.workers.values().filter(|worker| {
             worker.emptying == purpose
@@ -141,21 +141,21 @@
     }
 
     /// Chooses the workers that are emptied now.
-    fn chosen_for(
+    fn select_workers(
         &self,
         wave: u64,
         state: &WaveState,
         now: Now,
     ) -> Vec<WorkerId> {
         let pace = self.wave_pace(wave, state, now);
-        let mut chosen = Vec::new();
-        let mut pools: BTreeMap<&str, PoolChoice> = BTreeMap::new();
+        let mut selected = Vec::new();
+        let mut pools: BTreeMap<&str, PoolCandidates> = BTreeMap::new();
         for worker in self.workers.values() {
             let vm = &worker.listing.vm;
             if worker.emptying == Some(Purpose::Maintenance(wave)) {
                 let pool = pools.entry(&worker.listing.pool).or_default();
-                pool.lasting_under_way +=
-                    u64::from(self.holds_lasting(worker));
+                pool.long_running_under_way +=
+                    u64::from(self.has_long_running_task(worker));
             }
             let eligible = worker.emptying.is_none()
                 && !worker.keeps_room()
@@ -168,7 +168,7 @@
             // One that was ordered takes the room of others until another
             // order shows whether the first was carried out.
             if state.is_ordered(vm) {
-                chosen.push(worker.id().clone());
+                selected.push(worker.id().clone());
                 continue;
             }
             let pool = pools.entry(&worker.listing.pool).or_default();
@@ -176,73 +176,79 @@
         }
         for pool in pools.values_mut() {
             pool.workers.sort_by_key(|worker| worker.used().cpu_millis);
-            let lasting = pool.workers.iter().copied();
-            pool.lasting = lasting.filter(|w| self.holds_lasting(w)).collect();
+            let long_running = pool.workers.iter().copied();
+            pool.long_running = long_running
+                .filter(|w| self.has_long_running_task(w))
+                .collect();
             pool.workers.reverse();
         }
         let mut due = pace.due;
         for pool in pools.values_mut().take(due) {
-            if let Some(worker) = self.next_lasting(pool, pace.left_ms, now) {
-                chosen.push(worker.id().clone());
+            if let Some(worker) =
+                self.next_long_running(pool, pace.left_ms, now)
+            {
+                selected.push(worker.id().clone());
                 due -= 1;
             }
         }
         for _ in 0..due {
-            let Some(worker) = self.next_of(&mut pools, pace.may_wait) else {
+            let Some(worker) = self.next_worker(&mut pools, pace.may_wait)
+            else {
                 break;
             };
-            chosen.push(worker.id().clone());
+            selected.push(worker.id().clone());
         }
-        chosen
+        selected
     }
 
     /// Takes the next worker out of the pool that misses one least.
-    fn next_of<'a>(
+    fn next_worker<'a>(
         &self,
-        pools: &mut BTreeMap<&'a str, PoolChoice<'a>>,
+        pools: &mut BTreeMap<&'a str, PoolCandidates<'a>>,
         may_wait: bool,
     ) -> Option<&'a Worker> {
         let left = pools.iter_mut().filter(|(_, p)| !p.workers.is_empty());
         let percents = left.map(|(pool, choice)| {
-            (self.pool_percent_without(pool, choice.chosen + 1), choice)
+            (self.pool_percent_without(pool, choice.selected + 1), choice)
         });
         let (percent, choice) =
             percents.min_by_key(|(percent, _)| *percent)?;
-        if may_wait && percent > CALM_PERCENT {
+        if may_wait && percent > QUIET_POOL_PERCENT {
             return None;
         }
-        choice.chosen += 1;
+        choice.selected += 1;
         choice.workers.pop()
     }
 
     /// Takes a worker with tasks that are to last out of its pool, if one is
     /// due and its tasks can leave now.
-    fn next_lasting<'a>(
+    fn next_long_running<'a>(
         &self,
-        pool: &mut PoolChoice<'a>,
+        pool: &mut PoolCandidates<'a>,
         left_ms: u64,
         now: Now,
     ) -> Option<&'a Worker> {
-        let left = pool.lasting.len() as u64 + pool.lasting_under_way;
-        let parallel = (left * LASTING_MS).div_ceil(left_ms);
-        if pool.lasting_under_way >= parallel {
+        let left =
+            pool.long_running.len() as u64 + pool.long_running_under_way;
+        let parallel = (left * LONG_RUNNING_DRAIN_MS).div_ceil(left_ms);
+        if pool.long_running_under_way >= parallel {
             return None;
         }
-        let tried = pool.lasting.iter().take(LASTING_TRIES);
+        let tried = pool.long_running.iter().take(MAX_CANDIDATES);
         let worker = tried
             .copied()
-            .find(|worker| self.may_leave_for_good(worker, now))?;
+            .find(|worker| self.can_move_for_good(worker, now))?;
         pool.workers.retain(|other| other.id() != worker.id());
-        pool.chosen += 1;
+        pool.selected += 1;
         Some(worker)
     }
 
     /// Returns whether a worker holds a task that is to last.
-    fn holds_lasting(&self, worker: &Worker) -> bool {
-        worker.runs.keys().any(|task| self.is_to_last(task))
+    fn has_long_running_task(&self, worker: &Worker) -> bool {
+        worker.runs.keys().any(|task| self.is_long_running(task))
     }
 
-    fn is_to_last(&self, task: &TaskId) -> bool {
+    fn is_long_running(&self, task: &TaskId) -> bool {
         let job = self.jobs.get(&task.job);
         let spec = job.and_then(|job| job.step_spec(task));
         spec.is_some_and(|spec| spec.long_running)
@@ -250,15 +256,15 @@
 
     /// Returns whether each task that is to last can leave a worker now, for a
     /// VM that it won't have to leave again.
-    fn may_leave_for_good(&self, worker: &Worker, now: Now) -> bool {
+    fn can_move_for_good(&self, worker: &Worker, now: Now) -> bool {
         let stays = |id: &WorkerId| {
             let place = self.workers.get(id);
             place.is_some_and(|p| !self.awaits_maintenance(&p.listing.vm))
         };
-        let mut lasting =
-            worker.runs.keys().filter(|task| self.is_to_last(task));
-        lasting.all(|task| {
-            !self.is_kept_by_step(task, worker.id())
+        let mut long_running =
+            worker.runs.keys().filter(|task| self.is_long_running(task));
+        long_running.all(|task| {
+            !self.is_step_at_limit(task, worker.id())
                 && self.place_for(task, now).is_some_and(stays)
         })
     }
--- a/crates/dewspar/src/schedule/wave_state.rs
+++ b/crates/dewspar/src/schedule/wave_state.rs
@@ -5,14 +5,14 @@
 use {
     crate::schedule::{
         ManagedVm, Now, VmOrderError, VmStatus, WaveRecord, WaveRequest,
-        wave_account::WaveReports,
+        wave_progress::WaveReports,
     },
     std::collections::{BTreeMap, HashSet},
 };
 
 /// What is kept of a wave's time for what doesn't go as planned, in
 /// milliseconds.
-const RESERVE_MS: u64 = 4_000;
+const DEADLINE_MARGIN_MS: u64 = 4_000;
 
 /// How long an order to the VM service waits before it is sent again, in
 /// milliseconds.
@@ -20,7 +20,7 @@
 
 /// How long a VM must be missing from the list of VMs to count as gone for
 /// good, in milliseconds: several readings of the list.
-const MISSING_MS: u64 = 3_000;
+const GONE_AFTER_MS: u64 = 3_000;
 
 /// How far a wave has come.
 #[derive(Debug)]
@@ -33,23 +33,23 @@
     /// When it ends, on the steady clock.
     pub(super) end_ms: u64,
     /// When VMs were chosen last.
-    pub(super) chosen_ms: u64,
+    pub(super) selected_ms: u64,
     /// The VMs that are down for it, each with since when.
     pub(super) down: BTreeMap<String, u64>,
     /// The VMs with an order that isn't known to be done.
-    pub(super) ordered: BTreeMap<String, Ordered>,
+    pub(super) ordered: BTreeMap<String, MaintenanceOrder>,
     /// The VMs that aren't in the list of VMs, each with since when.
     pub(super) missing: BTreeMap<String, u64>,
     /// Whether this holder has told the operator that it runs.
     pub(super) reported: bool,
     /// When it was last told of.
-    pub(super) told: WaveReports,
+    pub(super) reports: WaveReports,
     pub(super) completed: bool,
 }
 
 /// An order to take a VM down.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Ordered {
+pub(super) struct MaintenanceOrder {
     /// When it was sent last.
     pub(super) sent_ms: u64,
     /// Whether the last one has no answer yet.
@@ -58,9 +58,9 @@
     pub(super) maybe_done: bool,
 }
 
-impl Ordered {
+impl MaintenanceOrder {
     /// Returns whether the VM may be down, or go down, by such an order.
-    pub(super) fn takes_room(&self) -> bool {
+    pub(super) fn may_take_effect(&self) -> bool {
         self.under_way || self.maybe_done
     }
 }
@@ -76,18 +76,21 @@
     }
 
     /// Returns the time left for choosing VMs.
-    pub(super) fn left_ms(&self, now: Now) -> u64 {
-        self.end_ms.saturating_sub(now.steady_ms + RESERVE_MS).max(1)
+    pub(super) fn remaining_ms(&self, now: Now) -> u64 {
+        self.end_ms.saturating_sub(now.steady_ms + DEADLINE_MARGIN_MS).max(1)
     }
 
     /// Returns how many more VMs may go down.
-    pub(super) fn room(&self, may_be_down: impl Fn(&str) -> bool) -> usize {
+    pub(super) fn allowance(
+        &self,
+        may_be_down: impl Fn(&str) -> bool,
+    ) -> usize {
         let others = self.request.vms.iter().filter(|name| {
             !self.down.contains_key(*name)
                 && !self.is_ordered(name)
                 && may_be_down(name)
         });
-        let ordered = self.ordered.values().filter(|o| o.takes_room());
+        let ordered = self.ordered.values().filter(|o| o.may_take_effect());
         let down = self.down.len() + ordered.count() + others.count();
         self.request.max_down.saturating_sub(down)
     }
@@ -95,15 +98,16 @@
     /// Returns whether a VM may be down, or go down, by an order of this
     /// holder, and so takes room already.
     pub(super) fn is_ordered(&self, vm: &str) -> bool {
-        self.ordered.get(vm).is_some_and(Ordered::takes_room)
+        self.ordered.get(vm).is_some_and(MaintenanceOrder::may_take_effect)
     }
 
     /// Notes that an order is sent.
     pub(super) fn order(&mut self, vm: &str, now: Now) {
         let before = self.ordered.get(vm);
-        let maybe_done = before.is_some_and(Ordered::takes_room);
+        let maybe_done = before.is_some_and(MaintenanceOrder::may_take_effect);
         let sent_ms = now.steady_ms;
-        let ordered = Ordered { sent_ms, under_way: true, maybe_done };
+        let ordered =
+            MaintenanceOrder { sent_ms, under_way: true, maybe_done };
         self.ordered.insert(vm.to_owned(), ordered);
     }
 
@@ -116,14 +120,14 @@
     }
 
     /// Returns whether an order for the VM is under way.
-    pub(super) fn is_waiting(&self, vm: &str, now: Now) -> bool {
+    pub(super) fn in_retry_delay(&self, vm: &str, now: Now) -> bool {
         self.ordered
             .get(vm)
             .is_some_and(|last| now.steady_ms < last.sent_ms + ORDER_RETRY_MS)
     }
 
     /// Notes which VMs are back.
-    pub(super) fn settle(
+    pub(super) fn update(
         &mut self,
         asked_ms: u64,
         vms: &BTreeMap<String, ManagedVm>,
@@ -135,12 +139,12 @@
             // An older list may still show it as it was before.
             !(back && asked_ms > *since_ms)
         });
-        self.note_missing(asked_ms, vms);
+        self.mark_missing(asked_ms, vms);
     }
 
     /// Takes VMs that have been missing from the list for a while as gone:
     /// there is nothing left to maintain.
-    fn note_missing(
+    fn mark_missing(
         &mut self,
         asked_ms: u64,
         vms: &BTreeMap<String, ManagedVm>,
@@ -153,7 +157,7 @@
             .collect();
         for vm in missing {
             let since_ms = *self.missing.entry(vm.clone()).or_insert(asked_ms);
-            if asked_ms >= since_ms + MISSING_MS {
+            if asked_ms >= since_ms + GONE_AFTER_MS {
                 self.ordered.remove(&vm);
                 self.record.done.insert(vm);
             }
--- a/crates/dewspar/src/schedule/write_ahead.rs
+++ b/crates/dewspar/src/schedule/write_ahead.rs
@@ -253,7 +253,7 @@
         let here = worker.and_then(|worker| worker.runs.get(task));
         if here.is_some_and(|here| here.run == start.run) {
             self.note_suspect_over(task);
-            self.free_run(task, &start.worker, now);
+            self.release_run(task, &start.worker, now);
         }
     }
 }
--- a/crates/dewspar/tests/newer_fields.rs
+++ b/crates/dewspar/tests/newer_fields.rs
@@ -107,7 +107,7 @@
 
     let mut scheduler = Scheduler::new(7, Options::default());
     let holder = OrderIssuer { node: "n2".to_owned(), incarnation: 1 };
-    scheduler.leave_vms_alone(NOW, &holder, Some(read));
+    scheduler.hold_off_vm_orders(NOW, &holder, Some(read));
     let kept = scheduler.ordered_vms(NOW, &holder);
     assert_eq!(serde_json::to_value(&kept).expect("plain JSON"), orders);
 }
@@ -129,7 +129,7 @@
     for node in ["n2", "n1"] {
         let mut scheduler = Scheduler::new(7, Options::default());
         let holder = OrderIssuer { node: node.to_owned(), incarnation: 1 };
-        scheduler.leave_vms_alone(NOW, &holder, Some(read.clone()));
+        scheduler.hold_off_vm_orders(NOW, &holder, Some(read.clone()));
         let kept = scheduler.ordered_vms(NOW, &holder);
         assert_eq!(serde_json::to_value(&kept).expect("plain JSON"), orders);
     }
--- a/crates/dewspar/tests/schedule/restarted_workers.rs
+++ b/crates/dewspar/tests/schedule/restarted_workers.rs
@@ -377,7 +377,7 @@
     go_on(&mut world, 3_000);
     let starts = world.starts.len();
     let on = world.starts[0].0.clone();
-    let earlier = Incarnation::born_at(1);
+    let earlier = Incarnation::started_at(1);
     for told in [Incarnation::UNKNOWN, earlier] {
         let mut entries = world.listings.clone();
         for entry in &mut entries {
@@ -404,7 +404,7 @@
     world.fate = Fate::endless();
     world.scheduler.submit(id(1), job(vec![lasting(1)]), 6, None);
     go_on(&mut world, 3_000);
-    world.start_again_as(&w("w1"), Incarnation::born_at(1));
+    world.start_again_as(&w("w1"), Incarnation::started_at(1));
     let task = first_task(id(1)).to_string();
     let end_ms = world.now_ms + OLDER_USED_WITHIN_MS;
     while world.now_ms < end_ms && !world.running().contains(&task) {
--- a/crates/dewspar/tests/schedule/unseen_starts.rs
+++ b/crates/dewspar/tests/schedule/unseen_starts.rs
@@ -166,7 +166,7 @@
     let ordered: OrderedVms = serde_json::from_str(ordered).unwrap();
     let holder = OrderIssuer { node: "n2".to_owned(), incarnation: 1 };
     let now = at(world.now_ms);
-    world.scheduler.leave_vms_alone(now, &holder, Some(ordered));
+    world.scheduler.hold_off_vm_orders(now, &holder, Some(ordered));
     show_first_vm_as(&mut world, VmStatus::Up);
     world.run_for(200);
     assert_eq!(starts_of(&world, &first_task(id(1))), 1);
--- a/crates/dewspar/tests/schedule/duties.rs
+++ b/crates/dewspar/tests/schedule/vm_order_takeover.rs
@@ -37,7 +37,7 @@
     let record = record_of(&process("n1", 1));
     let mut world = world_in_need();
     let now = at(world.now_ms);
-    world.scheduler.leave_vms_alone(now, &process("n2", 1), Some(record));
+    world.scheduler.hold_off_vm_orders(now, &process("n2", 1), Some(record));
     assert_eq!(vm_orders(&mut world), []);
 }
 
@@ -46,7 +46,7 @@
     let record = record_of(&process("n1", 1));
     let mut world = world_in_need();
     let now = at(world.now_ms);
-    world.scheduler.leave_vms_alone(now, &process("n1", 2), Some(record));
+    world.scheduler.hold_off_vm_orders(now, &process("n1", 2), Some(record));
     assert_eq!(vm_orders(&mut world), [move_of_spare()]);
 }
 
@@ -55,7 +55,7 @@
     let record = record_of(&process("n1", 1));
     let mut world = world_in_need();
     let now = at(world.now_ms);
-    world.scheduler.leave_vms_alone(now, &process("n1", 1), Some(record));
+    world.scheduler.hold_off_vm_orders(now, &process("n1", 1), Some(record));
     assert_eq!(vm_orders(&mut world), []);
 }
 
@@ -66,7 +66,7 @@
     let second = process("n2", 1);
     let begun_ms = world.now_ms;
     let now = at(begun_ms);
-    world.scheduler.leave_vms_alone(now, &second, Some(record.clone()));
+    world.scheduler.hold_off_vm_orders(now, &second, Some(record.clone()));
     let passed_on = world.scheduler.ordered_vms(at(begun_ms + 1_000), &second);
     assert!(passed_on.names().eq(record.names()));
     let later = world.scheduler.ordered_vms(at(begun_ms + 3_000), &second);
@@ -84,7 +84,7 @@
     assert!(!record.is_empty());
     let mut world = world_in_need();
     let now = at(world.now_ms);
-    world.scheduler.leave_vms_alone(now, &process("n2", 1), Some(record));
+    world.scheduler.hold_off_vm_orders(now, &process("n2", 1), Some(record));
     assert_eq!(vm_orders(&mut world), [move_of_spare()]);
 }
 
--- a/crates/dewspar/tests/schedule/facts_of_vms.rs
+++ b/crates/dewspar/tests/schedule/vm_service_results.rs
@@ -153,7 +153,7 @@
     world.now_ms += 500;
     let now = at(world.now_ms);
     let next = orderer("node-2");
-    world.scheduler.leave_vms_alone(now, &next, Some(ordered));
+    world.scheduler.hold_off_vm_orders(now, &next, Some(ordered));
     world.list();
     world.expect_all();
     world.run_for(100);
--- a/crates/dewspar/tests/schedule/wave_accounts.rs
+++ b/crates/dewspar/tests/schedule/wave_progress.rs
@@ -161,5 +161,5 @@
     let mut world = idle_world();
     world.run_for(4_000);
     let told = account(&mut world).expect("it is due");
-    assert_eq!(told.hindrance, Some("the list of VMs is outdated"));
+    assert_eq!(told.blocker, Some("the list of VMs is outdated"));
 }
--- a/crates/dewspar/tests/schedule/worker_capacity.rs
+++ b/crates/dewspar/tests/schedule/worker_capacity.rs
@@ -50,7 +50,7 @@
 #[test]
 fn what_is_being_stopped_takes_its_room_until_its_end_is_listed() {
     let mut world = world_of_one();
-    world.scheduler.guard_pools([POOL.to_owned()].into());
+    world.scheduler.enforce_capacity([POOL.to_owned()].into());
     world.scheduler.submit(id(1), job(vec![step(4)]), 6, None);
     world.run_for(100);
     world.cut.push(WorkerId::new("w1"));
@@ -65,7 +65,7 @@
     for guarded in [true, false] {
         let mut world = world_of_one();
         if !guarded {
-            world.scheduler.guard_pools([POOL.to_owned()].into());
+            world.scheduler.enforce_capacity([POOL.to_owned()].into());
         }
         // The directory can't be read any more.
         world.run_for(4_000);
@@ -99,7 +99,7 @@
             .start(900, &order, ROOM, Fate::endless())
             .expect("room for it");
         if !guarded {
-            world.scheduler.guard_pools([POOL.to_owned()].into());
+            world.scheduler.enforce_capacity([POOL.to_owned()].into());
         }
         world.expect_all();
         let now = at(world.now_ms);
--- a/crates/dewspar/tests/schedule/world.rs
+++ b/crates/dewspar/tests/schedule/world.rs
@@ -199,7 +199,7 @@
 
     /// Lets every worker tell which process it is.
     pub fn tell_processes(&mut self) {
-        let incarnation = Incarnation::born_at(FIRST_BORN_MS);
+        let incarnation = Incarnation::started_at(FIRST_BORN_MS);
         for listing in &mut self.listings {
             listing.incarnation = incarnation;
         }
@@ -211,7 +211,7 @@
     /// Ends a worker's process, and starts another one under its identifier,
     /// which the directory shows with its next reading.
     pub fn start_again(&mut self, id: &WorkerId) {
-        let process = Incarnation::born_at(FIRST_BORN_MS + self.now_ms);
+        let process = Incarnation::started_at(FIRST_BORN_MS + self.now_ms);
         self.start_again_as(id, process);
     }
 
--- a/crates/dewspar/tests/schedule_random/main.rs
+++ b/crates/dewspar/tests/schedule_random/main.rs
@@ -1,9 +1,9 @@
 //! Thousands of interleavings of orders, lost and late answers, takeovers,
 //! cuts, crashes, cancellations and store outages, against what must hold.
 
-mod cancelling;
-mod turns;
-mod waiting;
+mod cancelled_runs;
+mod job_order;
+mod pending_jobs;
 mod world;
 
 use {
--- a/crates/dewspar/tests/schedule_random/world.rs
+++ b/crates/dewspar/tests/schedule_random/world.rs
@@ -2,8 +2,8 @@
 
 use {
     crate::{
-        cancelling::{Unwanted, UnwantedRuns},
-        waiting::Miscounted,
+        cancelled_runs::{Unwanted, UnwantedRuns},
+        pending_jobs::Miscounted,
     },
     dewspar::{
         job::{JobId, JobSpec, Progress, Repeat, StepSpec, TaskId},
@@ -60,7 +60,7 @@
 
     /// Makes it the process that is started now: its clock doesn't show when.
     fn become_process(&mut self, now_ms: u64) {
-        let process = Incarnation::born_at(1_700_000_000_000 + now_ms);
+        let process = Incarnation::started_at(1_700_000_000_000 + now_ms);
         self.listing.incarnation = process;
         self.worker = self.worker.clone().incarnated(process);
     }
@@ -360,7 +360,7 @@
         let mut scheduler =
             Scheduler::new(self.store.revision, Options::default());
         if self.unguarded {
-            scheduler.guard_pools([POOL.to_owned()].into());
+            scheduler.enforce_capacity([POOL.to_owned()].into());
         }
         scheduler.begin_loading();
         for id in &self.store.on_record {
--- a/crates/dewspard/src/jobs/decisions.rs
+++ b/crates/dewspard/src/jobs/decisions.rs
@@ -181,7 +181,7 @@
     };
     info!(log, "{}", line; "wave" => wave, "vms" => vms, "begun" => begun,
         "left" => left.total(), "down" => down, "room" => room,
-        "looks" => account.looks, "hindrance" => account.hindrance,
+        "looks" => account.passes, "hindrance" => account.blocker,
         "left_ms" => pace.left_ms,
         "needed_ms" => pace.needed_ms, "parallel" => pace.parallel,
         "under_way" => pace.under_way, "due" => pace.due, "may_wait" => pace.may_wait,
--- a/crates/dewspard/src/jobs/holder.rs
+++ b/crates/dewspard/src/jobs/holder.rs
@@ -273,7 +273,7 @@
         let waited_ms = now.steady_ms.saturating_sub(sent_ms);
         self.load.heard(waited_ms);
         let scheduler = &mut self.scheduler;
-        scheduler.event_waited(waited_ms, now);
+        scheduler.record_event_delay(waited_ms, now);
         match event {
             Event::Feed(feed) => self.take_feed(feed, FeedOrigin::Feed),
             Event::JobsLoaded(jobs) => self.take_loaded(jobs),
@@ -313,7 +313,9 @@
             Event::MoveAnswered { vm, pool, result } => {
                 scheduler.move_answered(&vm, &pool, result, now);
             }
-            Event::WaveReportFailed { wave } => scheduler.report_failed(wave),
+            Event::WaveReportFailed { wave } => {
+                scheduler.wave_report_failed(wave)
+            }
             Event::LeaseRenewed { sent_ms } => {
                 self.held.renewed_ms = self.held.renewed_ms.max(sent_ms);
                 scheduler.lease_renewed(sent_ms);
@@ -372,7 +374,7 @@
         self.vm_orders.found(duties.ordered.version);
         let ordered = duties.ordered.vms.as_ref();
         self.vms_are_on_record = ordered.is_some_and(|vms| !vms.is_empty());
-        self.scheduler.leave_vms_alone(now, &orderer, duties.ordered.vms);
+        self.scheduler.hold_off_vm_orders(now, &orderer, duties.ordered.vms);
         self.counts.found(duties.counts_version);
         for (wave, version) in &duties.waves.versions {
             self.wave_writers.entry(*wave).or_default().found(*version);
@@ -500,7 +502,7 @@
         let free = queues.free_pools().iter().cloned();
         self.scheduler.configure_pools(serving.collect(), free.collect());
         let unguarded = queues.unguarded_pools().iter().cloned();
-        self.scheduler.guard_pools(unguarded.collect());
+        self.scheduler.enforce_capacity(unguarded.collect());
         let queues = queues.queues().iter();
         self.scheduler.configure(queues.map(|q| (q.name.as_str(), &q.terms)));
     }
--- a/crates/dewspard/src/jobs/node.rs
+++ b/crates/dewspard/src/jobs/node.rs
@@ -154,7 +154,7 @@
             unreadable_owner: None,
             options: Options::default()
                 .max_lease_ms(timing.max_lease_ms)
-                .kept_ms(timing.kept_ms)
+                .finished_retention_ms(timing.kept_ms)
                 .duty_gap_ms(timing.duty_gap_ms)
                 .stop_timeout_ms(timing.stop_timeout_ms)
                 .detached_ms(holder::DETACHED_MS)
