--- a/crates/dewspar/src/schedule/mod.rs
+++ b/crates/dewspar/src/schedule/mod.rs
@@ -106,9 +106,9 @@
         Forecast, InvalidPolicy, Orders, Placing, Policy, Sizing, Watching,
     },
     scheduler::Scheduler,
-    set_aside::{EndSetAside, EndsSetAside},
     start_log::{LoggedStart, StartLog},
     storing::Changes,
+    unreadable_jobs::{DeferredEnd, DeferredEndBatch},
     vm::{
         ManagedVm, VmOrder, VmOrderError, VmStatus, WaveRecord, WaveRequest,
     },
@@ -123,12 +123,12 @@
 };
 
 mod advice;
-mod answers;
 mod cancelled;
-mod crash_series;
+mod crash_bursts;
 mod directory;
 mod forecast;
 mod full_pools;
+mod hold_answers;
 mod in_doubt;
 mod job_state;
 mod jobs;
@@ -138,27 +138,26 @@
 mod maintenance;
 mod options;
 mod order;
+mod order_answers;
 mod pacing;
 mod placement;
 mod policy;
 mod poll_limit;
 mod processes;
 mod projection;
-mod records;
-mod report;
+mod record_merge;
 mod reservations;
 mod scheduler;
-mod set_aside;
 mod sizing;
 mod start_log;
-mod steadiness;
 mod stopping;
 mod storing;
 mod suspects;
 mod token_claims;
+mod unreadable_jobs;
 mod unseen_starts;
 mod vm;
-mod vm_orders;
+mod vm_stability;
 mod wave_progress;
 mod wave_selection;
 mod wave_state;
--- a/crates/dewspar/tests/schedule/main.rs
+++ b/crates/dewspar/tests/schedule/main.rs
@@ -18,8 +18,8 @@
 mod vm_service_results;
 mod worker_answers;
 
+mod directory_reads;
 mod pending_jobs;
-mod readings;
 mod records;
 mod reservation_cases;
 mod restarted_workers;
