--- a/crates/dewspar/src/schedule/mod.rs
+++ b/crates/dewspar/src/schedule/mod.rs
@@ -157,6 +157,7 @@
 mod unreadable_jobs;
 mod unseen_starts;
 mod vm;
+mod vm_orders;
 mod vm_stability;
 mod wave_progress;
 mod wave_selection;
