--- a/crates/dewspar/src/schedule/poll_limit.rs
+++ b/crates/dewspar/src/schedule/poll_limit.rs
@@ -106,7 +106,7 @@
         let workers = &self.workers;
         let is_in_flight = |poll: &InFlightPoll| {
             let worker = workers.at(poll.worker);
-            worker.is_some_and(|w| w.is_asked_since(poll.sent_ms))
+            worker.is_some_and(|w| w.awaits_answer_since(poll.sent_ms))
         };
         while let Some(poll) = sent.front() {
             let in_flight = is_in_flight(poll);
--- a/crates/dewspar/src/schedule/projection.rs
+++ b/crates/dewspar/src/schedule/projection.rs
@@ -124,7 +124,7 @@
                 used.add(&running.room);
                 let runs_then =
                     start_ms <= ahead_ms && ahead_ms < start_ms + duration_ms;
-                if !ready && runs_then && self.fits_somewhere(spec) {
+                if !ready && runs_then && self.fits_any_vm(spec) {
                     let waiting = state.waiting.len() as u64;
                     used.add(&demand(spec).times(waiting));
                 }
@@ -150,7 +150,7 @@
             let start_ms = start_ms(spec, step, &ends);
             let duration_ms = step_spec.estimate_ms;
             ends.push(start_ms + duration_ms);
-            if step_spec.long_running || !self.fits_somewhere(step_spec) {
+            if step_spec.long_running || !self.fits_any_vm(step_spec) {
                 continue;
             }
             let within_ms = duration_ms.min(ahead_ms.saturating_sub(start_ms));
--- a/crates/dewspar/src/schedule/sizing.rs
+++ b/crates/dewspar/src/schedule/sizing.rs
@@ -18,7 +18,7 @@
             Decision, Forecast, Now, Resources, Scheduler, Sizing, VmOrder,
             VmOrderError, VmStatus, WorkerId,
             job_state::demand,
-            worker::{Purpose, Worker},
+            worker::{DrainReason, Worker},
         },
     },
     std::collections::{BTreeMap, BTreeSet, HashMap},
@@ -160,7 +160,7 @@
         for worker in self.workers.values() {
             let load = loads.entry(&worker.listing.pool).or_default();
             load.used.add(worker.used());
-            if worker.emptying.is_none()
+            if worker.drain_reason.is_none()
                 && !worker.listing.draining
                 && worker.silent_since_ms.is_none()
             {
@@ -178,7 +178,7 @@
             let load = loads.entry(&job.terms.pool).or_default();
             for round in 0..job.rounds.len() {
                 for (step, spec) in job.spec.steps.iter().enumerate() {
-                    if spec.long_running && self.fits_somewhere(spec) {
+                    if spec.long_running && self.fits_any_vm(spec) {
                         let count = u64::from(spec.count);
                         load.long_running.add(&demand(spec).times(count));
                         let soon =
@@ -193,7 +193,7 @@
                     let waiting = job.rounds[round][step].waiting.len() as u64;
                     if waiting == 0
                         || !job.is_ready(round, step, now.unix_ms)
-                        || !self.fits_somewhere(spec)
+                        || !self.fits_any_vm(spec)
                     {
                         continue;
                     }
@@ -240,7 +240,7 @@
         if now.steady_ms >= self.last_sizing_ms + self.sizing().interval_ms {
             self.last_sizing_ms = now.steady_ms;
             self.project_pools(now);
-            self.measure_lasting(now);
+            self.compute_long_running_needs(now);
             let targets = self.targets(now);
             self.record_targets(&targets);
             self.grow_pools(&targets, now, orders);
@@ -309,11 +309,11 @@
         let mut floors: BTreeMap<&String, u64> = BTreeMap::new();
         let mut needs: BTreeMap<&String, u64> = BTreeMap::new();
         for pool in &self.serving_pools {
-            floors.insert(pool, self.lasting_need(pool).floor_vms);
+            floors.insert(pool, self.long_running_need(pool).floor_vms);
             let need = self.vms_for_load(pool, &largest);
             let need = need.max(self.least_vms(pool));
             let need = need.max(self.vms_for_unplaced_tasks(pool, now));
-            let need = need.max(self.need_for_unplaced(pool));
+            let need = need.max(self.vms_needed_for_unplaced(pool));
             needs.insert(pool, need);
         }
         let mut targets: BTreeMap<String, u64> = BTreeMap::new();
@@ -362,9 +362,9 @@
     /// many more as its tasks that are to last lack, or one more than it has
     /// if others lack something for long.
     fn vms_for_unplaced_tasks(&self, pool: &str, now: Now) -> u64 {
-        let deficit = self.lasting_need(pool).lacking_vms;
-        if deficit > 0 {
-            return self.pool_size(pool) + deficit;
+        let lacking = self.long_running_need(pool).lacking_vms;
+        if lacking > 0 {
+            return self.pool_size(pool) + lacking;
         }
         let since_ms = self.unplaced_since_ms.get(pool);
         let long = since_ms.is_some_and(|since| {
@@ -386,7 +386,7 @@
         let coming =
             self.pending_moves.values().filter(|m| m.to == pool).count();
         let leaving = self.workers.values().filter(|worker| {
-            worker.emptying == Some(Purpose::Move(pool.to_owned()))
+            worker.drain_reason == Some(DrainReason::Move(pool.to_owned()))
                 && !self.pending_moves.contains_key(&worker.listing.vm)
         });
         load.workers + (coming + leaving.count()) as u64
@@ -429,11 +429,11 @@
 
     /// Returns how many VMs a pool lacks for tasks that are to last.
     fn long_running_deficit(&self, pool: &str) -> u64 {
-        self.lasting_need(pool).lacking_vms.max(self.floor_deficit(pool))
+        self.long_running_need(pool).lacking_vms.max(self.floor_deficit(pool))
     }
 
     fn floor_deficit(&self, pool: &str) -> u64 {
-        let floor = self.lasting_need(pool).floor_vms;
+        let floor = self.long_running_need(pool).floor_vms;
         floor.saturating_sub(self.pool_size(pool))
     }
 
@@ -458,7 +458,7 @@
         now: Now,
     ) -> Option<WorkerId> {
         let over = |from: &str| {
-            let floor = self.lasting_need(from).floor_vms;
+            let floor = self.long_running_need(from).floor_vms;
             let least = floor.max(self.sizing().least_vms);
             self.pool_load(from).workers > least
         };
@@ -521,7 +521,7 @@
 
     /// Lets a worker run dry whose VM is to move.
     fn drain_to_move(&mut self, id: &WorkerId, to: &str, now: Now) {
-        self.start_drain(id, Purpose::Move(to.to_owned()), now);
+        self.start_drain(id, DrainReason::Move(to.to_owned()), now);
         let Some(worker) = self.workers.get(id) else { return };
         let load = self.pool_loads.get_mut(&worker.listing.pool);
         if let Some(load) = load {
@@ -591,7 +591,7 @@
         self.workers
             .values()
             .filter(|worker| giving.contains(worker.listing.pool.as_str()))
-            .filter(|worker| worker.is_usable() && !worker.keeps_room())
+            .filter(|worker| worker.is_usable() && !worker.has_reservations())
             .filter(|worker| self.may_order_vm(&worker.listing.vm, now))
             .filter(|worker| !self.is_move_refused(&worker.listing.vm, pool))
             .filter(|worker| !self.runs_long_running_task(worker))
@@ -610,7 +610,7 @@
 
     /// Returns the fewest VMs that a pool can do with.
     fn least_vms(&self, pool: &str) -> u64 {
-        self.lasting_need(pool).floor_vms.max(self.sizing().least_vms)
+        self.long_running_need(pool).floor_vms.max(self.sizing().least_vms)
     }
 
     fn may_switch_off(&self, worker: &Worker, now: Now) -> bool {
@@ -659,8 +659,8 @@
             .workers
             .values()
             .filter(|worker| worker.is_settled())
-            .filter_map(|worker| match &worker.emptying {
-                Some(Purpose::Move(pool)) => {
+            .filter_map(|worker| match &worker.drain_reason {
+                Some(DrainReason::Move(pool)) => {
                     Some((worker.listing.vm.clone(), pool.clone()))
                 }
                 _ => None,
@@ -726,7 +726,7 @@
     fn keep(&mut self, life: Option<WorkerId>) {
         let worker = life.and_then(|life| self.workers.get_mut(&life));
         if let Some(worker) = worker {
-            worker.emptying = None;
+            worker.drain_reason = None;
         }
     }
 }
--- a/crates/dewspar/src/schedule/wave_progress.rs
+++ b/crates/dewspar/src/schedule/wave_progress.rs
@@ -13,7 +13,7 @@
         Decision, ManagedVm, Now, Scheduler, VmStatus,
         wave_selection::{QUIET_POOL_PERCENT, WavePace},
         wave_state::WaveState,
-        worker::{Purpose, RunState, Worker},
+        worker::{DrainReason, RunState, Worker},
     },
 };
 
@@ -272,9 +272,9 @@
         if worker.silent_since_ms.is_some() || !worker.synced {
             return &mut left.silent;
         }
-        match &worker.emptying {
+        match &worker.drain_reason {
             None => self.counter_for_unselected(view, worker, left),
-            Some(Purpose::Maintenance(wave)) if *wave == view.wave => {
+            Some(DrainReason::Maintenance(wave)) if *wave == view.wave => {
                 self.counter_for_draining(view, worker, left)
             }
             Some(_) => &mut left.moving,
--- a/crates/dewspar/src/schedule/wave_selection.rs
+++ b/crates/dewspar/src/schedule/wave_selection.rs
@@ -23,7 +23,7 @@
         schedule::{
             Now, Scheduler, WorkerId,
             wave_state::WaveState,
-            worker::{Purpose, Worker},
+            worker::{DrainReason, Worker},
         },
     },
     std::collections::BTreeMap,
@@ -89,7 +89,7 @@
         let Some(state) = self.waves.get(&wave) else { return };
         let selected = self.select_workers(wave, state, now);
         for id in &selected {
-            self.start_drain(id, Purpose::Maintenance(wave), now);
+            self.start_drain(id, DrainReason::Maintenance(wave), now);
         }
         // Once all are chosen, so that no place is kept on one of them, and before
         // the pools are sized: the place for which a VM was chosen went to another
@@ -132,9 +132,9 @@
 
     /// Counts the workers that are being emptied and aren't down yet.
     fn draining_count(&self, wave: u64, state: &WaveState) -> usize {
-        let purpose = Some(Purpose::Maintenance(wave));
+        let purpose = Some(DrainReason::Maintenance(wave));
         let emptying = self.workers.values().filter(|worker| {
-            worker.emptying == purpose
+            worker.drain_reason == purpose
                 && !state.down.contains_key(&worker.listing.vm)
         });
         emptying.count()
@@ -152,13 +152,13 @@
         let mut pools: BTreeMap<&str, PoolCandidates> = BTreeMap::new();
         for worker in self.workers.values() {
             let vm = &worker.listing.vm;
-            if worker.emptying == Some(Purpose::Maintenance(wave)) {
+            if worker.drain_reason == Some(DrainReason::Maintenance(wave)) {
                 let pool = pools.entry(&worker.listing.pool).or_default();
                 pool.long_running_under_way +=
                     u64::from(self.has_long_running_task(worker));
             }
-            let eligible = worker.emptying.is_none()
-                && !worker.keeps_room()
+            let eligible = worker.drain_reason.is_none()
+                && !worker.has_reservations()
                 && worker.synced
                 && worker.silent_since_ms.is_none()
                 && state.awaits(vm);
@@ -261,11 +261,11 @@
             let place = self.workers.get(id);
             place.is_some_and(|p| !self.awaits_maintenance(&p.listing.vm))
         };
-        let mut long_running =
+        let mut lasting =
             worker.runs.keys().filter(|task| self.is_long_running(task));
-        long_running.all(|task| {
+        lasting.all(|task| {
             !self.is_step_at_limit(task, worker.id())
-                && self.place_for(task, now).is_some_and(stays)
+                && self.best_worker_for(task, now).is_some_and(stays)
         })
     }
 }
--- a/crates/dewspar/src/schedule/write_ahead.rs
+++ b/crates/dewspar/src/schedule/write_ahead.rs
@@ -235,7 +235,7 @@
             return Next::Withdraw;
         };
         // Its room may have shrunk meanwhile.
-        let roomy = self.is_sure_of_room(worker, &job.terms.pool, now)
+        let roomy = self.has_reliable_room(worker, &job.terms.pool, now)
             && worker.listing.capacity.contains(worker.used());
         if !roomy || !may_be_ordered(worker, task, *run, now) {
             return Next::Withdraw;
@@ -264,5 +264,5 @@
     let here = worker.runs.get(task).filter(|here| here.run == run);
     here.is_some_and(|here| {
         here.state == RunState::Starting && here.fence == worker.fence()
-    }) && worker.takes_placed_runs(now.steady_ms)
+    }) && worker.accepts_placed_runs(now.steady_ms)
 }
