--- a/crates/dewspar/src/schedule/cancelled.rs
+++ b/crates/dewspar/src/schedule/cancelled.rs
@@ -85,7 +85,7 @@
     /// run anything has listed all of its runs under this lease, or its own
     /// lease is over so that it can't run anything.
     fn knows_every_run(&self, now: Now) -> bool {
-        let known = !self.is_loading() && self.lives_known;
+        let known = !self.is_loading() && self.workers_known;
         known
             && self.workers.values().all(|worker| {
                 worker.has_listed_all_runs()
--- a/crates/dewspar/src/schedule/directory.rs
+++ b/crates/dewspar/src/schedule/directory.rs
@@ -50,10 +50,10 @@
         let settled = self.taken_over_ms + self.options.directory_settle_ms;
         // Without the VM service, a directory that has had time to fill must
         // suffice.
-        self.lives_known |= now.steady_ms >= settled;
+        self.workers_known |= now.steady_ms >= settled;
         let unread_ms = now.steady_ms.saturating_sub(self.directory_ms);
         if self.directory_ms > 0 && unread_ms >= UNREAD_MS {
-            self.entered_by_ms = now.steady_ms + ENTERED_WITHIN_MS;
+            self.directory_complete_ms = now.steady_ms + ENTERED_WITHIN_MS;
         }
         self.directory_ms = now.steady_ms;
         self.mark_missing_unlisted(asked_ms, &listings, now);
@@ -142,7 +142,7 @@
         listings: &[WorkerListing],
         now: Now,
     ) {
-        if now.steady_ms < self.entered_by_ms {
+        if now.steady_ms < self.directory_complete_ms {
             return;
         }
         let listed: BTreeSet<&WorkerId> =
@@ -201,10 +201,10 @@
         now: Now,
         lives: impl IntoIterator<Item = (WorkerId, String)>,
     ) {
-        if self.lives_known {
+        if self.workers_known {
             return;
         }
-        self.lives_known = true;
+        self.workers_known = true;
         for (id, pool) in lives {
             let known = self.workers.contains_key(&id);
             if known || self.former.has_ended(&id) {
@@ -233,7 +233,7 @@
 
     /// Returns whether the VM service should be asked which workers are alive.
     pub fn needs_live_workers(&self) -> bool {
-        !self.lives_known
+        !self.workers_known
     }
 
     /// Returns the state for a listed worker that is new, or that was no
@@ -299,7 +299,7 @@
                 other_runs: beside,
             });
             self.note_stopped(&task, id, &run, reason, now);
-            self.free_task(&task, id, run.has_begun(), now);
+            self.release_task(&task, id, run.has_begun(), now);
         }
     }
 
--- a/crates/dewspar/src/schedule/suspects.rs
+++ b/crates/dewspar/src/schedule/suspects.rs
@@ -518,7 +518,7 @@
         if over || done {
             return None;
         }
-        self.knows_suspects = true;
+        self.has_suspects = true;
         let sequence = self.mark_changed(run.task.job);
         let job = self.jobs.get_mut(&run.task.job)?;
         let pool = job.terms.pool.clone();
--- a/crates/dewspar/src/schedule/unseen_starts.rs
+++ b/crates/dewspar/src/schedule/unseen_starts.rs
@@ -102,7 +102,7 @@
             let task = TaskId { job: id, round, step, index };
             let born = record.told_born_unix_ms;
             let process =
-                born.map_or(Incarnation::UNKNOWN, Incarnation::born_at);
+                born.map_or(Incarnation::UNKNOWN, Incarnation::started_at);
             let start = RecordedStart::of(WorkerId::new(told), process);
             self.note_recorded_start(task, start, "");
         }
@@ -172,7 +172,7 @@
         now: Now,
     ) -> Outcome {
         let Some(told) = self.workers.get(&start.worker) else {
-            let known = self.lives_known;
+            let known = self.workers_known;
             return if known { Outcome::Crashed } else { Outcome::Pending };
         };
         if told.runs.contains_key(task) {
@@ -239,7 +239,7 @@
         crashes: Crashes,
         now: Now,
     ) {
-        self.knows_suspects = true;
+        self.has_suspects = true;
         self.note(Decision::Suspected {
             task: *task,
             worker: worker.clone(),
@@ -267,14 +267,14 @@
             matches!(vm.status, VmStatus::Moving | VmStatus::Maintenance)
                 || vm.pool != lost.pool
         });
-        changes || self.was_ordered_before(&lost.vm, now)
+        changes || self.was_ordered_by_former(&lost.vm, now)
     }
 
     /// Notes that a worker may have crashed under starts of previous holders.
     pub(super) fn note_unsynced_loss(&mut self, lost: &UnsyncedLoss) {
         *self.unsynced_losses.entry(lost.pool.clone()).or_insert(0) += 1;
         self.uncounted_pools.insert(lost.pool.clone());
-        self.knows_suspects = true;
+        self.has_suspects = true;
     }
 
     /// Returns whether a previous holder may have started a task on a worker
