--- a/crates/dewspard/tests/gate.rs
+++ b/crates/dewspard/tests/gate.rs
@@ -1,5 +1,5 @@
-//! What the gate of new jobs makes of answers, of probes and of those who
-//! wait, against a stand-in of the store, with a clock that stands still.
+//! Tests how the store gate reacts to answers, probes and waiting jobs,
+//! against a stand-in of the store and with a paused clock.
 
 use {
     dewspar_platform::KeyValue,
@@ -20,31 +20,31 @@
 /// Longer than any probe may take, in microseconds.
 const STORE_DELAY_US: u64 = 60_000_000;
 
-/// How long a job waits at most: less than a probe may take.
+/// How long a job waits at most: less than the timeout of a probe.
 const JOB_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// More than a job ever waits: until the verdict is there.
+/// Longer than any job waits for a decision.
 const LONG_TIMEOUT: Duration = Duration::from_secs(600);
 
-/// Makes a gate whose store fails as ordered.
+/// Creates a gate whose store has these faults.
 fn gate(faults: &Faults) -> StoreGate<Store> {
     StoreGate::new(Store::new(faults.clone()), logs::discard())
 }
 
-/// Has a job wait at the gate, and returns once it does.
+/// Spawns a job that waits at the gate, and returns once it is waiting.
 async fn spawn_waiting_job<K: KeyValue>(
     gate: &StoreGate<K>,
 ) -> JoinHandle<Result<(), StoreUnavailable>> {
     let gate = gate.clone();
     let deadline = Instant::now() + JOB_TIMEOUT;
     let waiting = tokio::spawn(async move { gate.admit(deadline).await });
-    // The clock only moves on once everything else has come to a halt.
+    // The paused clock only advances once all other tasks are idle.
     sleep(Duration::from_millis(1)).await;
     assert!(!waiting.is_finished(), "the probe is under way");
     waiting
 }
 
-/// Returns the lines of a metric that aren't comments.
+/// Returns the sample lines of a metric, without comments.
 fn series(recorder: &PrometheusRecorder, name: &str) -> Vec<String> {
     let text = recorder.handle().render();
     text.lines()
@@ -89,7 +89,8 @@
     faults.set_outage(true);
     let gate = gate(&faults);
     gate.begin_call().failed();
-    // It is told right after the first probe, and the next comes later.
+    // The job is refused right after the first probe; the next probe comes
+    // later.
     let verdict = gate.admit(Instant::now() + LONG_TIMEOUT).await;
     assert_eq!(verdict, Err(StoreUnavailable));
     let failed = series(&recorder, counters::PLATFORM_FAILURES);
@@ -99,7 +100,7 @@
     }
     let failed = series(&recorder, counters::PLATFORM_FAILURES);
     assert_eq!(failed, failure_series(2));
-    // Both belong to one outage.
+    // Both failures belong to one outage.
     let outages = series(&recorder, counters::STORE_OUTAGES);
     assert_eq!(outages, [format!("{} 1", counters::STORE_OUTAGES)]);
 }
@@ -114,7 +115,7 @@
     gate.begin_call().failed();
     spawn_waiting_job(&gate).await.abort();
     gate.note_answer();
-    // The probe is given up meanwhile.
+    // The probe times out meanwhile.
     sleep(LONG_TIMEOUT).await;
     assert!(!gate.is_unavailable());
     let outages = series(&recorder, counters::STORE_OUTAGES);
--- a/crates/dewspard/tests/jobs.rs
+++ b/crates/dewspard/tests/jobs.rs
@@ -1,5 +1,5 @@
-//! Nodes that run jobs, put together, against stand-ins: no bench, no
-//! sockets but the callers' own.
+//! Integration tests of nodes that run jobs, against in-process stand-ins of
+//! the store and the workers. Only the callers' API uses sockets.
 
 use {
     bytes::Bytes,
@@ -26,12 +26,12 @@
     tokio::time::{sleep, timeout},
 };
 
-/// How long anything may take before a test gives up on it.
+/// How long any step may take before a test fails.
 const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
 const POOL: &str = "registry";
 
-/// A few nodes over one store and one fleet.
+/// Several nodes that share one store and one fleet.
 struct Cluster {
     store: Store,
     store_faults: Faults,
@@ -115,7 +115,7 @@
         call(self.address(node), method, path, body).await
     }
 
-    /// Hands a job in until some try is answered, and returns the answers.
+    /// Submits a job once, and returns the status of the response.
     async fn submit(&self, node: usize, number: u64) -> StatusCode {
         let path = job_path(number);
         let body = json!({ "payload": "p", "steps": [
@@ -138,8 +138,8 @@
         .await;
     }
 
-    /// Checks that each task was started under rising numbers only, and
-    /// returns how often each was.
+    /// Checks that the runs of each task were started in increasing order, and
+    /// returns the number of starts of each task.
     fn start_counts(&self) -> BTreeMap<String, u64> {
         let mut starts: BTreeMap<String, u64> = BTreeMap::new();
         let mut last: BTreeMap<String, u64> = BTreeMap::new();
@@ -193,7 +193,7 @@
     (status, body)
 }
 
-/// Waits until something holds.
+/// Polls until a condition is true.
 async fn wait_until<F: Future<Output = bool>>(
     mut condition: impl FnMut() -> F,
 ) {
@@ -217,7 +217,7 @@
     let cluster = Cluster::start(3).await;
     submit_until_accepted(&cluster, 1, 1).await;
     cluster.wait_for_phase(2, 1, "completed").await;
-    // The same job again is the same job.
+    // Submitting the same job again is idempotent.
     assert_eq!(cluster.submit(0, 1).await, StatusCode::CREATED);
     cluster.wait_for_phase(0, 1, "completed").await;
     let starts = cluster.start_counts();
@@ -250,14 +250,14 @@
 async fn new_jobs_are_refused_unsent_once_a_store_outage_is_known() {
     let mut cluster = Cluster::start(0).await;
     let mut settings = JobSettings::loopback("node-0");
-    // So that an old configuration is no reason to refuse anything.
+    // So that a stale configuration is no reason to refuse a job.
     settings.timing.config_apply_ms = 600_000;
     let node = cluster.node_with(settings).await;
     cluster.nodes.push(node);
     submit_until_accepted(&cluster, 0, 1).await;
-    // Longer than any caller waits; calls under way end after that.
+    // Longer than any caller waits; in-flight calls end after that.
     cluster.store_faults.set_delay_us(6_000_000);
-    // Sent before anybody could know.
+    // Sent before the outage can be known.
     let unknown = cluster.submit(0, 2).await;
     assert_eq!(unknown, StatusCode::GATEWAY_TIMEOUT);
     for number in 3..6 {
@@ -285,7 +285,7 @@
     let number: usize = name[5..].parse().expect("node-N");
     cluster.nodes.remove(number).kill();
     cluster.wait_for_phase(0, 1, "completed").await;
-    // What ran was found and not started again.
+    // The running tasks were found and not started again.
     let starts = cluster.start_counts();
     assert!(starts.values().all(|starts| *starts == 1), "{starts:?}");
 }
@@ -311,7 +311,7 @@
     submit_until_accepted(&cluster, 0, 1).await;
     cluster.wait_for_phase(0, 1, "completed").await;
     let starts = cluster.start_counts();
-    // All of it may have been done.
+    // Any of its tasks may already have run.
     assert!(
         !starts.keys().any(|task| task.starts_with(&unreadable_id)),
         "{starts:?}"
@@ -336,7 +336,7 @@
     wait_until(async || cluster.holder().await.as_deref() == Some("strong"))
         .await;
     cluster.wait_for_phase(1, 1, "completed").await;
-    // What ran was found and not started again.
+    // The running tasks were found and not started again.
     let starts = cluster.start_counts();
     assert!(starts.values().all(|starts| *starts == 1), "{starts:?}");
 }
@@ -347,14 +347,14 @@
     submit_until_accepted(&cluster, 0, 1).await;
     cluster.wait_for_phase(0, 1, "completed").await;
     let first = cluster.holder().await.expect("a holder");
-    // As if the node read every answer late.
+    // Simulates a node that reads every answer late.
     cluster.order_faults.set_delay_us(160_000);
     let mut number = 1;
     let handed_over = async {
         while cluster.holder().await.is_none_or(|holder| holder == first) {
             number += 1;
             submit_until_accepted(&cluster, 0, number).await;
-            // Enough orders to judge by, and no backlog.
+            // Enough orders to detect the slowness, and no backlog.
             sleep(Duration::from_millis(100)).await;
         }
     };
@@ -365,9 +365,10 @@
     assert!(starts.values().all(|starts| *starts == 1), "{starts:?}");
 }
 
-/// A worker says that it has seen a later token, which is what they all say
-/// once another node schedules. This one was given it by somebody else: the
-/// lease stands, and the other workers have to be made use of.
+/// Guards against a lease lost to one worker. A worker that has seen a later
+/// fencing token normally means that another node schedules. Here a single
+/// worker was given the token by somebody else: the lease must stay, and the
+/// other workers must still be used.
 #[tokio::test]
 async fn one_worker_with_a_later_token_does_not_end_the_lease() {
     let cluster = Cluster::start(1).await;
@@ -409,9 +410,10 @@
     cluster.wait_for_phase(0, 1, "cancelled").await;
 }
 
-// A cancelled job was stored as over, and its cancelling's entry went with that
-// write while orders to stop its runs had no result; later holders read no
-// cancelling and left the runs alone while they loaded, 14 s long.
+// Guards against a cancellation that is deleted too early. If a cancelled job
+// is stored as finished while the orders to stop its runs have no result, and
+// its cancellation is deleted in the same write, later holders find no
+// cancellation and leave the runs alone while they load, for up to 14 s.
 #[tokio::test]
 async fn a_cancellation_stays_stored_until_no_task_of_its_job_runs() {
     let mut cluster = Cluster::start(1).await;
@@ -427,7 +429,7 @@
         let listed = cluster.store.list("q/stop/").await;
         listed.expect("a store").1.len()
     };
-    // The next holder finds it as well.
+    // The next holder finds the cancellation as well.
     let node = cluster.nodes.remove(0);
     node.stop().await;
     let node = cluster.node("node-next").await;
@@ -458,13 +460,13 @@
 async fn a_waiting_count_whose_write_failed_is_stored_later() {
     let cluster = Cluster::start(1).await;
     cluster.fleet.set_work_ms(600_000);
-    // Sixteen slots: the sixth job's first task fills the last one.
+    // There are sixteen slots; the sixth job's first task takes the last one.
     for number in 1..=6 {
         submit_until_accepted(&cluster, 0, number).await;
     }
     wait_until(async || cluster.fleet.running().len() == 16).await;
     sleep(Duration::from_millis(800)).await;
-    // Whatever the holder writes of the next job is refused.
+    // The holder's writes for the next job fail.
     cluster.store_faults.set_delay_us(300_000);
     submit_until_accepted(&cluster, 0, 7).await;
     cluster.store_faults.set_outage(true);
@@ -485,7 +487,7 @@
     submit_until_accepted(&cluster, 0, 1).await;
     cluster.wait_for_phase(0, 1, "completed").await;
     cluster.fleet.set_work_ms(600_000);
-    // The holder goes on, and writes what it likes, but hears nothing.
+    // The holder keeps running and writing, but receives no events.
     cluster.store_faults.set_silent(true);
     cluster.store_faults.set_unlisted(true);
     submit_until_accepted(&cluster, 0, 2).await;
@@ -524,7 +526,7 @@
         status == StatusCode::OK && body["pending"] == waiting
     };
     wait_until(async || counted(1).await).await;
-    // What a holder wrote that is gone.
+    // Counts left by a holder that is gone.
     put("pending", "{}").await;
     submit_until_accepted(&cluster, 0, 2).await;
     wait_until(async || counted(2).await).await;
@@ -550,7 +552,7 @@
     }
     let path = "/v1/queues/extracts";
     let before = cluster.store.lists_of("run/");
-    // Each look of the store takes a while, so that all ask at once.
+    // Store reads are slow, so that all nodes need the counts at once.
     cluster.store_faults.set_delay_us(20_000);
     let asked: Vec<_> = cluster
         .nodes
@@ -568,7 +570,7 @@
         assert_eq!(body["pending"], 3);
     }
     let counts = cluster.store.lists_of("run/") - before;
-    // A second one if the first was over before the last node asked.
+    // Two if the first count was complete before the last node asked.
     assert!(counts <= 2, "{counts} nodes counted");
 }
 
@@ -599,7 +601,7 @@
     let refused = cluster.submit(0, 2).await;
     assert_eq!(refused, StatusCode::SERVICE_UNAVAILABLE);
     cluster.store_faults.set_outage(false);
-    // The next job is accepted again, and comes to its end.
+    // The next job is accepted and completes.
     submit_until_accepted(&cluster, 1, 3).await;
     cluster.wait_for_phase(1, 3, "completed").await;
     let ran = cluster.start_counts();
@@ -630,7 +632,7 @@
     }
     let starts = cluster.start_counts();
     assert_eq!(starts.len(), 40);
-    // A lost answer is found out, not answered by another run.
+    // A lost answer leads to a query, not to another run.
     assert!(starts.values().all(|starts| *starts == 1), "{starts:?}");
 }
 
@@ -648,7 +650,8 @@
     }
 }
 
-// The ends of a restarted worker were taken for known ones: tasks were done twice.
+// Guards against repeated tasks after a worker restart: ends reported by the
+// new process must not be taken for ends that are already known.
 #[tokio::test]
 async fn restarted_workers_repeat_no_task() {
     let cluster = Cluster::start(2).await;
--- a/crates/dewspard/tests/late_relays.rs
+++ b/crates/dewspard/tests/late_relays.rs
@@ -1,13 +1,14 @@
-//! A relay's VM is suspended while its holder sends it orders. They lie in the
-//! connection until it wakes, seconds after the holder has given them up, and
-//! were carried out then as if they had just come: a worker that had heard of
-//! nobody else meanwhile took them. An order says by now how old it is and for
-//! how long its holder waits for it, so that a relay passes over what is over.
-//! It can tell by the steady clocks of both, since both count suspension.
+//! Guards against stale orders from a resumed relay. While a relay's VM is
+//! suspended, its holder's orders wait in the connection. When the relay
+//! resumes, seconds after the holder gave them up, it must not execute them as
+//! if they had just arrived: a worker that has had no contact with a later
+//! holder would accept them. Each order carries its age and how long its
+//! holder waits for it, so that the relay can drop expired ones. The relay
+//! compares both nodes' steady clocks, which count suspensions.
 //!
-//! Here a proxy between them keeps what the holder sends, as the relay's system
-//! would, and the steady clock is told that time has passed. In a file of its
-//! own: it passes for the whole process.
+//! The test puts a proxy between the two that buffers what the holder sends,
+//! as the kernel of a suspended relay would, and advances the steady clock. It
+//! has a file of its own because the clock is shared by the whole process.
 
 use {
     dewspar::{
@@ -40,28 +41,30 @@
     },
 };
 
-/// How long anything may take before the test gives up on it.
+/// How long any step may take before the test fails.
 const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// How long a relay takes to carry an order that it takes, many times over.
+/// How long to wait for an order to be executed: many times what the relay
+/// needs.
 const EXECUTION_WAIT: Duration = Duration::from_millis(500);
 
-/// For how long the relay's VM is suspended: much longer than any order is
-/// waited for.
+/// How long the relay's VM is suspended, in milliseconds: much longer than a
+/// holder waits for any order.
 const SUSPENDED_MS: u64 = 20_000;
 
 const POOL: &str = "registry";
 
-/// What the tasks are given of the job that comes late.
+/// The payload of the job whose orders arrive late.
 const LATE_PAYLOAD: &str = "what was to be done 20 s ago";
 
-/// A connection of the holder, as the proxy passes it on.
+/// A connection of a holder through the proxy.
 #[derive(Default)]
 struct ProxiedConnection {
-    /// What wasn't passed on.
+    /// The bytes from the holder that were not forwarded.
     buffered: Mutex<Vec<u8>>,
     to_relay: Mutex<Option<OwnedWriteHalf>>,
-    /// How much the relay has said, and whether it has ended the connection.
+    /// How many bytes the relay has sent, and whether it has closed the
+    /// connection.
     received_bytes: AtomicUsize,
     ended: AtomicBool,
 }
@@ -89,7 +92,7 @@
         }
     }
 
-    /// Sends to the relay; one that is gone has no use for it.
+    /// Sends bytes to the relay; ignores the error if it is gone.
     async fn send(&self, bytes: &[u8]) {
         let to_relay = self.to_relay.lock().expect("a half").take();
         let Some(mut to_relay) = to_relay else { return };
@@ -106,14 +109,14 @@
         let mut bytes = [0; 4096];
         while let Ok(count @ 1..) = from.read(&mut bytes).await {
             self.received_bytes.fetch_add(count, Ordering::Relaxed);
-            // The holder may be done with it.
+            // The holder may have closed the connection.
             let _ = to.write_all(&bytes[..count]).await;
         }
         self.ended.store(true, Ordering::Relaxed);
     }
 }
 
-/// Stands between a holder and a relay.
+/// A proxy between a holder and a relay that can stop forwarding.
 #[derive(Clone, Default)]
 struct BufferingProxy {
     is_paused: Arc<AtomicBool>,
@@ -121,7 +124,7 @@
 }
 
 impl BufferingProxy {
-    /// Returns the address of a proxy before a relay.
+    /// Starts the proxy for a relay, and returns its address.
     async fn listen_for(&self, relay: &str) -> String {
         let listener = TcpListener::bind("127.0.0.1:0").await;
         let listener = listener.expect("a port");
@@ -155,7 +158,8 @@
         self.is_paused.store(paused, Ordering::Relaxed);
     }
 
-    /// Waits until a connection keeps a text.
+    /// Waits until a connection has buffered this text, and returns the
+    /// connection.
     async fn wait_until_buffered(&self, text: &str) -> Arc<ProxiedConnection> {
         let find = || {
             let connections = self.connections.lock().expect("a list").clone();
@@ -242,7 +246,7 @@
     .await;
 }
 
-/// Has the holder reach the relay through a proxy.
+/// Replaces the address in the relay's offer by that of a proxy.
 async fn put_proxy_before_relay(store: &Store, key: &str) -> BufferingProxy {
     wait_until(async || store.version(key).await != Ok(0)).await;
     let offer = store.get(key).await.expect("a store").expect("an offer");
@@ -282,7 +286,8 @@
     let reached = fleet.reached_with(Faults::new(4));
     let _relay = start(&store, reached, "relay", 1.0).await;
     let proxy = put_proxy_before_relay(&store, "relay/relay").await;
-    // What runs is carried by the relay: the holder reaches no worker.
+    // The holder reaches no worker directly, so all tasks are started over the
+    // relay.
     let cut_off = Faults::new(3);
     cut_off.set_outage(true);
     let reached = fleet.reached_with(cut_off);
@@ -314,7 +319,7 @@
     let late = started.iter().filter(|(task, _)| task.job == id(50));
     assert_eq!(late.count(), 0, "by orders that are over");
 
-    // The way over the relay is found again.
+    // The holder uses the relay again.
     proxy.set_paused(false);
     wait_until_completed(&store, 50).await;
 }
--- a/crates/dewspard/tests/relays.rs
+++ b/crates/dewspard/tests/relays.rs
@@ -1,8 +1,9 @@
-//! Nodes that carry the holder's orders, over sockets of this machine.
+//! Integration tests of nodes that relay the holder's orders, over loopback
+//! sockets.
 //!
-//! The nodes say that they are weak, so that a few calls a second are more
-//! than the holder carries by itself. Where it can't reach the workers at all,
-//! whatever runs was carried by others.
+//! The nodes are configured as weak, so that a few calls a second exceed what
+//! the holder sends by itself. Where the holder can't reach the workers at
+//! all, every task that runs was started over a relay.
 
 use {
     dewspar::{
@@ -39,19 +40,19 @@
     },
 };
 
-/// How long anything may take before a test gives up on it.
+/// How long any step may take before a test fails.
 const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
 const POOL: &str = "registry";
 
-/// How much the holder says that it can schedule; the others say half.
+/// The holder's scheduling capacity; the other nodes have half of it.
 const HOLDER_STRENGTH: f64 = 2.0;
 
-/// What each node's link carries, in megabits a second: more than a message may
-/// be long in a tenth of a second.
+/// The link bandwidth of each node, in megabits per second: enough to transfer
+/// the longest message in a tenth of a second.
 const LINK_MBPS: f64 = 10_000.0;
 
-/// Keeps the messages of all lines.
+/// Collects the messages of all log lines.
 #[derive(Clone, Default)]
 struct CapturedLog(Arc<Mutex<Vec<String>>>);
 
@@ -74,7 +75,7 @@
 }
 
 struct Cluster {
-    /// What all nodes log.
+    /// The log of all nodes.
     lines: CapturedLog,
     store: Store,
     fleet: TaskFleet,
@@ -108,7 +109,7 @@
         Cluster { lines: CapturedLog::default(), store, fleet, lease_expiry }
     }
 
-    /// Starts a node that reaches the workers with these faults.
+    /// Starts a node whose calls to workers have these faults.
     async fn node(
         &self,
         name: &str,
@@ -129,7 +130,7 @@
         Logger::root(self.lines.clone().fuse(), o!())
     }
 
-    /// Starts the node that schedules, which can't reach any worker by itself.
+    /// Starts the node that schedules, which can't reach any worker directly.
     async fn holder_without_workers(&self) -> JobNode {
         let orders = Faults::new(3);
         orders.set_outage(true);
@@ -145,7 +146,7 @@
         .await;
     }
 
-    /// Has a node offer to carry at this address.
+    /// Writes the offer of a node to relay at this address.
     async fn offer(&self, name: &str, address: SocketAddr, strength: u64) {
         let offer = RelayNode {
             name: name.to_owned(),
@@ -157,7 +158,7 @@
         self.store.commit(&batch).await.expect("a store");
     }
 
-    /// Returns where a node offers to carry.
+    /// Returns the address at which a node offers to relay.
     async fn relay_address_of(&self, name: &str) -> SocketAddr {
         let key = format!("relay/{name}");
         wait_until(async || {
@@ -195,8 +196,8 @@
         }
     }
 
-    /// Checks that no task ran twice at a time or after it was done, and that
-    /// each was started under rising numbers only.
+    /// Checks that no task ran twice concurrently or again after it was done,
+    /// and that its runs were started in increasing order.
     fn check_starts(&self) {
         assert_eq!(self.fleet.ran_twice(), []);
         let mut last: BTreeMap<String, u64> = BTreeMap::new();
@@ -256,7 +257,7 @@
     format!("{number:016x}").parse().expect("an identifier")
 }
 
-/// Waits until something holds.
+/// Polls until a condition is true.
 async fn wait_until<F: Future<Output = bool>>(
     mut condition: impl FnMut() -> F,
 ) {
@@ -279,8 +280,8 @@
     cluster.check_starts();
 }
 
-/// A relay that is lost takes its orders along: nobody knows whether they were
-/// carried out. They are asked about over another one, and all jobs end.
+/// When a relay is lost, the results of its orders are unknown. The holder
+/// queries the workers over another relay, and all jobs complete.
 #[tokio::test(flavor = "multi_thread")]
 async fn workers_of_a_lost_relay_move_to_another() {
     let cluster = Cluster::new();
@@ -317,24 +318,24 @@
     cluster.check_starts();
 }
 
-/// What a relay says first, as it stands in a connection: the length of the
-/// message, and which one it is.
+/// The first message of a relay as sent: the length, then the variant.
 const WELCOME_BYTES: &[u8] = &WELCOME_FRAME;
 
-/// An address that takes connections and never answers looks like the best
-/// relay there is. It is given up, and its workers are reached otherwise.
+/// An address that accepts connections and never answers looks like the
+/// strongest relay. It must be abandoned, and its workers be reached
+/// otherwise.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_relay_that_never_answers_is_abandoned() {
     check_fallback_from_relay_that_sends_only(b"").await;
 }
 
-/// The same for one that falls silent once it is to carry orders.
+/// The same for a relay that falls silent once it is given orders.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_relay_that_falls_silent_is_abandoned() {
     check_fallback_from_relay_that_sends_only(WELCOME_BYTES).await;
 }
 
-/// The same for one whose messages can't be read.
+/// The same for a relay whose messages can't be decoded.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_relay_that_cannot_be_understood_is_given_up() {
     let malformed = [&[0, 0, 0, 1, 0xff], &[0xff; 5], &[0, 0, 0, 0, 0]];
@@ -343,7 +344,7 @@
     }
 }
 
-/// What reaches a relay and can't be read ends its own connection.
+/// A malformed message to a relay ends only its own connection.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_holder_that_cannot_be_understood_disturbs_no_other() {
     let cluster = Cluster::new();
@@ -377,7 +378,7 @@
         while let Ok((mut stream, _)) = silent_relay.accept().await {
             let counted = counted.clone();
             tokio::spawn(async move {
-                // The holder may be done with it.
+                // The holder may have closed the connection.
                 let _ = stream.write_all(text).await;
                 let mut read = [0; 1024];
                 while let Ok(count @ 1..) = stream.read(&mut read).await {
@@ -393,15 +394,15 @@
     cluster.wait_for_all(1..20).await;
     cluster.check_starts();
     assert!(heard.load(Ordering::Relaxed) > 0, "it was asked to carry");
-    // One that never says that it carries is given nothing to carry.
+    // A relay that never sends a welcome is given no orders.
     if text.is_empty() {
         assert_eq!(cluster.lines.count("relay: lost"), 0);
         assert!(cluster.lines.count("relay: not reached") > 0);
     }
 }
 
-/// What tasks are given, in bytes: as many as there is room for take more than
-/// a message may be long.
+/// The payload size of each task, in bytes: the payloads of all tasks that fit
+/// on the workers exceed the longest message.
 const LARGE_PAYLOAD: usize = 5_700_000;
 
 #[tokio::test(flavor = "multi_thread")]
@@ -409,7 +410,7 @@
     let cluster = Cluster::new();
     let _holder = cluster.holder_without_workers().await;
     let _relay = cluster.node("relay-1", 1.0, Faults::new(4)).await;
-    // A relay is chosen once there is enough to carry.
+    // A relay is chosen once there are enough orders.
     cluster.submit(1..10).await;
     cluster.wait_for_all(1..10).await;
     let mut batch = Batch::default();
@@ -426,7 +427,7 @@
     assert_eq!(cluster.lines.count("relay: lost"), 0);
 }
 
-/// Offers of other writers may be anything; the others hold.
+/// Unreadable offers of other writers must not affect the readable ones.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_offer_that_cannot_be_read_hides_itself_alone() {
     let cluster = Cluster::new();
@@ -436,7 +437,7 @@
         let batch = Batch::default().put(&key, value.to_vec());
         cluster.store.commit(&batch).await.expect("a store");
     }
-    // So may what they say of how much they can schedule.
+    // The same holds for an unreadable strength.
     let strength = Batch::default().put("node/odd", b"{}".to_vec());
     cluster.store.commit(&strength).await.expect("a store");
     let _holder = cluster.holder_without_workers().await;
@@ -444,20 +445,21 @@
     cluster.submit(1..10).await;
     cluster.wait_for_all(1..10).await;
     cluster.check_starts();
-    // Each once, though all of them are read each few seconds.
+    // Each is logged once, although all of them are read every few seconds.
     assert_eq!(cluster.lines.count("passed over"), malformed.len() + 1);
 }
 
-/// What a relay says first, with its length before it.
+/// The first message of a relay, with its length prefix.
 const WELCOME_FRAME: [u8; 5] = [0, 0, 0, 1, 0];
 
-/// A message without orders.
+/// A message without orders, with its length prefix.
 const EMPTY_ORDERS_FRAME: [u8; 8] = [0, 0, 0, 4, 1, 0, 0, 0];
 
 /// The version of the messages.
 const VERSION: u8 = 3;
 
-/// What a holder under this lease says first, with its length before it.
+/// Returns the first message of a holder under this lease, with its length
+/// prefix.
 fn hello(lease_revision: u8) -> Vec<u8> {
     let message = [0, VERSION, 1, b'h', lease_revision, 0];
     let length = [0, 0, 0, message.len() as u8];
@@ -468,14 +470,14 @@
     listener.local_addr().expect("an address")
 }
 
-/// Reads until the other side has ended the connection.
+/// Reads until the peer closes the connection.
 async fn read_to_end(mut stream: TcpStream) {
     let mut read = [0; 1024];
     while stream.read(&mut read).await.is_ok_and(|n| n > 0) {}
 }
 
-/// Says that it carries on each connection, and nothing more; returns how many
-/// connections were opened, and how many have ended.
+/// Sends a welcome on each connection and nothing more; returns how many
+/// connections were opened and how many have ended.
 fn serve_welcome_only(listener: TcpListener) -> [Arc<AtomicUsize>; 2] {
     let (opened, ended) = <(Arc<AtomicUsize>, Arc<AtomicUsize>)>::default();
     let counts = [opened.clone(), ended.clone()];
@@ -512,8 +514,8 @@
     assert!(cluster.lines.count("relay: lost") > 0);
 }
 
-/// A relay that stands still has orders when it wakes that were taken for lost
-/// long ago, and whose tasks have been started by others since.
+/// When a suspended relay resumes, it still has orders that its holder gave up
+/// long ago, and whose tasks were started over other paths meanwhile.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_resumed_relay_with_stale_orders_starts_nothing_twice() {
     let cluster = Cluster::new();
@@ -528,14 +530,14 @@
     let before = cluster.fleet.started().len();
     orders.set_delay_us(0);
     cluster.wait_for_all(10..14).await;
-    // The old orders arrive.
+    // The stale orders arrive.
     sleep(Duration::from_secs(3)).await;
     cluster.check_starts();
-    // Six tasks each, and none began with an old order.
+    // Six tasks per job, and none was started by a stale order.
     assert_eq!(cluster.fleet.started().len() - before, 4 * 6);
 }
 
-/// The relay of two holders, one of which doesn't know of the other yet.
+/// Two holders use one relay, and the former doesn't know of the latter yet.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_relay_serves_only_the_latest_holder() {
     let cluster = Cluster::new();
@@ -557,18 +559,18 @@
     assert!(carries(&mut former).await);
     let mut latest = connect(7).await;
     assert!(carries(&mut latest).await);
-    // With the next that it sends.
+    // Its connection ends with the next message that it sends.
     former.write_all(&EMPTY_ORDERS_FRAME).await.expect("an open connection");
     timeout(TEST_TIMEOUT, read_to_end(former)).await.expect("it is ended");
     let mut between = connect(6).await;
     assert!(!carries(&mut between).await, "there is a later holder");
-    // The same one once more, after its connection was lost.
+    // The latest holder reconnects after losing its connection.
     let mut again = connect(7).await;
     assert!(carries(&mut again).await);
 }
 
-/// One relay says at once that it carries, the other never does, so that the
-/// holder ends while it waits for both.
+/// One relay sends its welcome at once and the other never does, so that the
+/// holder stops while it waits for both.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_holder_that_stops_while_connecting_leaves_no_connection() {
     let cluster = Cluster::new();
@@ -591,7 +593,7 @@
     wait_until(async || ended.load(Ordering::Relaxed) == opened).await;
 }
 
-/// A single answer may be late without the relay being silent.
+/// A single late answer must not count as silence of the relay.
 #[tokio::test(flavor = "multi_thread")]
 async fn one_late_answer_does_not_end_a_relay() {
     let cluster = Cluster::new();
@@ -600,7 +602,7 @@
     let _relay = cluster.node("relay-1", 1.0, orders.clone()).await;
     cluster.submit(1..10).await;
     cluster.wait_for_all(1..10).await;
-    // Until nothing is asked any more.
+    // Wait until the node sends no more calls.
     sleep(Duration::from_secs(1)).await;
     orders.set_delay_us(1_000_000);
     let mut late = job();
@@ -616,7 +618,7 @@
     assert_eq!(cluster.lines.count("relay: lost"), 0);
 }
 
-/// Passes on whatever comes, and counts what goes to the relay, in bytes.
+/// Forwards connections to the relay, and counts the bytes sent to it.
 fn proxy_connections(
     listener: TcpListener,
     relay: SocketAddr,
@@ -649,8 +651,8 @@
     }
 }
 
-/// Longer than the lease lasts without renewal, and shorter than a holder goes
-/// on without the store.
+/// Longer than the lease lasts without renewal, and shorter than a holder
+/// continues without the store.
 const UNCERTAIN_LEASE_WAIT: Duration = Duration::from_secs(3);
 
 #[tokio::test(flavor = "multi_thread")]
@@ -679,18 +681,18 @@
     drop(holder);
 }
 
-/// What a node logs that gives the lease up.
+/// The log message of a node that gives up the lease.
 const LEASE_RELEASED_MESSAGE: &str = "this node no longer schedules";
 
-/// How long each task takes where some are to end under either holder, in
+/// How long each task takes where tasks should end under both holders, in
 /// milliseconds.
 const TASK_DURATION_MS: u64 = 150;
 
-/// Two nodes and their relay: the one that schedules is cut off from the store,
-/// though neither from the relay nor, by it, from the workers. The other one takes
-/// over while the first still goes on with what it knows. Neither reaches a worker
-/// by itself, so all that runs was carried by the one relay, for the later of them
-/// alone; and nothing runs twice.
+/// The holder loses its connection to the store, but not to the relay and,
+/// over it, to the workers. Another node takes the lease while the former
+/// holder continues with what it knows. Neither node reaches a worker
+/// directly, so all tasks are started over the one relay, which must serve
+/// only the later holder. No task may run twice.
 #[tokio::test(flavor = "multi_thread")]
 async fn one_relay_serves_the_successor_of_a_partitioned_holder() {
     let cluster = Cluster::new();
@@ -712,7 +714,7 @@
     let owner = async || cluster.store.version("q/owner").await;
     let before = owner().await;
 
-    // It reaches no worker, so it isn't to carry either.
+    // The former holder reaches no worker, so it must not relay either.
     cluster.store.delete("relay/former").await.expect("a store");
     cut.set_outage(true);
     let (store, fleet) = (cluster.store.clone(), cut_off(6));
@@ -730,20 +732,21 @@
     cluster.check_starts();
     wait_until(async || lines.count(LEASE_RELEASED_MESSAGE) == 1).await;
 
-    // Cut off no longer, it looks on.
+    // With the store back, the former holder stays a follower.
     let after = owner().await;
     cut.set_outage(false);
     cluster.submit(40..50).await;
     cluster.wait_for_all(40..50).await;
     cluster.check_starts();
     assert_eq!(owner().await, after, "the lease has changed hands");
-    // Six tasks each, and none began again for the change of holders.
+    // Six tasks per job, and none was restarted because of the takeover.
     assert_eq!(cluster.fleet.started().len(), 49 * 6);
 }
 
-/// A node offers to carry and reaches no worker, while the holder reaches them all.
-/// It answers at once, so it was no silent relay: its share of the workers counted
-/// as silent, and what they had done was started again once their leases were over.
+/// Guards against tasks that run twice behind a relay that is cut off from its
+/// workers. Such a relay answers at once with an error, so it doesn't count as
+/// silent. If its share of the workers counts as silent instead, their
+/// finished tasks are started again once their leases have expired.
 #[tokio::test(flavor = "multi_thread")]
 async fn workers_unreachable_by_their_relay_are_asked_directly() {
     let cluster = Cluster::new();
