--- a/crates/dewspard/src/jobs/relay/link.rs
+++ b/crates/dewspard/src/jobs/relay/link.rs
@@ -94,7 +94,7 @@
     /// though this node reaches them.
     unreached: AtomicU32,
     is_open: AtomicBool,
-    given_up: Notify,
+    abandoned: Notify,
 }
 
 impl RelayLink {
@@ -132,7 +132,7 @@
             first_unanswered_ms: AtomicU64::new(0),
             unreached: AtomicU32::new(0),
             is_open: AtomicBool::new(true),
-            given_up: Notify::new(),
+            abandoned: Notify::new(),
         });
         tokio::spawn(write_orders(
             sink,
@@ -175,16 +175,16 @@
         let link = self.clone();
         tokio::spawn(async move {
             sleep(RETIRE_DELAY).await;
-            link.give_up();
+            link.abandon();
         });
     }
 
     /// Ends the link; all in-flight orders stay unanswered.
-    pub(super) fn give_up(&self) {
+    pub(super) fn abandon(&self) {
         self.close();
         self.lock().clear();
-        self.given_up.notify_waiters();
-        self.given_up.notify_one();
+        self.abandoned.notify_waiters();
+        self.abandoned.notify_one();
     }
 
     /// Sends an order to the relay, and waits for its answer for at most
@@ -219,7 +219,7 @@
             Err(_) => {
                 self.lock().remove(&id);
                 if self.note_unanswered(sent_ms) {
-                    self.give_up();
+                    self.abandon();
                 }
                 Err(NoAnswer)
             }
@@ -280,7 +280,7 @@
     loop {
         let first = tokio::select! {
             order = orders.recv() => order,
-            () = link.given_up.notified() => None,
+            () = link.abandoned.notified() => None,
         };
         let Some(first) = first else { return };
         let mut message = MessageBuilder::new(clock::now_ms());
@@ -292,7 +292,7 @@
         let frame = message.encode();
         traffic.note(Purpose::Relays, frame.len() as u64, 0);
         if sink.send(frame).await.is_err() {
-            link.give_up();
+            link.abandon();
             return;
         }
     }
@@ -365,7 +365,7 @@
     loop {
         let frame = tokio::select! {
             frame = frames.next() => frame,
-            () = link.given_up.notified() => return,
+            () = link.abandoned.notified() => return,
         };
         let Some(Ok(frame)) = frame else { break };
         link.last_heard_ms.store(clock::now_ms(), Ordering::Relaxed);
@@ -387,5 +387,5 @@
             Err(_) => break,
         }
     }
-    link.give_up();
+    link.abandon();
 }
--- a/crates/dewspard/src/jobs/relay/manager.rs
+++ b/crates/dewspard/src/jobs/relay/manager.rs
@@ -76,13 +76,13 @@
     let _close_links = CloseLinksOnDrop(&manager.workers);
     let mut demand = CarriageDemand::default();
     let mut offers = Offers::default();
-    let (mut calls, mut checked_ms) =
+    let (mut seen_orders, mut checked_ms) =
         (manager.workers.orders_sent(), clock::now_ms());
     loop {
         sleep(Duration::from_millis(CHECK_INTERVAL_MS)).await;
         let now_ms = clock::now_ms();
-        let sent = manager.workers.orders_sent() - calls;
-        calls += sent;
+        let sent = manager.workers.orders_sent() - seen_orders;
+        seen_orders += sent;
         let took_ms = now_ms.saturating_sub(checked_ms).max(1);
         checked_ms = now_ms;
         demand.note(now_ms, sent * 1_000 / took_ms);
@@ -98,7 +98,7 @@
         for link in
             self.0.links().iter().chain(&self.0.pending_links().take_all())
         {
-            link.give_up();
+            link.abandon();
         }
         self.0.set_links(Vec::new());
     }
--- a/crates/dewspard/tests/gate.rs
+++ b/crates/dewspard/tests/gate.rs
@@ -40,7 +40,7 @@
     let waiting = tokio::spawn(async move { gate.admit(deadline).await });
     // The paused clock only advances once all other tasks are idle.
     sleep(Duration::from_millis(1)).await;
-    assert!(!waiting.is_finished(), "the probe is under way");
+    assert!(!waiting.is_finished(), "the probe is in flight");
     waiting
 }
 
--- a/crates/dewspard/tests/jobs.rs
+++ b/crates/dewspard/tests/jobs.rs
@@ -413,7 +413,7 @@
 // Guards against a cancellation that is deleted too early. If a cancelled job
 // is stored as finished while the orders to stop its runs have no result, and
 // its cancellation is deleted in the same write, later holders find no
-// cancellation and leave the runs alone while they load, for up to 14 s.
+// cancellation and leave the runs alone while they load, which took 14 s.
 #[tokio::test]
 async fn a_cancellation_stays_stored_until_no_task_of_its_job_runs() {
     let mut cluster = Cluster::start(1).await;
--- a/crates/dewspard/tests/late_relays.rs
+++ b/crates/dewspard/tests/late_relays.rs
@@ -317,7 +317,7 @@
     sleep(EXECUTION_WAIT).await;
     let started = fleet.started();
     let late = started.iter().filter(|(task, _)| task.job == id(50));
-    assert_eq!(late.count(), 0, "by orders that are over");
+    assert_eq!(late.count(), 0, "tasks started by expired orders");
 
     // The holder uses the relay again.
     proxy.set_paused(false);
--- a/crates/dewspard/tests/relays.rs
+++ b/crates/dewspard/tests/relays.rs
@@ -372,8 +372,8 @@
     let cluster = Cluster::new();
     let silent_relay = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     cluster.offer("mute", address_of(&silent_relay), 1_000_000).await;
-    let heard = Arc::new(AtomicUsize::new(0));
-    let counted = heard.clone();
+    let received_bytes = Arc::new(AtomicUsize::new(0));
+    let counted = received_bytes.clone();
     tokio::spawn(async move {
         while let Ok((mut stream, _)) = silent_relay.accept().await {
             let counted = counted.clone();
@@ -393,7 +393,10 @@
     cluster.submit(1..20).await;
     cluster.wait_for_all(1..20).await;
     cluster.check_starts();
-    assert!(heard.load(Ordering::Relaxed) > 0, "it was asked to carry");
+    assert!(
+        received_bytes.load(Ordering::Relaxed) > 0,
+        "the holder contacted the relay"
+    );
     // A relay that never sends a welcome is given no orders.
     if text.is_empty() {
         assert_eq!(cluster.lines.count("relay: lost"), 0);
@@ -549,24 +552,26 @@
         stream.write_all(&hello).await.expect("an open connection");
         stream
     };
-    let carries = async |stream: &mut TcpStream| {
+    let is_welcomed = async |stream: &mut TcpStream| {
         let mut said = [0; WELCOME_FRAME.len()];
         let read = stream.read_exact(&mut said);
         let read = timeout(TEST_TIMEOUT, read).await.expect("in time");
         read.is_ok_and(|_| said == WELCOME_FRAME)
     };
     let mut former = connect(5).await;
-    assert!(carries(&mut former).await);
+    assert!(is_welcomed(&mut former).await);
     let mut latest = connect(7).await;
-    assert!(carries(&mut latest).await);
+    assert!(is_welcomed(&mut latest).await);
     // Its connection ends with the next message that it sends.
     former.write_all(&EMPTY_ORDERS_FRAME).await.expect("an open connection");
-    timeout(TEST_TIMEOUT, read_to_end(former)).await.expect("it is ended");
+    timeout(TEST_TIMEOUT, read_to_end(former))
+        .await
+        .expect("the connection ends");
     let mut between = connect(6).await;
-    assert!(!carries(&mut between).await, "there is a later holder");
+    assert!(!is_welcomed(&mut between).await, "there is a later holder");
     // The latest holder reconnects after losing its connection.
     let mut again = connect(7).await;
-    assert!(carries(&mut again).await);
+    assert!(is_welcomed(&mut again).await);
 }
 
 /// One relay sends its welcome at once and the other never does, so that the
@@ -623,8 +628,8 @@
     listener: TcpListener,
     relay: SocketAddr,
 ) -> Arc<AtomicUsize> {
-    let carried = Arc::<AtomicUsize>::default();
-    let counted = carried.clone();
+    let relayed_bytes = Arc::<AtomicUsize>::default();
+    let counted = relayed_bytes.clone();
     tokio::spawn(async move {
         while let Ok((holder, _)) = listener.accept().await {
             let relay = TcpStream::connect(relay).await.expect("a relay");
@@ -634,7 +639,7 @@
             tokio::spawn(copy_bytes(from_relay, to_holder, Arc::default()));
         }
     });
-    carried
+    relayed_bytes
 }
 
 async fn copy_bytes(
@@ -664,19 +669,20 @@
     let relay = cluster.relay_address_of("relay-1").await;
     let between = listen().await;
     cluster.offer("relay-1", address_of(&between), 1_000).await;
-    let carried = proxy_connections(between, relay);
+    let relayed_bytes = proxy_connections(between, relay);
     cluster.submit(1..10).await;
     cluster.wait_for_all(1..10).await;
     cluster.fleet.set_work_ms(60_000);
     cluster.submit(10..12).await;
     wait_until(async || !cluster.fleet.running().is_empty()).await;
-    let begun = carried.load(Ordering::Relaxed);
-    wait_until(async || carried.load(Ordering::Relaxed) > begun).await;
+    let initial_bytes = relayed_bytes.load(Ordering::Relaxed);
+    wait_until(async || relayed_bytes.load(Ordering::Relaxed) > initial_bytes)
+        .await;
     cluster.store.faults().set_outage(true);
     sleep(UNCERTAIN_LEASE_WAIT).await;
-    let before = carried.load(Ordering::Relaxed);
+    let before = relayed_bytes.load(Ordering::Relaxed);
     sleep(UNCERTAIN_LEASE_WAIT).await;
-    assert_eq!(carried.load(Ordering::Relaxed), before);
+    assert_eq!(relayed_bytes.load(Ordering::Relaxed), before);
     assert!(!cluster.fleet.running().is_empty(), "they were asked directly");
     drop(holder);
 }
@@ -697,14 +703,14 @@
 async fn one_relay_serves_the_successor_of_a_partitioned_holder() {
     let cluster = Cluster::new();
     cluster.fleet.set_work_ms(TASK_DURATION_MS);
-    let (cut, lines) = (Faults::new(7), CapturedLog::default());
+    let (store_faults, lines) = (Faults::new(7), CapturedLog::default());
     let log = Logger::root(lines.clone().fuse(), o!());
     let cut_off = |seed| {
         let orders = Faults::new(seed);
         orders.set_outage(true);
         cluster.fleet.reached_with(orders)
     };
-    let store = cluster.store.reached_with(cut.clone());
+    let store = cluster.store.reached_with(store_faults.clone());
     let former = start(store, cut_off(3), "former", HOLDER_STRENGTH, &log);
     let _former = former.await;
     cluster.wait_for_holder().await;
@@ -716,7 +722,7 @@
 
     // The former holder reaches no worker, so it must not relay either.
     cluster.store.delete("relay/former").await.expect("a store");
-    cut.set_outage(true);
+    store_faults.set_outage(true);
     let (store, fleet) = (cluster.store.clone(), cut_off(6));
     let log = cluster.log();
     let _next = start(store, fleet, "next", HOLDER_STRENGTH, &log).await;
@@ -725,7 +731,7 @@
     assert_eq!(
         lines.count(LEASE_RELEASED_MESSAGE),
         0,
-        "it goes on with what it knows"
+        "the former holder continues without the store"
     );
     cluster.submit(30..40).await;
     cluster.wait_for_all(1..40).await;
@@ -734,7 +740,7 @@
 
     // With the store back, the former holder stays a follower.
     let after = owner().await;
-    cut.set_outage(false);
+    store_faults.set_outage(false);
     cluster.submit(40..50).await;
     cluster.wait_for_all(40..50).await;
     cluster.check_starts();
