--- a/crates/dewspard/src/jobs/election.rs
+++ b/crates/dewspard/src/jobs/election.rs
@@ -178,7 +178,7 @@
     /// until the node stops.
     pub(super) async fn run(mut self) {
         let incarnation = self.incarnation;
-        let mut known = String::new();
+        let mut last_holder = String::new();
         self.write_strength().await;
         while !*self.stopping.borrow() {
             if !self.readiness.is_ready() {
@@ -192,10 +192,10 @@
                     version,
                     store_version,
                 }) => {
-                    if owner != known {
+                    if owner != last_holder {
                         info!(self.log, "election: another node schedules";
                             "holder" => &owner, "revision" => version);
-                        known = owner;
+                        last_holder = owner;
                     }
                     let weak = is_much_weaker(strength, self.strength);
                     if weak && !self.is_overloaded() {
@@ -204,7 +204,7 @@
                     self.wait_for_change(store_version).await;
                 }
                 Ok(seen) => {
-                    known.clear();
+                    last_holder.clear();
                     if self.defer_to_stronger(&seen).await {
                         self.take_and_schedule(seen, incarnation).await;
                     }
@@ -252,35 +252,38 @@
         let strength = |node: &Versioned| -> Option<u64> {
             passed_over::read(&self.log, "strength of a node", node)
         };
-        let most = nodes.iter().filter_map(strength).max();
-        Ok((nodes.len(), most.unwrap_or(self.strength)))
+        let max_strength = nodes.iter().filter_map(strength).max();
+        Ok((nodes.len(), max_strength.unwrap_or(self.strength)))
     }
 
     /// Waits if this node is weak or was overloaded; returns whether the lease
     /// is still in the state that was seen.
     async fn defer_to_stronger(&self, seen: &LeaseState) -> bool {
-        let most = match self.count_and_max_strength().await {
-            Ok((_, most)) => most.max(1),
+        let max_strength = match self.count_and_max_strength().await {
+            Ok((_, max_strength)) => max_strength.max(1),
             Err(error) => {
                 counters::platform_failure(&error);
                 return true;
             }
         };
         let overloaded = self.is_overloaded();
-        let weak = is_much_weaker(self.strength, most) || overloaded;
-        let free = match seen {
+        let weak = is_much_weaker(self.strength, max_strength) || overloaded;
+        let free_version = match seen {
             LeaseState::Free => Some(0),
             LeaseState::Orphaned(version) => Some(*version),
             LeaseState::FormerProcess(_)
             | LeaseState::ThisProcess(_)
             | LeaseState::Other { .. } => None,
         };
-        let Some(free) = free.filter(|_| weak) else { return true };
-        let percent = if overloaded { 0 } else { self.strength * 100 / most };
+        let Some(free_version) = free_version.filter(|_| weak) else {
+            return true;
+        };
+        let percent =
+            if overloaded { 0 } else { self.strength * 100 / max_strength };
         let delay = MAX_WEAK_DELAY_MS * (100 - percent) / 100;
         sleep(Duration::from_millis(delay)).await;
         // Another node may hold it by now.
-        self.store.version(keys::OWNER).await == Ok(free)
+        self.store.version(keys::OWNER).await == Ok(free_version)
     }
 
     async fn read_lease(
@@ -333,9 +336,8 @@
     /// that a live owner would have written it again.
     fn is_orphaned(&mut self, version: u64) -> bool {
         let now_ms = clock::now_ms();
-        let known = self
-            .unreadable_owner
-            .filter(|unreadable_owner| unreadable_owner.version == version);
+        let known =
+            self.unreadable_owner.filter(|owner| owner.version == version);
         let unreadable_owner =
             known.unwrap_or(UnreadableOwner { version, since_ms: now_ms });
         self.unreadable_owner = Some(unreadable_owner);
@@ -343,7 +345,7 @@
     }
 
     /// Returns the identity under which orders to the VM service are recorded.
-    pub(super) fn orderer(&self) -> OrderIssuer {
+    pub(super) fn order_issuer(&self) -> OrderIssuer {
         let (node, incarnation) = (self.node.clone(), self.incarnation);
         OrderIssuer { node, incarnation }
     }
@@ -389,7 +391,7 @@
     }
 
     async fn wait_for_change(&self, store_version: u64) {
-        let gone = async {
+        let changed = async {
             let mut watch =
                 self.store.watch(keys::OWNER, store_version).await?;
             loop {
@@ -398,7 +400,7 @@
                 }
             }
         };
-        match timeout(POLL_INTERVAL, gone).await {
+        match timeout(POLL_INTERVAL, changed).await {
             Ok(Ok(())) => {
                 let jitter = clock::unix_ms() ^ self.node.len() as u64;
                 let jitter = Duration::from_millis(jitter % MAX_JITTER_MS);
--- a/crates/dewspard/src/jobs/front.rs
+++ b/crates/dewspard/src/jobs/front.rs
@@ -179,8 +179,8 @@
         body: &[u8],
         arrived: Instant,
     ) -> JobReply {
-        let reading = self.reader.borrow().clone();
-        let Some(queues) = &reading.intent.queues else {
+        let snapshot = self.reader.borrow().clone();
+        let Some(queues) = &snapshot.intent.queues else {
             counters::count_by(counters::REFUSALS, "reason", "no_config");
             return JobReply::NotDone { retry_after_ms: RETRY_AFTER_MS };
         };
@@ -193,7 +193,7 @@
             }
         };
         let reply = self.execute(&call, queues, arrived).await;
-        self.record_call(&call, queues, &reading, &reply, arrived);
+        self.record_call(&call, queues, &snapshot, &reply, arrived);
         reply
     }
 
@@ -201,7 +201,7 @@
         &self,
         call: &JobCall,
         queues: &QueueSet,
-        reading: &intent::Snapshot,
+        snapshot: &intent::Snapshot,
         reply: &JobReply,
         arrived: Instant,
     ) {
@@ -220,7 +220,8 @@
         };
         info!(self.log, "call: answered"; "operation" => operation,
             "job" => id.map(JobId::to_string), "queue" => &call.queue,
-            "version" => queues.version(), "config_age_ms" => reading.age_ms(),
+            "version" => queues.version(),
+            "config_age_ms" => snapshot.age_ms(),
             "deadline_ms" => call.deadline_ms, "outcome" => outcome,
             "count" => count,
             "took_ms" => took.as_millis() as u64);
@@ -241,8 +242,8 @@
             .unwrap_or(DEFAULT_DEADLINE_MS);
         let requested_ms = call.deadline_ms.unwrap_or(timeout_ms);
         let deadline_ms = requested_ms.min(timeout_ms);
-        let left_ms = deadline_ms.saturating_sub(RESPONSE_RESERVE_MS);
-        let deadline = arrived + Duration::from_millis(left_ms);
+        let remaining_ms = deadline_ms.saturating_sub(RESPONSE_RESERVE_MS);
+        let deadline = arrived + Duration::from_millis(remaining_ms);
         match &call.operation {
             JobOperation::Submit { id, spec } => {
                 self.submit(queues, *id, spec, deadline).await
--- a/crates/dewspard/src/jobs/holder.rs
+++ b/crates/dewspard/src/jobs/holder.rs
@@ -376,7 +376,7 @@
     }
 
     fn apply_fleet_state(&mut self, fleet_state: LoadedFleetState, now: Now) {
-        let orderer = self.candidate.orderer();
+        let orderer = self.candidate.order_issuer();
         self.vm_orders.found(fleet_state.vm_orders.version);
         let ordered = fleet_state.vm_orders.vms.as_ref();
         self.vm_orders_recorded = ordered.is_some_and(|vms| !vms.is_empty());
@@ -542,7 +542,8 @@
         if orders.is_empty() && !self.vm_orders_recorded {
             return;
         }
-        let vms = self.scheduler.ordered_vms(now, &self.candidate.orderer());
+        let vms =
+            self.scheduler.ordered_vms(now, &self.candidate.order_issuer());
         // The record doesn't say how old it is: a VM that stayed in it would be
         // left alone anew by each later holder, and no crash there be counted.
         if orders.is_empty() && !vms.is_empty() {
--- a/crates/dewspard/src/jobs/keys.rs
+++ b/crates/dewspard/src/jobs/keys.rs
@@ -106,7 +106,7 @@
 }
 
 /// Parses the job identifier from a key of [`PROGRESS`].
-pub(super) fn job_of_progress(key: &str) -> Option<JobId> {
+pub(super) fn parse_progress(key: &str) -> Option<JobId> {
     key.strip_prefix(PROGRESS)?.parse().ok()
 }
 
@@ -123,6 +123,6 @@
 }
 
 /// Parses the wave number from a key of [`WAVES`].
-pub(super) fn wave_of(key: &str) -> Option<u64> {
+pub(super) fn parse_wave(key: &str) -> Option<u64> {
     key.strip_prefix(WAVES)?.parse().ok()
 }
--- a/crates/dewspard/src/jobs/lookup.rs
+++ b/crates/dewspard/src/jobs/lookup.rs
@@ -90,7 +90,7 @@
     }
 
     /// Uses the holder's counts, or the ones that one node makes for all nodes
-    /// when the holder's are unfit.
+    /// when the holder's are unusable.
     async fn read_counts(
         &self,
         reader: &mut CountsReader,
@@ -100,7 +100,8 @@
         let now_ms = clock::now_ms();
         let record = reader.evaluate(found.as_ref(), now_ms);
         info!(self.log, "call: counts of waiting jobs read";
-            "counts" => to_json(&record.counts()), "unfit" => record.unusable_reason(),
+            "counts" => to_json(&record.counts()),
+            "unfit" => record.unusable_reason(),
             "store_version" => found.map_or(0, |found| found.version),
             "unchanged_ms" => reader.unchanged_ms(now_ms));
         let reason = match record {
@@ -170,7 +171,7 @@
         let phases: BTreeMap<JobId, Phase> = progress
             .iter()
             .filter_map(|item| {
-                let id = keys::job_of_progress(&item.key)?;
+                let id = keys::parse_progress(&item.key)?;
                 let stored = serde_json::from_slice::<Progress>(&item.value);
                 Some((
                     id,
--- a/crates/dewspard/src/jobs/readiness.rs
+++ b/crates/dewspard/src/jobs/readiness.rs
@@ -39,8 +39,9 @@
     /// Returns whether calls may be accepted: the store is reachable, and the
     /// configuration is recent enough.
     pub(super) fn is_current(&self) -> bool {
-        let reading = self.reader.borrow();
-        reading.intent.queues.is_some() && reading.age_ms() <= self.max_age_ms
+        let snapshot = self.reader.borrow();
+        snapshot.intent.queues.is_some()
+            && snapshot.age_ms() <= self.max_age_ms
     }
 
     /// Returns whether the load balancer should send callers here.
--- a/crates/dewspard/src/jobs/takeover.rs
+++ b/crates/dewspard/src/jobs/takeover.rs
@@ -223,7 +223,7 @@
 
 impl LoadedJobs {
     fn add_progress(&mut self, item: &Versioned, log: &Logger) {
-        let Some(id) = keys::job_of_progress(&item.key) else { return };
+        let Some(id) = keys::parse_progress(&item.key) else { return };
         match serde_json::from_slice::<Progress>(&item.value) {
             Ok(found) => {
                 self.progress.insert(id, found);
--- a/crates/dewspard/src/jobs/vm_orders.rs
+++ b/crates/dewspard/src/jobs/vm_orders.rs
@@ -247,7 +247,7 @@
     let (_, stored) = store.list(keys::WAVES).await?;
     let mut waves = LoadedWaves::default();
     for item in &stored {
-        let Some(wave) = keys::wave_of(&item.key) else { continue };
+        let Some(wave) = keys::parse_wave(&item.key) else { continue };
         waves.versions.insert(wave, item.version);
         match serde_json::from_slice(&item.value) {
             Ok(WithOthers { record, other }) => {
