--- a/crates/dewspar/src/schedule/mod.rs
+++ b/crates/dewspar/src/schedule/mod.rs
@@ -96,7 +96,6 @@
 */
 
 pub use self::{
-    duty::{OrderIssuer, OrderedVms, RecentVmOrder},
     options::Options,
     order::{
         ActiveRun, EndCause, EndedRun, HoldOrder, HoldReport, Incarnation,
@@ -113,8 +112,9 @@
     vm::{
         ManagedVm, VmOrder, VmOrderError, VmStatus, WaveRecord, WaveRequest,
     },
-    wave_account::{RemainingVms, WaveDeadline, WaveProgress},
-    wave_choice::WavePace,
+    vm_orders::{OrderIssuer, OrderedVms, RecentVmOrder},
+    wave_progress::{RemainingVms, WaveDeadline, WaveProgress},
+    wave_selection::WavePace,
 };
 
 use {
@@ -126,7 +126,6 @@
 mod cancelled;
 mod crash_bursts;
 mod directory;
-mod duty;
 mod forecast;
 mod full_pools;
 mod hold_answers;
@@ -143,9 +142,9 @@
 mod pacing;
 mod placement;
 mod policy;
+mod poll_limit;
 mod processes;
 mod projection;
-mod questions;
 mod record_merge;
 mod reservations;
 mod scheduler;
@@ -158,9 +157,10 @@
 mod unreadable_jobs;
 mod unseen_starts;
 mod vm;
+mod vm_orders;
 mod vm_stability;
-mod wave_account;
-mod wave_choice;
+mod wave_progress;
+mod wave_selection;
 mod wave_state;
 mod worker;
 mod workers;
--- a/crates/dewspar/src/schedule/placement.rs
+++ b/crates/dewspar/src/schedule/placement.rs
@@ -101,7 +101,7 @@
         );
         // Taken out, since starting something changes the scheduler.
         let candidates = mem::take(&mut self.candidates);
-        if self.knows_suspects {
+        if self.has_suspects {
             // Of any job of former holders, where a worker was lost unheard.
             let all = !self.uncounted_pools.is_empty();
             let suspects: Vec<TaskId> = candidates
@@ -134,10 +134,11 @@
         self.candidates = candidates;
         // Else some that were without a place weren't looked at.
         if self.may_start() {
-            self.without_place.retain(|pool, _| without_place.contains(pool));
+            self.unplaced_since_ms
+                .retain(|pool, _| without_place.contains(pool));
         }
         for pool in without_place {
-            self.without_place.entry(pool).or_insert(now.steady_ms);
+            self.unplaced_since_ms.entry(pool).or_insert(now.steady_ms);
         }
     }
 
@@ -364,8 +365,9 @@
         let job = self.jobs.get(&task.job);
         let state = job.and_then(|job| job.task(task));
         let demand = demand(spec);
-        let guarded = job
-            .is_none_or(|job| !self.unguarded_pools.contains(&job.terms.pool));
+        let guarded = job.is_none_or(|job| {
+            !self.unenforced_pools.contains(&job.terms.pool)
+        });
         let known = state.zip(job);
         let colocation = known.map(|(state, job)| {
             self.colocation(spec, state, &job.terms.pool, now)
@@ -414,7 +416,7 @@
         pool: &str,
         now: Now,
     ) -> bool {
-        !self.unguarded_pools.contains(pool)
+        !self.unenforced_pools.contains(pool)
             || worker.has_current_room(now.steady_ms, MAX_REPORT_AGE_MS)
     }
 
@@ -534,7 +536,7 @@
     /// Returns whether a worker wasn't asked yet that may run what a former
     /// holder started.
     fn has_unsynced_workers(&self, pool: &str, now: Now) -> bool {
-        !self.lives_known
+        !self.workers_known
             || self.workers.in_pool(pool).any(|(_, worker)| {
                 !worker.runs_are_known()
                     && now.steady_ms <= worker.lease_over_ms
--- a/crates/dewspar/src/schedule/start_log.rs
+++ b/crates/dewspar/src/schedule/start_log.rs
@@ -185,7 +185,7 @@
             run: state.run,
             worker: worker.to_string(),
             vm: vm.unwrap_or_default(),
-            born_unix_ms: state.ordered_process.born_unix_ms(),
+            born_unix_ms: state.ordered_process.started_unix_ms(),
             crashes: state.crashes.count,
             unseen: state.crashes.unseen_on_record(),
         })
@@ -270,7 +270,7 @@
             taken_in |= self.merge_logged_start(start);
         }
         if taken_in {
-            self.knows_suspects = true;
+            self.has_suspects = true;
             self.start_logs.unstored.insert(id);
             self.mark_changed(id);
         }
@@ -299,7 +299,8 @@
         state.crashes = Crashes::restored(&record);
         state.crashes.may_have_begun = true;
         let born = start.born_unix_ms;
-        let process = born.map_or(Incarnation::UNKNOWN, Incarnation::born_at);
+        let process =
+            born.map_or(Incarnation::UNKNOWN, Incarnation::started_at);
         let told = RecordedStart::of(WorkerId::new(&start.worker), process);
         self.note_recorded_start(start.task, told, &start.vm);
         true
--- a/crates/dewspar/tests/schedule/worker_capacity.rs
+++ b/crates/dewspar/tests/schedule/worker_capacity.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn starts_fit_what_a_worker_says_of_itself_now() {
+fn starts_fit_the_newest_reported_capacity() {
     let mut world = world_of_one();
     world.scheduler.submit(id(1), job(vec![step(4)]), 6, None);
     world.run_for(100);
@@ -48,9 +48,9 @@
 }
 
 #[test]
-fn what_is_being_stopped_takes_its_room_until_its_end_is_listed() {
+fn a_stopping_run_uses_its_room_until_its_end_is_reported() {
     let mut world = world_of_one();
-    world.scheduler.guard_pools([POOL.to_owned()].into());
+    world.scheduler.enforce_capacity([POOL.to_owned()].into());
     world.scheduler.submit(id(1), job(vec![step(4)]), 6, None);
     world.run_for(100);
     world.cut.push(WorkerId::new("w1"));
@@ -61,11 +61,11 @@
 }
 
 #[test]
-fn a_room_that_is_not_guarded_must_have_been_told_of_late() {
+fn unenforced_capacity_must_be_reported_recently() {
     for guarded in [true, false] {
         let mut world = world_of_one();
         if !guarded {
-            world.scheduler.guard_pools([POOL.to_owned()].into());
+            world.scheduler.enforce_capacity([POOL.to_owned()].into());
         }
         // The directory can't be read any more.
         world.run_for(4_000);
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn nothing_starts_in_an_unguarded_room_beside_a_run_of_unknown_size() {
+fn nothing_starts_beside_a_run_of_unknown_size_on_unenforced_capacity() {
     for guarded in [true, false] {
         let mut world = World::new(5, &["w1"]);
         world.list();
@@ -99,7 +99,7 @@
             .start(900, &order, ROOM, Fate::endless())
             .expect("room for it");
         if !guarded {
-            world.scheduler.guard_pools([POOL.to_owned()].into());
+            world.scheduler.enforce_capacity([POOL.to_owned()].into());
         }
         world.expect_all();
         let now = at(world.now_ms);
--- a/crates/dewspard/src/jobs/decisions.rs
+++ b/crates/dewspard/src/jobs/decisions.rs
@@ -181,7 +181,7 @@
     };
     info!(log, "{}", message; "wave" => wave, "vms" => vms, "begun" => begun,
         "left" => left.total(), "down" => down, "room" => room,
-        "looks" => progress.looks, "hindrance" => progress.hindrance,
+        "looks" => progress.passes, "hindrance" => progress.blocker,
         "left_ms" => pace.left_ms,
         "needed_ms" => pace.needed_ms, "parallel" => pace.parallel,
         "under_way" => pace.under_way, "due" => pace.due, "may_wait" => pace.may_wait,
--- a/crates/dewspard/src/jobs/holder.rs
+++ b/crates/dewspard/src/jobs/holder.rs
@@ -274,7 +274,7 @@
         let waited_ms = now.steady_ms.saturating_sub(sent_ms);
         self.load_stats.event_received(waited_ms);
         let scheduler = &mut self.scheduler;
-        scheduler.event_waited(waited_ms, now);
+        scheduler.record_event_delay(waited_ms, now);
         match event {
             Event::Feed(feed) => self.apply_feed(feed, FeedOrigin::Feed),
             Event::JobsLoaded(jobs) => self.apply_loaded_jobs(jobs),
@@ -318,7 +318,9 @@
             Event::MoveAnswered { vm, pool, result } => {
                 scheduler.move_answered(&vm, &pool, result, now);
             }
-            Event::WaveReportFailed { wave } => scheduler.report_failed(wave),
+            Event::WaveReportFailed { wave } => {
+                scheduler.wave_report_failed(wave)
+            }
             Event::LeaseRenewed { sent_ms } => {
                 self.held.renewed_ms = self.held.renewed_ms.max(sent_ms);
                 scheduler.lease_renewed(sent_ms);
@@ -380,7 +382,7 @@
         self.vm_orders.found(fleet_state.vm_orders.version);
         let ordered = fleet_state.vm_orders.vms.as_ref();
         self.vm_orders_recorded = ordered.is_some_and(|vms| !vms.is_empty());
-        self.scheduler.leave_vms_alone(
+        self.scheduler.hold_off_vm_orders(
             now,
             &orderer,
             fleet_state.vm_orders.vms,
@@ -521,7 +523,7 @@
         let free = queues.free_pools().iter().cloned();
         self.scheduler.configure_pools(serving.collect(), free.collect());
         let unguarded = queues.unguarded_pools().iter().cloned();
-        self.scheduler.guard_pools(unguarded.collect());
+        self.scheduler.enforce_capacity(unguarded.collect());
         let queues = queues.queues().iter();
         self.scheduler.configure(queues.map(|q| (q.name.as_str(), &q.terms)));
     }
