--- a/crates/dewspar/tests/schedule/cancelling.rs
+++ b/crates/dewspar/tests/schedule/cancelling.rs
@@ -1,4 +1,4 @@
-//! How the runs of a cancelled job come to their end.
+//! How the runs of a cancelled job end.
 
 use {
     crate::{
@@ -9,7 +9,7 @@
     dewspar_standin::task_worker::Fate,
 };
 
-/// A world in which one lasting run of job 1 is at work.
+/// A world in which one endless run of job 1 is active.
 fn world_with_an_endless_run() -> World {
     let mut world = World::new(7, &["w1"]);
     world.fate = Fate::endless();
@@ -37,15 +37,15 @@
     told.collect()
 }
 
-// A run was at work for 14 s after its job's cancelling, and the logs didn't
-// tell why: of 2,127 runs marked to be stopped they held the end of 200. The
-// cancelled job is stored as over at once, and ends of jobs that are over were
-// passed over without a line.
+// Guards against a stop that leaves no trace in the logs. A run continued for
+// 14 s after its job was cancelled, and of 2,127 runs marked to stop the logs
+// held the ends of 200: a cancelled job is stored as over at once, and ends of
+// such jobs were passed over without a log line.
 #[test]
 fn the_end_of_a_cancelled_jobs_run_is_reported_though_the_job_is_stored() {
     let mut world = world_with_an_endless_run();
     world.scheduler.cancel(id(1), at(world.now_ms));
-    // The first order to stop it is lost.
+    // The first order to stop the run is lost.
     world.cut.push(listing("w1").id);
     world.run_for(50);
     world.cut.clear();
@@ -114,12 +114,13 @@
     assert!(told > 0);
 }
 
-/// How long after the acknowledgement of a cancelling a run may go on, in
-/// milliseconds: 5 s until nothing starts, and what a stop may take.
+/// The maximum time that a run may continue after its cancellation was
+/// acknowledged, in milliseconds: 5 s until nothing starts, and the time that
+/// a stop may take.
 const MAX_RUN_AFTER_CANCEL_MS: u64 = 5_000 + 900;
 
-/// A chain whose first holder has started a lasting run of job 1 on each of
-/// these workers.
+/// Returns a chain whose first holder has started endless runs of job 1 on
+/// each of these workers.
 fn chain_with_endless_runs(names: &[&str]) -> HolderChain {
     let mut chain = HolderChain::new(names);
     chain.world.fate = Fate::endless();
@@ -131,8 +132,8 @@
     chain
 }
 
-/// Cancels job 1 under a holder whose orders to stop its runs come to nothing
-/// and which is gone as soon as the job is stored as cancelled.
+/// Cancels job 1 under a holder whose orders to stop the runs are lost, and
+/// which is gone as soon as the job is stored as cancelled.
 fn cancel_and_lose_the_stops(chain: &mut HolderChain) {
     chain.stops = StopDelivery::Lost;
     chain.cancel(1);
@@ -141,13 +142,13 @@
     chain.stops = StopDelivery::Delivered;
 }
 
-// After a write that was refused, holder followed holder, each for 0.8 to 2.5 s
-// of which 0.74 s went into loading. A run went on for 14 s after its job's
-// cancelling: the holder that took it in had stored the job as over, with which
-// the entry of the cancelling went, and was gone before the order to stop had
-// come to anything. Each later one read the cancellings first and found none,
-// left the run alone as one of a job that it hadn't loaded, and renewed its
-// lease.
+// Guards against a run that survives its job's cancellation under short-lived
+// holders. After a refused write, holders followed each other, each for 0.8 to
+// 2.5 s, of which loading took 0.74 s. The holder that took the cancellation
+// stored the job as over, which deleted the cancellation's entry, and was gone
+// before any order to stop took effect. Each later holder read the
+// cancellations first, found none, left the run alone as one of a job that
+// wasn't loaded yet, and renewed its lease. The run continued for 14 s.
 #[test]
 fn a_cancelled_jobs_run_ends_though_no_holder_lasts_until_all_is_loaded() {
     let mut chain = chain_with_endless_runs(&["w1"]);
@@ -160,7 +161,7 @@
 }
 
 // The same under holders that last longer than they load, but have so many
-// workers to ask that a question after the loading comes too late.
+// workers to ask that a hold after loading comes too late.
 #[test]
 fn a_cancelled_jobs_run_ends_though_each_holder_has_many_workers_to_ask() {
     let names: Vec<String> = (0..300).map(|n| format!("w{n:03}")).collect();
@@ -173,7 +174,7 @@
     chain.schedule_for(500);
     assert!(chain.runs(1));
     cancel_and_lose_the_stops(&mut chain);
-    // 480 a second: all workers are asked once in the time of loading.
+    // 480 a second, so that all workers are asked once while the holder loads.
     chain.orders_a_plan = 12;
     chain.holders_for(MAX_RUN_AFTER_CANCEL_MS);
     assert!(!chain.runs(1));
@@ -232,7 +233,7 @@
     let mut chain = chain_with_endless_runs(&["w1", "w2"]);
     chain.world.listings[0].draining = true;
     chain.world.list();
-    // The other is listed nowhere from now on, but lives.
+    // The other worker isn't listed any more, but lives.
     chain.world.listings.truncate(1);
     chain.world.list();
     chain.cancel(1);
@@ -240,8 +241,8 @@
     assert!(!chain.runs(1));
 }
 
-// An order to start without an answer makes the holder raise its token for the
-// worker, which then gets nothing but a question; a stop goes out all the same.
+// An unanswered start makes the holder raise its token for the worker, which
+// then gets nothing but holds. A stop must be sent nevertheless.
 #[test]
 fn a_worker_whose_token_is_being_raised_is_told_to_stop() {
     let mut chain = chain_with_endless_runs(&["w1"]);
@@ -267,8 +268,8 @@
     assert!(!chain.runs(1));
 }
 
-// The order to start leaves before the cancelling and arrives after it, when
-// the holder that sent it is gone.
+// The order to start is sent before the cancellation and arrives after it,
+// when its holder is gone.
 #[test]
 fn a_run_ends_whose_start_arrives_after_the_cancellation() {
     let mut chain = HolderChain::new(&["w1"]);
@@ -295,7 +296,7 @@
     assert!(!chain.runs(1));
 }
 
-/// Returns whether the cancelling of job 1 needn't be on record any longer.
+/// Returns whether the cancellation of job 1 needn't stay on record.
 fn takes_settled_cancellation(world: &mut World) -> bool {
     let now = at(world.now_ms);
     let settled = world.scheduler.take_settled_cancellations(now, 31);
@@ -340,9 +341,9 @@
     assert!(!takes_settled_cancellation(&mut world), "it is taken once");
 }
 
-// How long the keys of a job that is over are kept goes by the time of day,
-// which is another node's and may jump by an hour. With them went the entry of
-// a cancelling whose run still went on.
+// Guards against a cancellation entry that expires while a run continues. The
+// retention of a finished job's keys goes by the wall clock of another node,
+// which may jump by an hour.
 #[test]
 fn a_cancellation_does_not_expire_while_a_run_of_its_job_may_go_on() {
     let mut world = world_with_an_endless_run();
@@ -401,8 +402,8 @@
     assert!(!takes_settled_cancellation(&mut world));
 }
 
-// Each question to a worker renews the lease of all that runs there. Where all
-// of it is to stop, that kept alive what no order to stop could reach.
+// Each hold renews the lease of all runs on a worker. If all of them are to
+// stop, this must not keep runs alive that no order to stop can reach.
 #[test]
 fn the_lease_of_a_worker_on_which_nothing_is_wanted_is_not_renewed() {
     let mut chain = chain_with_endless_runs(&["w1"]);
@@ -431,15 +432,16 @@
     assert!(chain.runs(2));
 }
 
-// A weak node asks 600 workers a second. Where each holder begins with the same
-// ones and lasts 1.2 s, the last of 1,100 workers are asked by none.
+// Guards against workers that no holder asks. A small node asks 600 workers a
+// second. If each holder begins with the same workers and lasts 1.2 s, the
+// last of 1,100 workers are never asked.
 #[test]
 fn short_lived_holders_do_not_all_skip_the_same_workers() {
     let names: Vec<String> = (0..1_100).map(|n| format!("w{n:04}")).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
     let mut chain = HolderChain::new(&names);
     chain.world.fate = Fate::endless();
-    // The run is on the last of them.
+    // The run is on the last worker.
     let all = chain.world.listings.clone();
     chain.world.listings = all[1_099..].to_vec();
     chain.world.list();
@@ -457,13 +459,13 @@
     assert!(!chain.runs(1));
 }
 
-/// How long a stop may wait for its turn, in milliseconds: a third of what a
-/// worker may take for it.
+/// The maximum time that a stop may wait to be sent, in milliseconds: a third
+/// of the time that a worker may take for it.
 const MAX_STOP_WAIT_MS: u64 = 300;
 
-// A node that sends 240 orders a second asked each of 400 workers as soon as it
-// had answered, so that more than a second's worth of questions was always under
-// way, and a stop behind them.
+// Guards against stops that queue behind holds. A node that sends 240 orders a
+// second asked each of 400 workers again as soon as it had answered, so that
+// more than a second's worth of holds was always in flight ahead of a stop.
 #[test]
 fn a_stop_does_not_queue_behind_holds() {
     let names: Vec<String> = (0..400).map(|n| format!("w{n:03}")).collect();
--- a/crates/dewspar/tests/schedule/chain.rs
+++ b/crates/dewspar/tests/schedule/chain.rs
@@ -1,5 +1,5 @@
-//! Holders that follow each other after a second or so, each loading what is
-//! open while it schedules.
+//! A chain of holders that follow each other after about a second, each
+//! loading the open jobs while it schedules.
 
 use {
     crate::world::{World, at, id},
@@ -12,48 +12,48 @@
     std::collections::{BTreeMap, BTreeSet},
 };
 
-/// How long each holder lasts, in milliseconds, and how long of that it loads.
-/// Holders that lost their lease to a refused write lasted 0.8 to 2.5 s; they
-/// loaded 1.5 MB in 0.74 s.
+/// How long each holder lasts, and how much of that it spends loading, in
+/// milliseconds. Holders that lost their lease to a refused write lasted 0.8
+/// to 2.5 s; they loaded 1.5 MB in 0.74 s.
 const HOLDER_MS: u64 = 1_200;
 const LOAD_MS: u64 = 700;
 
 /// How often a holder plans, in milliseconds.
 const PLAN_INTERVAL_MS: u64 = 25;
 
-/// What becomes of orders to stop.
+/// How orders to stop are delivered.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum StopDelivery {
     Delivered,
     /// Neither the order nor an answer arrives.
     Lost,
-    /// The worker is unhealthy and says so.
+    /// The worker refuses them as unhealthy.
     Refused,
 }
 
-/// A question whose answer the worker holds back until something ends.
+/// A hold whose answer the worker delays until something ends.
 struct Waiting {
     until_ms: u64,
     worker: WorkerId,
     held: SentHold,
 }
 
-/// A fleet, a store, and the holder that has the lease.
+/// A fleet, a store, and the current holder of the lease.
 pub struct HolderChain {
     pub world: World,
     pub stops: StopDelivery,
-    /// How many orders a holder can have answered in a plan's time.
+    /// The number of orders that a holder can complete per plan.
     pub orders_a_plan: usize,
     accepted: BTreeMap<JobId, (AcceptedJob, u64)>,
     cancelled: BTreeSet<JobId>,
     revision: u64,
     waiting: Vec<Waiting>,
-    /// The orders that the holder hasn't had the time to send.
+    /// The orders that the holder hasn't had time to send.
     queue: Vec<Action>,
 }
 
 impl HolderChain {
-    /// Begins with a holder that knows everything.
+    /// Starts with a holder that has loaded everything.
     pub fn new(names: &[&str]) -> HolderChain {
         let mut world = World::new(7, names);
         world.list();
@@ -77,22 +77,22 @@
         self.world.scheduler.submit(id, job, self.revision, None);
     }
 
-    /// A node stores that a job is cancelled, and the holder hears of it.
+    /// Stores the cancellation of a job, and passes it to the holder.
     pub fn cancel(&mut self, number: u64) {
         self.cancelled.insert(id(number));
         let now = at(self.world.now_ms);
         self.world.scheduler.cancel(id(number), now);
     }
 
-    /// Forgets jobs that were over for long, as the store does.
+    /// Forgets a job that was over for long, as the store does.
     pub fn forget(&mut self, number: u64) {
         self.world.stored.remove(&id(number));
         self.world.phases.remove(&id(number));
         self.cancelled.remove(&id(number));
     }
 
-    /// The holder is gone, with all that it meant to send; another one lasts
-    /// for a while and is gone as well.
+    /// Replaces the holder, whose unsent orders are lost, by one that lasts
+    /// for `HOLDER_MS` and loads all jobs.
     pub fn next_holder(&mut self) {
         self.begin();
         self.schedule_for(LOAD_MS);
@@ -100,7 +100,7 @@
         self.schedule_for(HOLDER_MS - LOAD_MS);
     }
 
-    /// Lets holders follow each other for so long.
+    /// Lets holders follow each other for this long.
     pub fn holders_for(&mut self, ms: u64) {
         let end_ms = self.world.now_ms + ms;
         while self.world.now_ms < end_ms {
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Lets another holder begin, which has loaded no job yet.
+    /// Starts another holder, which has loaded no job yet.
     pub fn begin(&mut self) {
         self.revision += 1;
         self.waiting.clear();
@@ -123,7 +123,7 @@
         self.world.expect_all();
     }
 
-    /// Loads all that the store has.
+    /// Loads everything in the store.
     pub fn load(&mut self) {
         let world = &mut self.world;
         for (id, (job, revision)) in &self.accepted {
@@ -139,7 +139,7 @@
         world.scheduler.finish_loading(at(world.now_ms));
     }
 
-    /// Lets the holder go on for so long.
+    /// Lets the holder schedule for this long.
     pub fn schedule_for(&mut self, ms: u64) {
         let end_ms = self.world.now_ms + ms;
         while self.world.now_ms < end_ms {
@@ -186,7 +186,7 @@
         }
     }
 
-    /// Answers questions whose time is up, or on whose worker something has
+    /// Answers the holds that have timed out, or on whose worker something has
     /// ended.
     fn answer_waiting(&mut self) {
         let now = at(self.world.now_ms);
@@ -194,7 +194,7 @@
             let Waiting { until_ms, worker, held } = &waiting;
             let acknowledged = held.order().acknowledged;
             let ended = self.world.reach(worker).is_some_and(|reached| {
-                // What ends with time does so by now.
+                // Lets the worker end the runs that are due by now.
                 reached.running(now.steady_ms);
                 let mut ended = reached.ended().iter();
                 ended.any(|end| end.number > acknowledged)
@@ -228,7 +228,7 @@
         }
     }
 
-    /// Returns whether anything of a job runs anywhere.
+    /// Returns whether any run of a job is active on any worker.
     pub fn runs(&mut self, number: u64) -> bool {
         let job = id(number).to_string();
         self.world.running().iter().any(|task| task.starts_with(&job))
--- a/crates/dewspar/tests/schedule/crashing.rs
+++ b/crates/dewspar/tests/schedule/crashing.rs
@@ -1,9 +1,11 @@
-//! A task may crash each worker that starts it. A crash lists no end, so the
-//! task had no failed run, waited again as if it had never been started, and
-//! crashed one worker after the other, without a limit: 67 runs of one task in
-//! 91 seconds. Whatever else stood on those workers went down with it and was
-//! started again beside it, so that a sound task was lost six times in a row.
-//! The holder stayed the same and each start came after the loss before:
+//! Tasks that crash each worker that starts them.
+//!
+//! A crash lists no end. Without crash detection, the task has no failed run,
+//! waits again as if it had never been started, and crashes one worker after
+//! the other without a limit: 67 runs of one task were seen in 91 s.
+//! Everything else on those workers is lost as well and is started again
+//! beside it, so that a sound task was lost six times in a row. The holder
+//! stayed the same, and each start came after the previous loss:
 //!
 //! ```text
 //! 42.278 task: start ordered  run=10 worker=A
@@ -24,8 +26,8 @@
     dewspar_standin::task_worker::Fate,
 };
 
-/// The most starts that a task may get of which each crashes its worker: three
-/// that show what it does, and fewer than three more.
+/// The maximum number of starts of a task that crashes its worker each time:
+/// three that detect it, and fewer than three more.
 pub const MAX_STARTS: usize = 5;
 
 pub fn first_task(job: JobId) -> TaskId {
@@ -92,7 +94,7 @@
         world.run_for(50);
     }
     for _ in 0..3 {
-        // Until the loss is known and stored.
+        // Wait until the loss is known and stored.
         world.run_for(1_000);
         revision += 2;
         world.take_over(revision);
@@ -120,7 +122,7 @@
     for number in 1..=30 {
         world.scheduler.submit(id(number), job(vec![step(3)]), 6, None);
     }
-    // Two of them go up and down, as fast as they come back.
+    // Two workers crash repeatedly, as soon as they are back.
     for _ in 0..60 {
         world.run_for(700);
         for vm in ["vm-of-w1", "vm-of-w2"] {
@@ -156,7 +158,8 @@
     let bad = first_task(id(1));
     world.crashing.push(bad);
     world.scheduler.submit(id(1), job(vec![step(1)]), 6, None);
-    // A former holder's successor must know before it may start it again.
+    // The next holder must know of the crashes before it may start the task
+    // again.
     world.outage = true;
     world.run_for(20_000);
     assert_eq!(starts_of(&world, &bad), 2);
@@ -194,7 +197,7 @@
     let mut world = World::new(5, &["w1", "w2", "w3"]);
     world.list();
     world.fate = Fate::done(800);
-    // A bad job now and then among sound ones, in a pool that is full.
+    // An occasional bad job among sound ones, in a full pool.
     for number in 1..=30 {
         if number % 5 == 0 {
             world.crashing.push(first_task(id(number)));
@@ -213,9 +216,10 @@
     }
 }
 
-/// Two holders in a row were killed within half a second of starts that crashed
-/// their workers, before either could see a crash. Nothing said that the task
-/// had been started, so the third began to count at its first start: 6 in all.
+/// Guards against a lost crash count when two holders in a row are killed
+/// within half a second of starts that crash their workers, before either can
+/// see a crash. If nothing records these starts, the third holder starts
+/// counting from zero, for 6 starts in all:
 ///
 /// ```text
 /// started again: 00000000000000c8.0.0.0, 6 crashes
@@ -234,8 +238,8 @@
             world.round();
             world.now_ms += 50;
         }
-        // Its holder is lost before it knows; the directory still lists the
-        // worker that has crashed.
+        // The holder is lost before it knows of the crash; the directory still
+        // lists the crashed worker.
         world.take_over(revision);
         let progress = world.stored.get(&id(1)).cloned();
         let accepted = job(vec![step(1)]);
@@ -249,11 +253,11 @@
     assert_eq!(world.phases[&id(1)], "failed");
 }
 
-/// A tenth of a queue's jobs crashed the workers that started them, within 31 ms,
-/// while the queue was at its peak. Each was started four times: once among some
-/// twenty others, again among twenty, since what goes down together is far more
-/// than there are workers to keep it apart on, and twice nearly by itself. Each
-/// crash took a worker out for 3.3 s:
+/// Guards against excessive losses when a tenth of a queue's jobs crash their
+/// workers within 31 ms at peak load. Without burst handling, each bad task
+/// was started four times: twice among some twenty other runs, since far more
+/// tasks become suspected than there are workers to isolate them on, and twice
+/// nearly alone. Each crash took a worker out for 3.3 s:
 ///
 /// ```text
 /// crashes under a bad task's first start   25, runs lost 491
@@ -262,8 +266,8 @@
 ///                           fourth start   25, runs lost 135
 /// ```
 ///
-/// Two sound tasks in three stood beside such a start at least once; 97 did so
-/// twice, and waited 4.1 s at the median to be found out about.
+/// Two sound tasks in three ran beside such a start at least once. 97 did so
+/// twice, and waited for a median of 4.1 s to be tested.
 #[test]
 fn many_crashing_tasks_at_once_lose_few_sound_runs() {
     let names = ["w1", "w2", "w3", "w4", "w5", "w6", "w7", "w8"];
--- a/crates/dewspar/tests/schedule/directory_reads.rs
+++ b/crates/dewspar/tests/schedule/directory_reads.rs
@@ -1,10 +1,11 @@
-//! A reading of the directory tells what was there when it was asked for.
+//! A read of the directory describes its content at the time of the request.
 //!
-//! Single workers are looked up beside the readings of the whole directory,
-//! which take a small link half a second or more. A reading that was asked for
-//! before a worker was looked up, and answered after it, doesn't know that
-//! worker: where its VM's former worker was still listed, the new one counted
-//! as replaced by the old one, and stayed so for as long as the lease lasted.
+//! Single workers are looked up in addition to reads of the whole directory,
+//! which take half a second or more on a small link. These tests guard against
+//! a read that is requested before such a lookup and answered after it. It
+//! doesn't contain the new worker and may still list the VM's former worker;
+//! the new one then counted as replaced by the old one for the rest of the
+//! lease.
 
 use {
     crate::world::{ROOM, at, id, job, listing, step},
@@ -14,7 +15,7 @@
     dewspar_standin::task_worker::TaskWorker,
 };
 
-/// The entry of a listing_on_vm of the worker on the one VM.
+/// Returns the entry of a worker on the only VM.
 fn listing_on_vm(name: &str) -> WorkerListing {
     WorkerListing { vm: "vm-1".to_owned(), ..listing(name) }
 }
@@ -40,13 +41,13 @@
     scheduler.list_worker(at(2_000), listing_on_vm("new"));
     scheduler.list_workers_as_of(1_500, at(2_500), vec![listing_on_vm("old")]);
     assert!(gone(&mut scheduler).is_empty());
-    // The next reading shows which of the two lives.
+    // The next read shows which of the two is alive.
     scheduler.list_workers_as_of(3_000, at(3_100), vec![listing_on_vm("new")]);
     assert_eq!(gone(&mut scheduler), ["old"]);
 }
 
-/// Plans twice, with every question answered by the one worker, and counts the
-/// starts.
+/// Plans twice, lets the only worker answer each hold, and returns the number
+/// of starts.
 fn starts(
     scheduler: &mut Scheduler,
     worker: &mut TaskWorker,
@@ -77,7 +78,8 @@
     scheduler.expect_workers(at(2_500), []);
     scheduler.submit(id(1), job(vec![step(1)]), 8, None);
     let mut starts_at = |scheduler: &mut Scheduler, now| {
-        // The first answer also says that it is the holder's now.
+        // The first answer also shows that the worker accepts this holder's
+        // token.
         starts(scheduler, &mut worker, now)
             + starts(scheduler, &mut worker, now)
     };
--- a/crates/dewspar/tests/schedule/in_doubt.rs
+++ b/crates/dewspar/tests/schedule/in_doubt.rs
@@ -1,5 +1,5 @@
-//! Starts whose orders got no answer, and are carried out late by their worker's
-//! next process, which has seen no token.
+//! Starts whose orders got no answer and are carried out late by their
+//! worker's next process, which has seen no token.
 
 use {
     crate::world::{World, at, id, job, step},
@@ -11,7 +11,7 @@
     std::collections::BTreeMap,
 };
 
-/// For how long an order may be late, in milliseconds.
+/// How late an order may be carried out, in milliseconds.
 const LATE_MS: u64 = 12_000;
 
 fn restarting(names: &[&str]) -> World {
@@ -23,7 +23,7 @@
     world
 }
 
-/// Loses the order to start a job's only task on its way; returns it with its
+/// Loses the order to start a job's only task in transit; returns it with its
 /// worker.
 fn lose_start(world: &mut World, job_id: JobId) -> (WorkerId, StartOrder) {
     let before = world.starts.len();
@@ -47,7 +47,7 @@
     let demand = Resources { cpu_millis: 1_000, ..Resources::default() };
     // OK because it is only called for workers that are up.
     let worker = world.workers.get_mut(id).expect("up");
-    // Refused where the token has been seen.
+    // Refused if the worker has seen a higher token.
     let _ = worker.start(clock, order, demand, Fate::endless());
 }
 
@@ -64,7 +64,7 @@
     world.running().iter().any(|task| task.starts_with(&prefix))
 }
 
-/// Fills a worker with tasks of a job that goes before all others.
+/// Fills a worker with tasks of a job of higher priority than all others.
 fn fill(world: &mut World, on: &WorkerId) {
     for listing in &mut world.listings {
         listing.draining = listing.id != *on;
@@ -78,8 +78,8 @@
     world.list();
 }
 
-// A start made void by a higher token was carried out by its worker's next process
-// while its task ran elsewhere.
+// Guards against an invalidated start that the worker's next process carries
+// out while its task runs elsewhere.
 #[test]
 fn a_void_start_is_not_carried_out_beside_another() {
     for late_ms in [500, 1_000, 2_000, 4_000, 8_000, 11_000] {
@@ -104,7 +104,8 @@
     }
 }
 
-// The same, where a holder that knew of it was followed by one that didn't.
+// The same, if a holder that knew of the start is followed by one that
+// doesn't.
 #[test]
 fn a_void_start_of_a_former_holder_is_not_carried_out_beside_another() {
     for late_ms in [300, 1_000, 4_000] {
@@ -112,7 +113,7 @@
         world.fate = Fate::endless();
         world.scheduler.submit(id(1), job(vec![step(1)]), 6, None);
         let (on, order) = lose_start(&mut world, id(1));
-        // Made void by the former holder, and stored.
+        // Invalidated by the previous holder, and stored as in doubt.
         world.run_for(50);
         let progress = world.stored.get(&id(1)).cloned();
         let record = &progress.as_ref().expect("stored").tasks[0];
@@ -135,8 +136,9 @@
     }
 }
 
-// An order without an answer to a worker that was first known to have ended was
-// carried out by its next process, while its task ran elsewhere.
+// Guards against an unanswered start that the next process of a worker carries
+// out while its task runs elsewhere, if the worker was first known to have
+// ended.
 #[test]
 fn a_start_is_not_carried_out_late_after_its_worker_was_known_to_have_ended() {
     let mut world = restarting(&["w1", "w2"]);
@@ -158,7 +160,7 @@
     assert!(runs(&mut world, id(1)));
 }
 
-/// A worker that answers takes the task again at once.
+/// A worker that answers gets the task again at once.
 #[test]
 fn a_task_in_doubt_starts_again_at_once_where_its_worker_answers() {
     let mut world = restarting(&["w1", "w2"]);
@@ -171,7 +173,7 @@
     assert_eq!(world.phases[&id(1)], "completed");
 }
 
-/// It starts elsewhere once the order can't be carried out any more.
+/// The task starts elsewhere once the order can't be carried out any more.
 #[test]
 fn a_task_in_doubt_whose_worker_is_gone_starts_elsewhere_after_the_delivery_limit()
  {
@@ -191,8 +193,8 @@
     assert_eq!(world.phases[&id(1)], "completed");
 }
 
-/// A worker of another name on the same VM refuses the order: its task needn't
-/// wait.
+/// A worker of another name on the same VM refuses the order, so the task
+/// needn't wait.
 #[test]
 fn a_task_in_doubt_starts_elsewhere_once_its_vm_runs_another_worker() {
     let mut world = restarting(&["w1", "w2"]);
@@ -207,7 +209,8 @@
     assert_eq!(world.starts.len(), 2);
 }
 
-/// Copies do no harm: a task of which some may run starts elsewhere at once.
+/// A task of which copies may run starts elsewhere at once, since a copy does
+/// no harm.
 #[test]
 fn a_task_of_which_copies_may_run_is_never_in_doubt() {
     let copies = StepSpec { may_duplicate: true, ..step(1) };
--- a/crates/dewspar/tests/schedule/loading.rs
+++ b/crates/dewspar/tests/schedule/loading.rs
@@ -15,10 +15,10 @@
     std::collections::BTreeMap,
 };
 
-/// What the tasks of job 1 do.
+/// The outcome of the tasks of job 1.
 const WORK: Fate = Fate::done(2_000);
 
-/// A fleet on which a former holder has started two tasks of job 1.
+/// A fleet on which a previous holder has started two tasks of job 1.
 fn world_with_a_running_job(names: &[&str], fate: Fate) -> World {
     let mut world = World::new(7, names);
     world.fate = fate;
@@ -61,9 +61,9 @@
     assert!(world.starts.is_empty(), "neither ran again: {:?}", world.starts);
 }
 
-// A copy goes on while its job isn't loaded, though another one has done the
-// task. Its end is told again until the job is known, counts once, and starts
-// nothing.
+// A copy keeps running while its job isn't loaded, although another copy has
+// completed the task. Its end is repeated until the job is known, counts once,
+// and starts nothing.
 #[test]
 fn the_end_of_a_copy_whose_task_is_done_is_acknowledged_once() {
     let mut world = World::new(9, &["w1"]);
@@ -114,7 +114,7 @@
 #[test]
 fn the_lease_of_unknown_runs_is_renewed() {
     let mut world = world_with_a_running_job(&["w1"], Fate::endless());
-    // Longer than any lease that the former holder has given.
+    // Longer than any lease that the previous holder has granted.
     world.run_for(20_000);
     assert_eq!(world.running().len(), 2);
 }
@@ -143,7 +143,7 @@
 fn a_loaded_job_waits_while_its_tasks_may_be_among_unknown_runs() {
     let mut world = world_with_a_running_job(&["w1", "w2"], WORK);
     world.run_for(200);
-    // Another job of a former holder, of which nothing runs.
+    // Another job of a previous holder, which has no runs.
     world.scheduler.submit(id(2), job(vec![step(1)]), 5, None);
     world.run_for(300);
     assert!(world.starts.is_empty(), "{:?}", world.starts);
@@ -163,7 +163,7 @@
     world.expect_all();
     world.scheduler.cancel(id(1), at(world.now_ms));
     world.scheduler.submit(id(1), job(vec![step(2)]), 5, None);
-    // Not even planned before it is known.
+    // The cancellation isn't applied before loading is complete.
     let phase = world.scheduler.phase(id(1));
     assert_eq!(phase, Some(Phase::Queued));
     world.scheduler.finish_loading(at(world.now_ms));
--- a/crates/dewspar/tests/schedule/records.rs
+++ b/crates/dewspar/tests/schedule/records.rs
@@ -1,4 +1,4 @@
-//! What the scheduler makes of a job's record that it didn't know of.
+//! Merging a job's record that the scheduler didn't know of.
 
 use {
     crate::world::{World, at, id, job, listing, step},
@@ -9,7 +9,7 @@
     dewspar_standin::task_worker::Fate,
 };
 
-/// A job of one step of two tasks, both of which run.
+/// A world with a job of one step of two tasks, both of which run.
 fn world_with_a_running_job() -> World {
     let mut world = World::new(7, &["w1"]);
     world.fate = Fate::endless();
@@ -46,7 +46,7 @@
     let running = world.running();
     assert_eq!(running.len(), 1, "{running:?}");
     assert!(world.starts.is_empty(), "{:?}", world.starts);
-    // It is stored as done, beside what is known here.
+    // It is stored as done, together with the known state.
     assert_eq!(world.stored[&id(1)].tasks[0], done(0));
 }
 
@@ -114,12 +114,12 @@
     assert_eq!(world.scheduler.phase(id(1)), None);
 }
 
-/// How many ends its one worker tells again with each answer.
+/// Returns the number of ends that the only worker repeats with each answer.
 fn unacknowledged_ends(world: &World) -> usize {
     world.workers[&listing("w1").id].ended().len()
 }
 
-/// Takes all ends that wait to be set aside.
+/// Returns the number of ends that wait to be set aside.
 fn count_deferred_ends(scheduler: &mut Scheduler) -> usize {
     let ends = scheduler.take_deferred_ends(31);
     let number = ends.ends().count();
@@ -137,12 +137,12 @@
     world.scheduler.submit(id(1), job(vec![step(2)]), 8, None);
     world.run_for(200);
     assert_eq!(world.running().len(), 2);
-    // Heard, and not stored.
+    // The ends are reported, but not stored.
     world.outage = true;
     world.run_for(1_000);
     world.scheduler.mark_unreadable(id(1));
     world.outage = false;
-    // What is stored of other jobs says nothing of these.
+    // Storing changes of other jobs must not acknowledge these ends.
     world.scheduler.submit(id(2), job(vec![step(1)]), 9, None);
     world.run_for(1_500);
     assert_eq!(world.phases.get(&id(2)), Some(&"completed"));
--- a/crates/dewspar/tests/schedule/restarted_workers.rs
+++ b/crates/dewspar/tests/schedule/restarted_workers.rs
@@ -1,4 +1,4 @@
-//! Workers whose processes start again under their identifiers.
+//! Workers whose processes restart under the same identifiers.
 
 use {
     crate::{
@@ -17,15 +17,17 @@
     std::collections::BTreeMap,
 };
 
-/// How soon a task runs again once its worker is back, in milliseconds: a
-/// question, one under a new token, a start, and the pauses between them.
+/// The maximum time until a task runs again once its worker is back, in
+/// milliseconds: a hold, a hold under a new token, a start, and the pauses
+/// between them.
 const RERUN_WITHIN_MS: u64 = 1_000;
 
 /// How often the directory is read, in milliseconds.
 const DIRECTORY_MS: u64 = 1_000;
 
-/// How soon a process is used that says that it is older than the one before, in
-/// milliseconds: the longest lease, on a clock that is slow, and a margin.
+/// The maximum time until a process is used whose reported start is earlier
+/// than that of the previous one, in milliseconds: the longest lease, on a
+/// slow clock, and a margin.
 const EARLIER_USED_WITHIN_MS: u64 = 12_000;
 
 fn w(name: &str) -> WorkerId {
@@ -44,7 +46,7 @@
     world
 }
 
-/// Goes on for so long, with the directory read again and again.
+/// Runs for this long, reading the directory periodically.
 fn run_reading_directory(world: &mut World, ms: u64) {
     let end_ms = world.now_ms + ms;
     while world.now_ms < end_ms {
@@ -55,7 +57,7 @@
     }
 }
 
-/// Cuts a worker off for so long, and starts it again at the end.
+/// Cuts a worker off for this long, then starts it again.
 fn cut_and_start_again(world: &mut World, name: &str, away_ms: u64) {
     world.cut.push(w(name));
     world.workers.remove(&w(name));
@@ -64,7 +66,7 @@
     world.start_again(&w(name));
 }
 
-/// Goes on until a task runs; returns for how long it didn't.
+/// Runs until a task is running; returns how long that took, in milliseconds.
 fn runs_after_ms(world: &mut World, task: &str, most_ms: u64) -> u64 {
     let from_ms = world.now_ms;
     while !world.running().iter().any(|running| running == task) {
@@ -74,7 +76,8 @@
     world.now_ms - from_ms
 }
 
-// A young process's answers were taken for old ones of the former.
+// Guards against taking a new process's answers for old ones of the former
+// process.
 #[test]
 fn a_long_running_task_runs_again_soon_after_its_worker_restarted() {
     for up_ms in [3_000, 12_000, 30_000, 120_000] {
@@ -94,7 +97,8 @@
     }
 }
 
-// Ends numbered as low as the former process's were passed over.
+// Guards against ignoring ends because the former process had used the same
+// numbers.
 #[test]
 fn tasks_done_by_a_restarted_worker_are_not_done_again() {
     let mut world = restarting(&["w1"]);
@@ -114,7 +118,8 @@
     assert!(world.now_ms >= from_ms);
 }
 
-// A failure of a young process didn't count: the job was tried without end.
+// Guards against ignoring the failures of a new process, so that the job is
+// tried without end.
 #[test]
 fn failures_on_a_restarted_worker_count() {
     let mut world = restarting(&["w1", "w2"]);
@@ -130,7 +135,8 @@
     assert_eq!(world.phases[&id(2)], "failed");
 }
 
-// An identifier whose process had ended stayed ended.
+// Guards against an identifier that can't be used again once its process had
+// ended.
 #[test]
 fn a_worker_known_to_have_ended_is_used_again_under_its_identifier() {
     let mut world = restarting(&["w1"]);
@@ -142,7 +148,7 @@
     world.run_for(2_000);
     let reason = "the VM service says that it ended";
     world.scheduler.worker_gone(&w("w1"), reason, at(world.now_ms));
-    // The former process's entry is still there for a while.
+    // The former process's entry remains for a while.
     run_reading_directory(&mut world, 2_000);
     world.cut.clear();
     world.start_again(&w("w1"));
@@ -152,7 +158,8 @@
     assert!(after_ms <= RERUN_WITHIN_MS, "{after_ms} ms");
 }
 
-// A task that crashed each process of a worker was never blamed.
+// Guards against a task that crashes each process of a worker without being
+// suspected.
 #[test]
 fn a_task_that_crashes_restarted_workers_is_given_up() {
     let mut world = restarting(&["w1", "w2", "w3", "w4"]);
@@ -166,7 +173,8 @@
     assert!(starts <= MAX_STARTS, "started {starts} times");
 }
 
-// One crash that the entry, an answer and the list of VMs tell of is one.
+// Guards against counting a crash more than once if the directory entry, an
+// answer and the VM list all report it.
 #[test]
 fn a_restart_that_several_sources_report_counts_once() {
     let mut world = restarting(&["w1", "w2"]);
@@ -187,7 +195,7 @@
     assert_eq!(suspected.collect::<Vec<_>>(), [1]);
 }
 
-// The entry alone told of the new process, and nobody read it.
+// Guards against ignoring a new process that only the directory entry reports.
 #[test]
 fn an_entry_of_a_new_process_ends_the_former_runs() {
     let mut world = restarting(&["w1", "w2"]);
@@ -205,7 +213,7 @@
     assert_ne!(world.starts[1].0, on);
 }
 
-/// Loses a start on its way; returns it, with the worker that it was sent to.
+/// Loses a start in transit; returns it, with the worker to which it was sent.
 fn unanswered_start(world: &mut World) -> (WorkerId, StartOrder) {
     world.fate = Fate::endless();
     world.loses_starts = true;
@@ -225,7 +233,7 @@
 fn deliver(world: &mut World, id: &WorkerId, order: &StartOrder) -> bool {
     let clock = world.clock_of(id);
     let demand = Resources { cpu_millis: 1_000, ..Resources::default() };
-    // OK because the worker was started a moment ago.
+    // OK because the worker was just started.
     let worker = world.workers.get_mut(id).expect("started");
     worker.start(clock, order, demand, Fate::endless()).is_ok()
 }
@@ -240,7 +248,8 @@
     }
 }
 
-// The task was started elsewhere while its order could still be carried out.
+// Guards against starting the task elsewhere while its order can still be
+// carried out.
 #[test]
 fn a_late_start_on_a_new_process_doesnt_run_beside_another() {
     for late_ms in [0, 50, 150, 300, 600, 1_500] {
@@ -264,7 +273,7 @@
     }
 }
 
-// What a former process said brought its runs back.
+// Guards against a late report of a former process that brings its runs back.
 #[test]
 fn a_late_answer_of_a_former_process_is_passed_over() {
     let mut world = restarting(&["w1", "w2"]);
@@ -287,13 +296,14 @@
     world.run_for(2_000);
     assert_eq!(world.running(), runs);
     assert_eq!(world.starts.len(), 2, "{:?}", world.starts);
-    // An older entry doesn't bring it back either.
+    // An older entry doesn't bring the former process back either.
     world.scheduler.list_workers(at(world.now_ms), entries);
     world.run_for(2_000);
     assert_eq!(world.starts.len(), 2, "{:?}", world.starts);
 }
 
-// A start on record whose worker had started again since counted for nothing.
+// Guards against a recorded start that counts for nothing because its worker
+// has restarted since.
 #[test]
 fn a_start_on_record_is_lost_with_the_process_that_was_told() {
     let names = ["w1", "w2", "w3", "w4", "w5", "w6"];
@@ -312,7 +322,8 @@
         while world.crashes == crashes && world.now_ms < end_ms {
             run_reading_directory(&mut world, 50);
         }
-        // One that is lost before it has loaded any job: the worker is back.
+        // This holder is lost before it has loaded any job; meanwhile the
+        // worker comes back.
         world.take_over(revision + 2);
         world.run_for(2_100);
         revision += 4;
@@ -334,8 +345,8 @@
     }
 }
 
-// A crash that a holder had counted was counted again by the next one: the record
-// still named the process that had ended.
+// Guards against a crash that the next holder counts again because the record
+// still names the process that had ended.
 #[test]
 fn a_crash_that_was_counted_is_not_counted_by_the_next_holder() {
     let mut world = restarting(&["w1"]);
@@ -346,7 +357,7 @@
         while world.starts.len() == starts {
             world.run_for(50);
         }
-        // It isn't heard that the order never arrived.
+        // The holder doesn't learn that the order never arrived.
         world.cut.push(w("w1"));
         world.start_again(&w("w1"));
         world.list();
@@ -367,8 +378,8 @@
     assert_eq!(world.stored[&id(1)].tasks[0].crashes, 2);
 }
 
-// An entry or an answer that doesn't say which process it is from, or names an
-// earlier one, changes nothing; the others hold.
+// An entry or an answer that names no process, or an earlier one, changes
+// nothing.
 #[test]
 fn an_unnamed_or_earlier_process_changes_nothing() {
     let mut world = restarting(&["w1", "w2"]);
@@ -397,7 +408,7 @@
     }
 }
 
-// A VM's time of day was set back before its worker started again.
+// The VM's wall clock was set back before its worker restarted.
 #[test]
 fn a_process_with_an_earlier_start_time_is_used_eventually() {
     let mut world = restarting(&["w1"]);
@@ -413,7 +424,8 @@
     assert_eq!(world.running(), [task]);
 }
 
-// A worker that nobody reached was waited for as if a former holder's runs were there.
+// Guards against waiting for an unreachable restarted worker as if it might
+// run a previous holder's tasks.
 #[test]
 fn inherited_tasks_dont_wait_for_a_restarted_worker() {
     let mut world = restarting(&["w1", "w2"]);
@@ -427,7 +439,8 @@
     assert!(after_ms <= RERUN_WITHIN_MS, "{after_ms} ms");
 }
 
-// Short tasks took the place of one that was being stopped for it.
+// Guards against short tasks that take the place of a task that is being
+// stopped to take that place.
 #[test]
 fn a_reservation_survives_a_worker_restart() {
     let mut world = restarting(&["w1", "w2"]);
@@ -439,7 +452,7 @@
     let kind = RunKind { demand, fate: Fate::endless() };
     world.kinds.insert(id(1), kind);
     world.scheduler.submit(id(1), job(vec![large]), 6, None);
-    // Later than any stop that a former holder may have ordered.
+    // Later than any stop that a previous holder may have ordered.
     world.run_for(3_500);
     let from = world.starts[0].0.clone();
     let to = if from == w("w1") { w("w2") } else { w("w1") };
@@ -462,14 +475,15 @@
     assert_eq!((on, order.run), (&to, 2), "{:?}", world.starts);
 }
 
-// An acknowledgement to the former process made the next one forget its ends.
+// Guards against an acknowledgement for the former process that makes the next
+// one forget its ends.
 #[test]
 fn ends_are_received_before_they_are_acknowledged() {
     let mut world = restarting(&["w1"]);
     world.scheduler.submit(id(1), job(vec![step(4)]), 6, None);
     world.run_for(3_000);
     world.start_again(&w("w1"));
-    // It is done when the first question to the new process arrives.
+    // It is done when the first hold reaches the new process.
     world.fate = Fate::done(0);
     world.scheduler.submit(id(2), job(vec![step(1)]), 7, None);
     world.run_for(3_000);
@@ -477,8 +491,8 @@
     assert_eq!(world.phases[&id(2)], "completed");
 }
 
-/// Asks a worker of which some ends are acknowledged, and starts it again before
-/// the question arrives; the directory tells of that.
+/// Sends a hold to a worker some of whose ends are acknowledged, and restarts
+/// the worker before the hold arrives; the directory lists the new process.
 fn hold_for_former_process(world: &mut World) -> SentHold {
     world.scheduler.submit(id(1), job(vec![step(4)]), 6, None);
     world.run_for(3_000);
@@ -492,7 +506,8 @@
     held
 }
 
-// What the former process had acknowledged counted for the next one.
+// Guards against applying the former process's acknowledgements to the next
+// one.
 #[test]
 fn ends_of_a_restarted_worker_are_acknowledged() {
     let mut world = restarting(&["w1"]);
@@ -506,7 +521,8 @@
     assert_eq!(world.workers[&w("w1")].ended(), []);
 }
 
-// Questions to the former process that failed made the next one silent.
+// Guards against counting the new process as silent because holds of the
+// former one failed.
 #[test]
 fn failed_holds_of_a_former_process_dont_count_for_the_next() {
     let mut world = restarting(&["w1"]);
--- a/crates/dewspar/tests/schedule/runs.rs
+++ b/crates/dewspar/tests/schedule/runs.rs
@@ -74,10 +74,10 @@
     let held = next_hold(&mut world, &worker);
     let now = at(world.now_ms);
     world.hold_result(&worker, &held, Err(OrderError::Unknown), now);
-    // The next plan asks again, and doesn't let the worker wait.
+    // The next plan asks again, and without letting the worker wait.
     let again = next_hold(&mut world, &worker);
     assert_eq!(again.order().wait_ms, 0);
-    // One lost answer is no silence: the worker still gets what is to run.
+    // One lost answer doesn't make the worker silent: it still gets starts.
     world.scheduler.submit(id(2), job(vec![step(1)]), 7, None);
     let starts = world.scheduler.plan(now);
     assert!(matches!(&starts[..], [Action::Start { .. }]), "{starts:?}");
@@ -109,8 +109,8 @@
     world.run_for(300);
     let (first, _) = world.starts[0].clone();
     world.take_over(9);
-    // The directory has lost the entry of the worker that runs the task,
-    // but the VM service knows that it lives.
+    // The directory has lost the entry of the worker that runs the task, but
+    // the VM service reports it as alive.
     let all = world.listings.clone();
     world.listings.retain(|listing| listing.id != first);
     world.list();
@@ -271,7 +271,7 @@
         }
         world.scheduler.changes_stored(&changes, now);
     }
-    // The third run failed as well, and that one is counted.
+    // The third run failed as well, and counts.
     assert_eq!(last, Some(Phase::Failed));
     assert_eq!(world.starts.len(), 3);
 }
@@ -290,7 +290,7 @@
             world.carry_out(action, now);
         }
         let changes = world.scheduler.take_changes(100);
-        // Stored, but the holder is gone before it acknowledges the end.
+        // It is stored, but the holder is gone before it acknowledges the end.
         progress = changes
             .progress
             .iter()
@@ -324,8 +324,9 @@
     assert_eq!(world.scheduler.phase(id(1)), None, "done and stored");
 }
 
-/// A worker that was cut off for so long that its lease counted as over was
-/// left out for as long as the holder's lease lasted, though it was back.
+/// Guards against a worker that stays unused for the rest of the holder's
+/// lease after it was unreachable until its own lease counted as over,
+/// although it is back.
 #[test]
 fn a_worker_that_returns_after_its_lease_expired_is_used_again() {
     let mut world = World::new(5, &["w1", "w2"]);
@@ -356,13 +357,14 @@
     assert_eq!(world.phases.get(&id(1)), Some(&"completed"));
 }
 
-/// One that is still listed and doesn't answer keeps nothing waiting.
+/// A worker that is still listed but doesn't answer keeps no task waiting once
+/// its lease is over.
 #[test]
 fn a_worker_whose_lease_expired_keeps_no_task_waiting() {
     let mut world = World::new(5, &["w1", "w2"]);
     world.list();
     world.expect_all();
-    // Accepted under a former holder, so that it may run on either.
+    // Accepted under a previous holder, so that it may run on either worker.
     world.cut.push(WorkerId::new("w1"));
     world.scheduler.submit(id(1), job(vec![step(1)]), 4, None);
     for _ in 0..30 {
--- a/crates/dewspar/tests/schedule/start_log.rs
+++ b/crates/dewspar/tests/schedule/start_log.rs
@@ -1,4 +1,4 @@
-//! Starts that are put on record together.
+//! Starts that are recorded together.
 
 use {
     crate::{
@@ -16,7 +16,7 @@
 struct LoggingWorld {
     world: World,
     logs: Vec<StartLog>,
-    /// How many starts were logged in all.
+    /// The number of starts that were logged in all.
     logged: usize,
 }
 
@@ -29,7 +29,7 @@
         LoggingWorld { world, logs: Vec::new(), logged: 0 }
     }
 
-    /// Plans once, and stores what changed unless the holder is lost with its
+    /// Plans once, and stores the changes unless the holder is lost with its
     /// starts.
     fn round(&mut self) {
         let starts = self.world.starts.len();
@@ -58,8 +58,8 @@
         }
     }
 
-    /// Lets another holder take over, with nothing left of the workers that have
-    /// crashed.
+    /// Lets another holder take over after the entries of the crashed workers
+    /// have expired.
     fn take_over(&mut self, revision: u64, jobs: &[JobId]) {
         let world = &mut self.world;
         let workers = &world.workers;
@@ -80,8 +80,8 @@
     }
 }
 
-// Where nothing but the log told of a start, and each holder was lost with one, the
-// next knew of none.
+// Guards against starts that only the log records: if each holder is lost
+// right after a start, the next one must still know of it.
 #[test]
 fn a_start_is_logged_before_its_holder_is_lost() {
     let mut logging = LoggingWorld::new(&["w1", "w2", "w3", "w4", "w5", "w6"]);
@@ -113,7 +113,7 @@
     assert!(logging.logged > 0);
 }
 
-/// Makes a holder that has taken over with one job whose run goes on.
+/// Returns a holder that has taken over with one job, whose run continues.
 fn take_over_and_start() -> LoggingWorld {
     let mut logging = LoggingWorld::new(&["w1", "w2"]);
     logging.world.fate = Fate::endless();
@@ -123,25 +123,26 @@
     logging
 }
 
-// Each start cost a write of its job's record.
+// Guards against writing the job's record for each start.
 #[test]
 fn a_sound_start_is_logged_and_its_job_not_written_for_it() {
     let mut logging = take_over_and_start();
     assert_eq!(logging.logs.len(), 1);
     assert_eq!(logging.logged, 1);
-    // Its record says that it has begun, and nothing else is written of it.
+    // The job's record says that it has begun; nothing else of it is written.
     logging.run_for(3_000);
     assert_eq!(logging.world.stored[&id(1)].tasks, []);
     assert!(logging.logs.is_empty(), "the run has lived on");
 }
 
-// What a former holder had logged of a job was forgotten with the next record.
+// Guards against losing a previous holder's logged starts with the next write
+// of the job's record.
 #[test]
 fn inherited_starts_are_stored_with_their_jobs_before_logs_are_deleted() {
     let mut logging = take_over_and_start();
     let starts = logging.logs[0].starts().to_vec();
     let on = logging.world.starts[0].0.clone();
-    // It isn't heard what became of it.
+    // The outcome of the start stays unknown.
     logging.world.cut.push(on.clone());
     logging.world.stored.clear();
     logging.take_over(10, &[id(1)]);
@@ -154,7 +155,7 @@
     assert_eq!(logged.worker, on.as_str());
 }
 
-// A write that wasn't done left its starts waiting.
+// Guards against starts that wait forever after the write of their log failed.
 #[test]
 fn starts_whose_log_was_not_written_are_logged_again() {
     let mut logging = LoggingWorld::new(&["w1", "w2"]);
--- a/crates/dewspar/tests/schedule/storing.rs
+++ b/crates/dewspar/tests/schedule/storing.rs
@@ -1,10 +1,11 @@
 //! The order in which changes of jobs are stored.
 //!
-//! In a queue's peak of 4,500 ends a second the store took what some 700 jobs
-//! a second changed, and jobs changed again as soon as that was stored. Changes
-//! were taken by the jobs' identifiers, so those of the last ones were
-//! stored seconds later. Workers keep ends until they are stored: 59 VMs that
-//! had run dry for maintenance stood idle for up to 6 s because of them.
+//! These tests guard against starvation. At a queue's peak of 4,500 ends a
+//! second, the store took the changes of some 700 jobs a second, and jobs
+//! changed again as soon as they were stored. When changes were taken in the
+//! order of the jobs' identifiers, those of the last jobs were stored seconds
+//! later. Workers keep ends until they are stored, so 59 VMs that had been
+//! emptied for maintenance stood idle for up to 6 s.
 
 use {
     crate::world::{World, at, id, job, step},
@@ -22,7 +23,6 @@
     world
 }
 
-/// Changes a job.
 fn change(world: &mut World, number: u64) {
     let now = at(world.now_ms);
     world.scheduler.merge_record(id(number), &Progress::default(), now);
@@ -54,7 +54,7 @@
     change(&mut world, 2);
     change(&mut world, 1);
     let first = world.scheduler.take_changes(1);
-    // It changes again meanwhile.
+    // The job changes again while it is being stored.
     change(&mut world, 2);
     world.scheduler.changes_failed(&first);
     let again = world.scheduler.take_changes(1);
--- a/crates/dewspar/tests/schedule/takeover.rs
+++ b/crates/dewspar/tests/schedule/takeover.rs
@@ -1,5 +1,5 @@
-//! What a new holder makes of a large backlog, on a node that can carry out
-//! only so many orders a second.
+//! Takeover of a large backlog by a node that can send only a limited number
+//! of orders a second.
 
 use {
     crate::world::{POOL, at, id, job, listing, step},
@@ -11,16 +11,16 @@
     std::collections::{BTreeMap, VecDeque},
 };
 
-/// What an order costs the node, in microseconds: 4,000 orders a second.
+/// The cost of an order to the node, in microseconds: 4,000 orders a second.
 const ORDER_US: u64 = 250;
 
-/// How long an order may take, in milliseconds.
+/// The timeout of an order, in milliseconds.
 const TIMEOUT_MS: u64 = 200;
 
 const WORKERS: u64 = 300;
 const TASKS_A_WORKER: u64 = 8;
 
-/// How the scheduler is called, in milliseconds.
+/// How often the scheduler plans, in milliseconds.
 const STEP_MS: u64 = 5;
 
 const ROOM: Resources = Resources {
@@ -29,21 +29,21 @@
     gpus: 0,
 };
 
-/// An order that the node is working at.
+/// An order that the node is processing.
 struct Sent {
     action: Action,
     sent_ms: u64,
     done_ms: u64,
 }
 
-/// A node that carries orders out one after the other.
+/// A node that carries out orders one after the other.
 struct Node {
     scheduler: Scheduler,
     workers: BTreeMap<WorkerId, TaskWorker>,
     now_ms: u64,
     busy_until_us: u64,
     orders: VecDeque<Sent>,
-    /// Holds for which the worker waits.
+    /// Holds that the worker hasn't answered yet.
     waiting: Vec<Sent>,
     sent: u64,
     without_result: u64,
@@ -66,7 +66,7 @@
             .collect();
         scheduler.list_workers(at(1_000), listings);
         scheduler.expect_workers(at(1_000), lives);
-        // As many tasks as there is room for.
+        // As many tasks as the workers have room for.
         for number in 0..WORKERS {
             let tasks = u32::try_from(TASKS_A_WORKER).unwrap();
             scheduler.submit(id(number), job(vec![step(tasks)]), 6, None);
@@ -128,7 +128,7 @@
         }
     }
 
-    /// The node read the answer too late.
+    /// Handles an order whose answer the node read too late.
     fn lose(&mut self, action: Action) {
         let now = at(self.now_ms);
         match action {
@@ -188,7 +188,7 @@
     node.run_until(3_000);
     let tasks = usize::try_from(WORKERS * TASKS_A_WORKER).unwrap();
     assert_eq!(node.running(), tasks);
-    // A hundredth, for what a first burst may cost.
+    // One percent, for the cost of the first burst.
     assert!(
         node.without_result * 100 <= node.sent,
         "{} of {} orders gave no result",
--- a/crates/dewspar/tests/schedule/unseen_starts.rs
+++ b/crates/dewspar/tests/schedule/unseen_starts.rs
@@ -1,15 +1,16 @@
-//! Starts of which no holder saw how they ended, since it was lost before.
+//! Starts whose outcome no holder observed, because the holder was lost
+//! before.
 //!
-//! A task crashed the worker that started it, its holder was lost before it
-//! knew, and the worker's entry had lapsed before the next holder first read the
-//! directory. So that one found no worker lost, and nothing on record of the
-//! start: 400 starts in 120 s, and of two sound jobs beside it none was ever
-//! done.
+//! A task crashes the worker that started it, its holder is lost before it
+//! knows, and the worker's directory entry expires before the next holder
+//! first reads the directory. Then that holder finds no lost worker and no
+//! record of the start. Without records of such starts, a task was started 400
+//! times in 120 s, and neither of two sound jobs beside it was ever done.
 //!
-//! Where a new holder did find a worker lost before it had named its runs, all
-//! that waited in its pool waited until that was on record, tasks that are to
-//! last among it, also where the worker's VM had merely been moved: 1.2 to 2 s
-//! at the size of a large site.
+//! If a new holder does find a worker that was lost before it had reported its
+//! runs, every waiting task of its pool has to wait until that is stored,
+//! including long-running ones. This must not happen if the worker's VM was
+//! merely moved: it cost 1.2 to 2 s at the size of a large site.
 
 use {
     crate::{
@@ -23,8 +24,8 @@
     dewspar_standin::task_worker::Fate,
 };
 
-/// Takes over with nothing left of the workers that have crashed, and goes on
-/// with what is stored of each job.
+/// Takes over after the entries of the crashed workers have expired, and
+/// continues with what is stored of each job.
 fn take_over_without_entries(
     world: &mut World,
     revision: u64,
@@ -43,7 +44,7 @@
     world.expect_all();
 }
 
-/// Takes over while the entries of the workers that have crashed are still there.
+/// Takes over while the entries of the crashed workers are still there.
 fn take_over_with_entries(world: &mut World, revision: u64, jobs: &[JobId]) {
     world.take_over(revision);
     for number in jobs {
@@ -84,8 +85,8 @@
     }
 }
 
-/// Holder after holder is lost just after it has ordered a sound task's start,
-/// and no such order arrives: the workers live on and never had the task.
+/// Each holder is lost just after it has ordered a sound task's start, and no
+/// such order arrives: the workers live on and never had the task.
 #[test]
 fn a_sound_task_whose_orders_never_arrive_is_not_given_up() {
     let mut world = World::new(5, &["w1", "w2", "w3"]);
@@ -106,8 +107,8 @@
     assert_eq!(world.phases[&id(1)], "completed");
 }
 
-/// Holder after holder is lost while a sound task runs, and finds it where it
-/// was: none of these starts came to nothing.
+/// Each holder is lost while a sound task runs, and the next one finds it
+/// running. None of these starts may count as lost.
 #[test]
 fn a_sound_task_that_each_holder_finds_running_is_not_given_up() {
     let mut world = World::new(5, &["w1", "w2", "w3"]);
@@ -125,8 +126,8 @@
     assert_eq!(world.phases[&id(1)], "completed");
 }
 
-/// Hands over with a job that waits and with a worker that doesn't answer, and
-/// lets the store be out of reach, so that nothing can be put on record.
+/// Hands over with a waiting job and an unresponsive worker while the store is
+/// unavailable, so that nothing can be recorded.
 fn hand_over_with_a_silent_worker() -> World {
     let mut world = World::new(5, &["w1", "w2", "w3"]);
     let silent = world.listings[0].clone();
@@ -140,7 +141,7 @@
     world
 }
 
-/// Shows the list of VMs, in which the first one does this.
+/// Reports the VM list with the first VM in this state.
 fn show_first_vm_as(world: &mut World, life: VmStatus) {
     let mut vms: Vec<_> = world.listings.iter().map(managed).collect();
     vms[0].status = life;
@@ -148,7 +149,7 @@
     world.scheduler.list_vms(at(world.now_ms), world.now_ms, &vms);
 }
 
-/// Its former holder had emptied it before it ordered that.
+/// The previous holder had emptied the worker before it ordered the change.
 #[test]
 fn a_worker_whose_vm_was_moved_has_not_crashed() {
     for life in [VmStatus::Moving, VmStatus::Maintenance] {
@@ -159,14 +160,13 @@
     }
 }
 
-/// The same where the VM is back already: that its change was ordered is on
-/// record.
+/// The same if the VM is back already; the order to change it is on record.
 #[test]
 fn a_worker_whose_vm_was_ordered_to_change_has_not_crashed() {
     let mut world = hand_over_with_a_silent_worker();
     let ordered = r#"[{"by":{"node":"n1","incarnation":1},
         "ages_ms":{"vm-of-w1":200}}]"#;
-    // OK because it is as a holder writes it.
+    // OK because the text has the format that a holder writes.
     let ordered: OrderedVms = serde_json::from_str(ordered).unwrap();
     let holder = OrderIssuer { node: "n2".to_owned(), incarnation: 1 };
     let now = at(world.now_ms);
@@ -176,7 +176,7 @@
     assert_eq!(starts_of(&world, &first_task(id(1))), 1);
 }
 
-/// A VM that is down may be so for a crash under a start of the former holder.
+/// A VM that is down may have crashed under a start of the previous holder.
 #[test]
 fn a_worker_whose_vm_is_down_may_have_crashed() {
     let mut world = hand_over_with_a_silent_worker();
@@ -188,8 +188,8 @@
     assert_eq!(starts_of(&world, &first_task(id(1))), 1);
 }
 
-/// What waits for the store before it starts is written before the rest, and in
-/// the order in which it is to start.
+/// Jobs whose starts wait for the store are written first, in the order in
+/// which they are to start.
 #[test]
 fn jobs_are_stored_in_the_order_of_their_starts() {
     let mut world = hand_over_with_a_silent_worker();
@@ -209,7 +209,7 @@
     assert_eq!(order, expected);
 }
 
-/// Lets the worker crash that is told to start something next.
+/// Crashes the worker that is next told to start something.
 fn crash_next_start(world: &mut World) {
     let starts = world.starts.len();
     while world.starts.len() == starts {
@@ -221,9 +221,10 @@
     world.crash_vm(&vm.expect("OK because it was listed to be told"));
 }
 
-/// A sound task that was lost twice waits for its third start under holders that
-/// can't reach any worker. Each of them announced that start, so that five seemed
-/// to have been when it was lost a third time.
+/// Guards against counting announced starts that were never ordered. A sound
+/// task that was lost twice waits for its third start under holders that can't
+/// reach any worker. Each of them announces that start, so that five starts
+/// seemed to have happened when the task was lost a third time.
 #[test]
 fn a_start_that_was_announced_and_never_ordered_does_not_count() {
     let names = ["w1", "w2", "w3", "w4", "w5", "w6"];
@@ -247,9 +248,9 @@
     assert_eq!(world.phases[&id(1)], "completed");
 }
 
-/// A holder whose store was out of reach started a task twice, and nothing of that
-/// was on record. Its successor found two workers lost and counted one start: 6 in
-/// all.
+/// Guards against undercounting when a holder without a reachable store starts
+/// a task twice, and none of that is on record. Its successor found two lost
+/// workers and counted one start, for 6 starts in all:
 ///
 /// ```text
 /// started again: 00000000000000c8.0.0.0, 6 crashes
@@ -280,8 +281,8 @@
 }
 
 /// Runs a bad job and two sound ones under holders each of which is lost right
-/// after it has ordered a start, before it could store that; lets the next one
-/// take over in this manner.
+/// after it has ordered a start, before it could store anything; `next` lets
+/// the next holder take over.
 fn lose_each_holder_after_a_start(next: fn(&mut World, u64, &[JobId])) {
     let names = ["w1", "w2", "w3", "w4", "w5", "w6"];
     let mut world = World::new(5, &names);
@@ -312,18 +313,19 @@
     }
 }
 
-/// A start was put on record as it was ordered. A holder that was killed at once
-/// left no record of it, and the entry of the worker that had crashed under it was
-/// gone before the next holder looked: 179 starts of one task in 60 s.
+/// Guards against starts that are recorded only as they are ordered. A holder
+/// that is killed at once then leaves no record, and the entry of the crashed
+/// worker is gone before the next holder reads the directory: 179 starts of
+/// one task in 60 s.
 #[test]
 fn a_start_is_on_record_before_its_holder_is_lost() {
     lose_each_holder_after_a_start(take_over_without_entries);
 }
 
-/// Where the crashed worker's entry is still there, the next start was announced,
-/// and after that the worker that was told was written as it was ordered: an
-/// announcement alone counted as no start, and holder after holder went on from
-/// the same one: 30 starts in 60 s.
+/// The same while the crashed worker's entry is still there. The next start is
+/// then announced, but if the worker that is told is recorded only as the
+/// start is ordered, the announcement alone counts as no start, and each
+/// holder repeats it: 30 starts in 60 s.
 #[test]
 fn an_announced_start_counts_after_its_holder_is_lost() {
     lose_each_holder_after_a_start(take_over_with_entries);
--- a/crates/dewspar/tests/schedule/write_ahead.rs
+++ b/crates/dewspar/tests/schedule/write_ahead.rs
@@ -1,4 +1,4 @@
-//! Starts that are on record before they are ordered.
+//! Starts that are recorded before they are ordered.
 
 use {
     crate::{
@@ -16,10 +16,11 @@
     std::collections::{BTreeMap, VecDeque},
 };
 
-/// How long a start waits for its record at most, in milliseconds, and a plan.
+/// The maximum time that a start waits for its record, plus one plan, in
+/// milliseconds.
 const RECORD_WAIT_MS: u64 = 300 + 50;
 
-/// Makes a holder that has just taken over with one job.
+/// Returns a holder that has just taken over with one job.
 fn take_over_with_a_job(names: &[&str]) -> World {
     let mut world = World::new(5, names);
     world.take_over(8);
@@ -29,7 +30,7 @@
     world
 }
 
-/// Plans for so long, while the store has no answer to anything.
+/// Plans for this long while the store doesn't answer.
 fn run_without_answers(world: &mut World, ms: u64) {
     let end_ms = world.now_ms + ms;
     while world.now_ms < end_ms {
@@ -41,8 +42,8 @@
     }
 }
 
-// A start that had its place and was never ordered counted as one under which its
-// worker had crashed.
+// Guards against counting a crash under a start that had its place but was
+// never ordered.
 #[test]
 fn a_worker_lost_before_a_start_is_on_record_counts_for_nothing() {
     let mut world = take_over_with_a_job(&["w1"]);
@@ -60,7 +61,7 @@
     assert!(!decisions.iter().any(counted), "{decisions:?}");
 }
 
-// Callers waited for as long as the store didn't answer.
+// Guards against callers that wait for as long as the store doesn't answer.
 #[test]
 fn a_start_waits_for_its_record_for_a_bounded_time() {
     let mut world = take_over_with_a_job(&["w1"]);
@@ -80,8 +81,8 @@
     assert_eq!(world.phases[&id(1)], "cancelled");
 }
 
-// Nothing was ordered on a worker that takes one run at a time, its own place being
-// taken for another run.
+// Guards against a start that is never ordered on a worker that takes one run
+// at a time, because its own reserved place looks like another run.
 #[test]
 fn a_start_on_a_worker_that_may_be_at_fault_is_ordered_once_on_record() {
     let room = Resources { cpu_millis: 1_000, memory_mb: 1_000, gpus: 0 };
@@ -112,9 +113,9 @@
 /// How often the holder plans, in milliseconds.
 const PLAN_MS: u64 = 5;
 
-/// How many writes a second the store takes, how long its answer takes, in
-/// milliseconds, how many the holder has under way, and how many entries one holds
-/// beside the lease's.
+/// The store's writes per second and response time in milliseconds, the
+/// holder's maximum number of writes in flight, and the number of entries per
+/// write beside the lease's.
 const WRITES_A_SECOND: u64 = 400;
 const ANSWER_MS: u64 = 50;
 const MOST_WRITES: usize = 8;
@@ -125,13 +126,13 @@
     if phase.is_final() { 4 } else { 2 }
 }
 
-/// A holder that takes over a peak, with a store that is far away.
+/// A holder that takes over at peak load, with a distant store.
 struct Takeover {
     scheduler: Scheduler,
     workers: BTreeMap<WorkerId, TaskWorker>,
     now_ms: u64,
     starts: u64,
-    /// The starts that went out before their job's record said so.
+    /// The starts that were ordered before their job's record said so.
     starts_not_on_record: u64,
     writes: u64,
     under_way: VecDeque<(u64, Changes)>,
@@ -175,7 +176,7 @@
         let now = at(self.now_ms);
         while self.under_way.front().is_some_and(|(at, _)| *at <= self.now_ms)
         {
-            // OK because it was seen a moment ago.
+            // OK because the queue was just seen to have an entry.
             let (_, changes) = self.under_way.pop_front().expect("a write");
             for (id, progress) in &changes.progress {
                 let told = progress.tasks.iter().map(|t| t.told.clone());
@@ -232,8 +233,9 @@
     }
 }
 
-// Starts that wait for their records held a takeover up: 96 in the first second
-// where 4,251 had gone out before.
+// Guards against a takeover that is delayed by starts that wait for their
+// records: 96 starts were ordered in the first second, against 4,251 without
+// records.
 #[test]
 fn a_large_takeover_is_not_delayed_by_its_records() {
     let mut takeover = Takeover::new();
