--- a/crates/dewspar/src/schedule/job_state.rs
+++ b/crates/dewspar/src/schedule/job_state.rs
@@ -312,7 +312,7 @@
     /// the Unix epoch, if it reports that.
     fn recorded_process(&self) -> Option<u64> {
         let told = !self.done && self.crashes.have_recorded_run();
-        let process = self.ordered_process.born_unix_ms();
+        let process = self.ordered_process.started_unix_ms();
         process.filter(|_| told && !self.workers.is_empty())
     }
 }
--- a/crates/dewspar/src/schedule/placement.rs
+++ b/crates/dewspar/src/schedule/placement.rs
@@ -104,7 +104,7 @@
         );
         // Moved out because starting a task borrows the scheduler mutably.
         let candidates = mem::take(&mut self.candidates);
-        if self.knows_suspects {
+        if self.has_suspects {
             // Includes jobs from former leases in pools where a lost worker
             // hasn't been counted yet.
             let all = !self.uncounted_pools.is_empty();
@@ -139,10 +139,11 @@
         // A pass that was cut short hasn't looked at every step, so it can't
         // clear the record of pools without room.
         if self.may_start() {
-            self.without_place.retain(|pool, _| without_place.contains(pool));
+            self.unplaced_since_ms
+                .retain(|pool, _| without_place.contains(pool));
         }
         for pool in without_place {
-            self.without_place.entry(pool).or_insert(now.steady_ms);
+            self.unplaced_since_ms.entry(pool).or_insert(now.steady_ms);
         }
     }
 
@@ -370,8 +371,9 @@
         let job = self.jobs.get(&task.job);
         let state = job.and_then(|job| job.task(task));
         let demand = demand(spec);
-        let guarded = job
-            .is_none_or(|job| !self.unguarded_pools.contains(&job.terms.pool));
+        let guarded = job.is_none_or(|job| {
+            !self.unenforced_pools.contains(&job.terms.pool)
+        });
         let known = state.zip(job);
         let colocation = known.map(|(state, job)| {
             self.colocation(spec, state, &job.terms.pool, now)
@@ -421,7 +423,7 @@
         pool: &str,
         now: Now,
     ) -> bool {
-        !self.unguarded_pools.contains(pool)
+        !self.unenforced_pools.contains(pool)
             || worker.has_current_room(now.steady_ms, MAX_REPORT_AGE_MS)
     }
 
@@ -544,7 +546,7 @@
     /// Returns whether some worker of a pool may run tasks from a former lease
     /// and hasn't listed its runs yet.
     fn has_unsynced_workers(&self, pool: &str, now: Now) -> bool {
-        !self.lives_known
+        !self.workers_known
             || self.workers.in_pool(pool).any(|(_, worker)| {
                 !worker.runs_are_known()
                     && now.steady_ms <= worker.lease_over_ms
