--- a/crates/dewspard/src/jobs/counts.rs
+++ b/crates/dewspard/src/jobs/counts.rs
@@ -1,16 +1,21 @@
 /*!
 Counts of waiting jobs: one record that the holder writes and all nodes read.
 
-A count that is too low tells a caller that nothing waits while its job does,
-so a node must know that what it reads is fresh. The record therefore goes
-with the holder's lease: once that is over there is none, whoever wrote it. And
-a holder writes it again before it is old, changed or not, so that one which
-stays the same for longer was given up by its holder. A holder that may not have
-heard of some jobs doesn't write it. Where there is no fresh record a node counts
-the stored jobs itself.
-
-Each write is conditional on the record's own version, and one is under way at
-a time: a late copy of an older write can't replace a newer count.
+With a count that is too low, a caller would be told that nothing waits
+although its job does. A node must therefore be able to tell whether the record
+is fresh:
+
+- The record is attached to the holder's lease, so it is deleted when the lease
+  ends.
+- The holder rewrites it regularly even if no count has changed, so a record
+  that stays at one version for longer is abandoned.
+- A holder that may have missed jobs doesn't write it.
+
+If there is no fresh record, a node counts the stored jobs itself.
+
+Each write is conditional on the record's own version, and only one is in
+flight at a time, so a delayed copy of an older write can't replace newer
+counts.
 */
 
 use {
@@ -20,61 +25,66 @@
     std::collections::BTreeMap,
 };
 
-/// How often counts are written if they have changed, in milliseconds.
+/// The minimum interval between writes of changed counts, in milliseconds.
 const CHANGED_WRITE_INTERVAL_MS: u64 = 700;
 
-/// How often counts are written that haven't changed, in milliseconds: so
-/// that they are a second old at most, and a write may be lost before readers
-/// take them for given up.
+/// The interval between writes of unchanged counts, in milliseconds: the
+/// record is at most a second old, and one write may be lost before readers
+/// regard it as abandoned.
 const UNCHANGED_WRITE_INTERVAL_MS: u64 = 1_000;
 
-/// How often it is looked whether counts have changed, in milliseconds: each
-/// look goes through all jobs.
+/// The minimum interval between checks whether counts have changed, in
+/// milliseconds: each check iterates over all jobs.
 const CHECK_INTERVAL_MS: u64 = 100;
 
-/// For how long a record that stays the same is believed, in milliseconds:
-/// callers may be told counts of that age.
+/// How long a record may stay at one version before it counts as abandoned, in
+/// milliseconds: the maximum age of counts in answers to callers.
 const ABANDONED_AFTER_MS: u64 = 2_000;
 
-/// For how long counts are answered from without reading again, in
-/// milliseconds: a quarter of what callers may be told.
+/// How long the record's counts are cached, in milliseconds: a quarter of the
+/// maximum age of counts in answers.
 const RECORD_CACHE_MS: u64 = 500;
 
-/// For how long a node's own count is answered from, in milliseconds: it
-/// reads every stored job, which takes a small link most of a second.
+/// How long a node's own counts are cached, in milliseconds: counting reads
+/// every stored job, which takes most of a second on a slow link.
 const OWN_COUNT_CACHE_MS: u64 = 1_000;
 
-/// How many jobs of each queue wait.
+/// The number of waiting jobs of each queue.
 pub(super) type WaitingJobs = BTreeMap<String, u64>;
 
-/// The holder's side: when counts are written, and under what condition.
+/// The holder's side: decides when counts are written, and under which
+/// condition.
 #[derive(Debug, Default)]
 pub(super) struct CountsWriter {
+    /// The counts of the last write.
     last_written: WaitingJobs,
     last_write_ms: u64,
-    /// When it was last looked whether they have changed.
+    /// When the counts were last checked for changes.
     last_check_ms: u64,
-    /// The record's version; 0 for none.
+    /// The record's version; 0 if there is none.
     version: u64,
-    /// Whether the last write is known to have taken place.
+    /// Whether the last write is known to have succeeded.
     is_stored: bool,
+    /// Whether a write is in flight.
     is_writing: bool,
 }
 
 impl CountsWriter {
-    /// Notes at which version the record was found; 0 for none.
+    /// Sets the version at which the record was found; 0 if there is none.
     pub(super) fn set_version(&mut self, version: u64) {
         self.version = version;
     }
 
-    /// Returns whether counts may have to be written now.
+    /// Returns whether counts should be passed to
+    /// [`begin_write`](Self::begin_write) now.
     pub(super) fn is_due(&self, now_ms: u64) -> bool {
         !self.is_writing
             && now_ms >= self.last_write_ms + CHANGED_WRITE_INTERVAL_MS
             && now_ms >= self.last_check_ms + CHECK_INTERVAL_MS
     }
 
-    /// Returns the write of these counts, unless the record is new enough.
+    /// Begins a write of these counts and returns it; returns `None` if they
+    /// are unchanged and the record is recent.
     pub(super) fn begin_write(
         &mut self,
         counts: WaitingJobs,
@@ -87,7 +97,7 @@
         if counts == self.last_written && self.is_stored && is_recent {
             return None;
         }
-        // OK because texts and numbers can always be written.
+        // OK because strings and numbers can always be serialized.
         let value = serde_json::to_vec(&counts).expect("plain JSON");
         self.last_written = counts;
         self.last_write_ms = now_ms;
@@ -99,8 +109,8 @@
         Some(batch)
     }
 
-    /// Notes what became of the write; one that failed is tried again under
-    /// the same condition, so that only one of the two can take place.
+    /// Handles the result of the write. A failed write is retried under the
+    /// same condition, so that only one of the two can take effect.
     pub(super) fn write_answered(&mut self, written: RecordWritten) {
         self.is_writing = false;
         self.is_stored = matches!(written, RecordWritten::Done(_));
@@ -111,35 +121,35 @@
         }
     }
 
-    /// Returns the counts that were written last.
+    /// Returns the counts of the last write.
     pub(super) fn last_written(&self) -> &WaitingJobs {
         &self.last_written
     }
 }
 
-/// A reader's side: the counts that it answers from.
+/// A reader's side: the cached counts from which callers are answered.
 #[derive(Debug, Default)]
 pub(super) struct CountsReader {
     counts: WaitingJobs,
-    /// Until when they are answered from.
+    /// When the cached counts expire.
     cached_until_ms: u64,
-    /// The version of the record that was read last; 0 for none.
+    /// The version of the record that was read last; 0 if there was none.
     version: u64,
-    /// When that version was first read.
+    /// When that version was first seen.
     first_seen_ms: u64,
 }
 
-/// What a record is worth.
+/// A record as a reader evaluates it.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(super) enum CountsRecord {
-    /// A living holder wrote it of late.
+    /// The current holder wrote it recently.
     Fresh(WaitingJobs),
-    /// There is none, or none to be believed; this says why.
+    /// There is no record, or it can't be relied on, for this reason.
     Unusable(&'static str),
 }
 
 impl CountsRecord {
-    /// Returns why it isn't believed, if it isn't.
+    /// Returns why the record can't be used, if it can't.
     pub(super) fn unusable_reason(&self) -> Option<&'static str> {
         match self {
             CountsRecord::Fresh(_) => None,
@@ -147,7 +157,7 @@
         }
     }
 
-    /// Returns its counts, if it is believed.
+    /// Returns the counts of a fresh record.
     pub(super) fn counts(&self) -> Option<&WaitingJobs> {
         match self {
             CountsRecord::Fresh(counts) => Some(counts),
@@ -157,7 +167,7 @@
 }
 
 impl CountsReader {
-    /// Returns a queue's count, if it needn't be read again.
+    /// Returns a queue's count, unless the cache has expired.
     pub(super) fn cached_count(
         &self,
         queue: &str,
@@ -166,13 +176,13 @@
         (now_ms < self.cached_until_ms).then(|| self.count(queue))
     }
 
-    /// Returns a queue's count as it was taken over last; a queue that isn't
-    /// among the counts has no waiting job.
+    /// Returns a queue's count from the cache, even if it has expired; a queue
+    /// without an entry has no waiting job.
     pub(super) fn count(&self, queue: &str) -> u64 {
         self.counts.get(queue).copied().unwrap_or(0)
     }
 
-    /// Judges the record that was found, and notes its version.
+    /// Evaluates the record that was read, and remembers its version.
     pub(super) fn evaluate(
         &mut self,
         found: Option<&Versioned>,
@@ -195,19 +205,19 @@
         }
     }
 
-    /// Returns for how long the record that was judged has been the same, in
-    /// milliseconds.
+    /// Returns how long the last evaluated record has been at the same
+    /// version, in milliseconds.
     pub(super) fn unchanged_ms(&self, now_ms: u64) -> u64 {
         now_ms.saturating_sub(self.first_seen_ms)
     }
 
-    /// Takes over a holder's counts.
+    /// Caches a holder's counts.
     pub(super) fn use_record(&mut self, counts: WaitingJobs, now_ms: u64) {
         self.counts = counts;
         self.cached_until_ms = now_ms + RECORD_CACHE_MS;
     }
 
-    /// Takes over what this node has counted itself.
+    /// Caches counts that this node made itself.
     pub(super) fn use_own_count(&mut self, counts: WaitingJobs, now_ms: u64) {
         self.counts = counts;
         self.cached_until_ms = now_ms + OWN_COUNT_CACHE_MS;
--- a/crates/dewspard/src/jobs/decisions.rs
+++ b/crates/dewspard/src/jobs/decisions.rs
@@ -1,5 +1,6 @@
 /*!
-One log line and one count for each decision of the scheduler.
+Logging and metrics of the scheduler's decisions: a log line for each decision,
+and a counter for most kinds.
 */
 
 use {
@@ -171,7 +172,8 @@
     }
 }
 
-/// Logs what keeps the VMs of a wave, and counts those that are late.
+/// Logs the progress of a wave, and counts its late VMs by reason when its
+/// time is over.
 fn log_wave(log: &Logger, wave: u64, progress: &WaveProgress) {
     let WaveProgress { vms, begun, down, room, pace, left, .. } = progress;
     let message = match progress.time {
@@ -194,7 +196,7 @@
     }
 }
 
-/// Names what keeps VMs, each with how many.
+/// Formats the reasons for which VMs remain, each with its number of VMs.
 fn format_reasons(left: &RemainingVms) -> String {
     let kept = left.by_reason();
     let kept = kept.iter().filter(|(_, vms)| *vms > 0);
--- a/crates/dewspard/src/jobs/deferred_ends.rs
+++ b/crates/dewspard/src/jobs/deferred_ends.rs
@@ -1,10 +1,11 @@
 /*!
-Ends of runs whose job can't be read, as they lie in the store.
+Deferred ends: ends of runs of jobs whose records can't be read, kept in the
+store until a holder can read the job.
 
-Each has a key of its own, so that a write is the same whenever it is done, and
-a late one replaces nothing. They are read before the jobs, so that none of
-these starts what is done, and deleted once their job's record holds them or
-the job is over.
+Each end has its own key, so that its write is idempotent and a delayed one
+replaces nothing else. Ends are read before the jobs, so that no task that is
+done is started again. An end is deleted once its job's record includes it or
+the job is finished.
 */
 
 use {
@@ -22,22 +23,23 @@
     std::collections::{BTreeMap, BTreeSet},
 };
 
-/// How many ends are written or deleted at once: the store takes 32 entries,
-/// and one is the lease's condition.
+/// The maximum number of ends in one write or deletion: the store accepts 32
+/// entries, and one is the condition on the lease.
 const MAX_ENDS_PER_WRITE: usize = 31;
 
-/// The pause before ends are written again that weren't, in milliseconds, as
-/// for changes of jobs.
+/// The delay before a failed write of ends is retried, in milliseconds: the
+/// same as for changes of jobs.
 const RETRY_DELAY_MS: u64 = 100;
 
-/// Ends that former holders have set aside, by their job.
+/// The ends that former holders stored, by job, and the state of writes of new
+/// ones.
 #[derive(Debug, Default)]
 pub(super) struct DeferredEnds {
     by_job: BTreeMap<JobId, Vec<DeferredEnd>>,
-    /// The jobs whose ends were taken in.
+    /// The jobs whose ends the scheduler has applied.
     applied: BTreeSet<JobId>,
     is_writing: bool,
-    /// From when the next write may begin.
+    /// The earliest time of the next write.
     next_write_ms: u64,
 }
 
@@ -49,7 +51,8 @@
         }
     }
 
-    /// Takes the ends that needn't be kept, with this stored of their job.
+    /// Removes and returns the ends of a job that its stored progress makes
+    /// obsolete.
     fn take_obsolete(
         &mut self,
         id: JobId,
@@ -71,7 +74,8 @@
     }
 }
 
-/// Returns whether a job's record tells of the end of a run.
+/// Returns whether a job's record includes the end of this run or a later one
+/// of the same task.
 fn is_recorded(progress: &Progress, aside: &DeferredEnd) -> bool {
     let DeferredEnd { end, .. } = aside;
     progress.tasks.iter().any(|record| {
@@ -81,8 +85,12 @@
     })
 }
 
-/// Reads the ends that former holders have set aside; what can't be read is
-/// passed over.
+/// Reads the ends that former holders stored; unreadable ones are logged and
+/// skipped.
+///
+/// # Errors
+///
+/// An error of the store.
 pub(super) async fn load_ends<K: KeyValue>(
     store: &K,
     log: &Logger,
@@ -102,7 +110,8 @@
 }
 
 impl<K: KeyValue, W: JobWorkers, F: Fleet> Holder<'_, K, W, F> {
-    /// Leaves a job alone that can't be read, unless it is known already.
+    /// Excludes a job that can't be read from scheduling, unless it is already
+    /// known.
     pub(super) fn skip_unreadable(&mut self, id: JobId) {
         if self.scheduler.phase(id).is_none() {
             self.unreadable.insert(id);
@@ -110,7 +119,7 @@
         }
     }
 
-    /// Takes in what former holders have set aside of a job.
+    /// Passes the ends that former holders stored for a job to the scheduler.
     pub(super) fn apply_deferred_ends(&mut self, id: JobId) {
         let now = super::holder::now();
         let Some(ends) = self.deferred_ends.by_job.get(&id) else { return };
@@ -120,7 +129,7 @@
         self.deferred_ends.applied.insert(id);
     }
 
-    /// Writes ends that are to be set aside.
+    /// Writes new deferred ends to the store.
     pub(super) fn write_deferred_ends(&mut self, now: Now) {
         let due = now.steady_ms >= self.deferred_ends.next_write_ms;
         if self.deferred_ends.is_writing || !due {
@@ -144,14 +153,14 @@
                     "error" => %error);
             }
             let written = record_written(&answer, keys::OWNER);
-            // A holder that is gone has no use for it.
+            // If the holder has stopped, the result isn't needed.
             let _ = sender
                 .send(Event::DeferredEndsWritten { ends, written })
                 .await;
         });
     }
 
-    /// Takes in what became of a write of ends.
+    /// Handles the result of a write of ends.
     pub(super) fn deferred_ends_written(
         &mut self,
         ends: &DeferredEndBatch,
@@ -168,7 +177,7 @@
                     now.steady_ms + RETRY_DELAY_MS;
                 self.scheduler.deferred_ends_failed(ends);
             }
-            // Nothing but the lease's key has to be as it was.
+            // The only condition is that on the lease's key.
             RecordWritten::Conflict { .. } => {
                 self.lost_reason =
                     Some("the store refused this holder's write");
@@ -176,8 +185,9 @@
         }
     }
 
-    /// Deletes what was set aside of jobs that are stored as over, or with what
-    /// was taken in: a job whose task lasts would have ever more of it.
+    /// Deletes the ends of jobs that were stored as finished, and ends that
+    /// are now part of their job's stored record. Without the latter the ends
+    /// of a job with a long-running task would accumulate.
     pub(super) fn delete_recorded_ends(&mut self, changes: &Changes) {
         for (id, progress) in &changes.progress {
             let ends = self.deferred_ends.take_obsolete(*id, progress);
@@ -185,8 +195,8 @@
         }
     }
 
-    /// Deletes what was set aside of jobs that are neither open nor among
-    /// those that can't be read.
+    /// Deletes the ends of jobs that are neither known to the scheduler nor
+    /// unreadable.
     pub(super) fn delete_orphaned_ends(&mut self) {
         let (scheduler, unreadable) = (&self.scheduler, &self.unreadable);
         let orphaned = |id: &JobId| {
@@ -216,7 +226,7 @@
     let lease = Expected::Version(lease_revision);
     let batch = Batch::default().when(keys::OWNER, lease);
     ends.ends().fold(batch, |batch, aside| {
-        // OK because it holds only what JSON can write.
+        // OK because it has only values that JSON can represent.
         let value = serde_json::to_vec(aside).expect("plain JSON");
         let DeferredEnd { end, .. } = aside;
         batch.put(&keys::end(&end.task, end.run), value)
--- a/crates/dewspard/src/jobs/event.rs
+++ b/crates/dewspard/src/jobs/event.rs
@@ -1,7 +1,7 @@
 /*!
-What the holder of the scheduler lease hears of, from whatever task, and the
-channel that brings it: each event carries when it was sent, so that the time
-it waited to be taken in is known.
+Events that other tasks send to the holder of the scheduler lease, and the
+channel that carries them. Each event has the time at which it was sent, so
+that its queueing delay can be measured.
 */
 
 use {
@@ -24,80 +24,86 @@
     tokio::sync::mpsc,
 };
 
-/// How many events may wait for the holder.
+/// The capacity of the holder's event channel.
 const MAX_EVENTS: usize = 4_096;
 
-/// Makes the holder's channel.
+/// Creates the holder's event channel.
 pub(super) fn channel() -> (EventSender, mpsc::Receiver<SentEvent>) {
     let (sender, receiver) = mpsc::channel(MAX_EVENTS);
     (EventSender(sender), receiver)
 }
 
-/// An event on its way.
+/// A queued event.
 #[derive(Debug)]
 pub(super) struct SentEvent {
     pub(super) event: Event,
-    /// When it was sent, or would have been with room in the channel.
+    /// When the sender offered it, including any wait for space in the
+    /// channel.
     pub(super) sent_ms: u64,
 }
 
-/// The holder is gone, and nobody takes events in.
+/// The holder has stopped, and the channel is closed.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct HolderGone;
 
-/// Sends events to the holder; clones share the channel.
+/// Sends events to the holder. Clones share the channel.
 #[derive(Clone, Debug)]
 pub(super) struct EventSender(mpsc::Sender<SentEvent>);
 
 impl EventSender {
-    /// Returns whether the holder is gone.
+    /// Returns whether the holder has stopped.
     pub(super) fn is_closed(&self) -> bool {
         self.0.is_closed()
     }
 
-    /// Sends an event, once there is room for it.
+    /// Sends an event, waiting for space in the channel.
+    ///
+    /// # Errors
+    ///
+    /// [`HolderGone`] if the holder has stopped.
     pub(super) async fn send(&self, event: Event) -> Result<(), HolderGone> {
         let sent = SentEvent { event, sent_ms: clock::now_ms() };
         self.0.send(sent).await.map_err(|_| HolderGone)
     }
 }
 
-/// What the holder hears of.
+/// An event for the holder.
 #[derive(Debug)]
 pub(super) enum Event {
+    /// Changes of the feed, in the store's order.
     Feed(Vec<FeedEvent>),
-    /// Jobs that former holders left.
+    /// A slice of the stored jobs.
     JobsLoaded(LoadedJobs),
-    /// Ends of runs whose job former holders couldn't read.
+    /// Ends of runs of jobs whose records former holders couldn't read.
     DeferredEndsLoaded(Vec<DeferredEnd>),
-    /// What became of a write of such ends.
+    /// The result of a write of such ends.
     DeferredEndsWritten {
         ends: DeferredEndBatch,
         written: RecordWritten,
     },
-    /// Starts that former holders have logged.
+    /// The start logs of former holders.
     StartLogsLoaded(LoadedStartLogs),
-    /// What became of a write of a log of starts.
+    /// The result of a write of a start log.
     StartLogWritten {
         log: StartLog,
         written: RecordWritten,
     },
-    /// What former holders left beside them.
+    /// The stored state of waves and VM orders.
     FleetStateLoaded(LoadedFleetState),
-    /// All that former holders left was told.
+    /// Everything that former holders stored has been sent.
     AllLoaded,
-    /// Everything that was accepted before this time has been told.
+    /// Every job that was accepted before this time has been sent.
     FeedCurrent {
         requested_ms: u64,
     },
     DirectoryRead {
-        /// When it was asked for, on the steady clock.
+        /// When it was requested, on the steady clock.
         requested_ms: u64,
         listings: Vec<WorkerListing>,
     },
     /// A worker was looked up in the directory.
     WorkerFound {
-        /// When it was asked for, on the steady clock.
+        /// When it was requested, on the steady clock.
         requested_ms: u64,
         listing: WorkerListing,
     },
@@ -126,7 +132,7 @@
         worker: WorkerId,
         task: TaskId,
         run: u64,
-        /// From when the order was sent, in milliseconds.
+        /// The time since the order was sent, in milliseconds.
         took_ms: u64,
         result: Result<u64, OrderError>,
     },
@@ -151,16 +157,16 @@
         asked_ms: u64,
         answer: Result<Vec<(WorkerId, String)>, Error>,
     },
-    /// These changes weren't stored, and may be tried again.
+    /// These changes weren't stored, and their retry delay is over.
     RetryWrite(Changes),
-    /// What became of a write of the counts of waiting jobs.
+    /// The result of a write of the counts of waiting jobs.
     CountsWritten(RecordWritten),
-    /// What became of a write of a wave's state.
+    /// The result of a write of a wave's state.
     WaveWritten {
         wave: u64,
         written: RecordWritten,
     },
-    /// What became of a write of the VMs of which changes are ordered.
+    /// The result of a write of the record of VM orders.
     VmOrdersWritten(RecordWritten),
     ProgressWritten {
         changes: Changes,
--- a/crates/dewspard/src/jobs/feeds.rs
+++ b/crates/dewspard/src/jobs/feeds.rs
@@ -1,6 +1,6 @@
 /*!
-What the holder is told without asking: changes of the feed, the directory of
-workers, the list of VMs, and renewals of its lease.
+Background tasks that feed the holder with events: the watch of the feed, polls
+of the directory of workers and of the list of VMs, and renewals of the lease.
 */
 
 use {
@@ -27,34 +27,35 @@
     tokio::time::sleep,
 };
 
-/// How often the directory of workers is read: it takes 300 bytes a worker,
-/// and new lives are looked up one by one meanwhile. What changes otherwise,
-/// such as that a worker drains, may be known so much later; from 2 s on the
-/// directory counts as not read for a while.
+/// The pace of reads of the directory of workers. A read takes 300 bytes for
+/// each worker, and new workers are looked up individually in between. Other
+/// changes, such as that a worker drains, are noticed with this delay; from 2
+/// s on the directory counts as out of date.
 const DIRECTORY_POLL_PACE: PollPace =
     PollPace { least_ms: 250, most_ms: 1_500, share_percent: 5 };
 
-/// How often the list of VMs is read: it takes 190 bytes a VM. What is
-/// ordered of VMs needs one that isn't older than 2 s.
+/// The pace of reads of the list of VMs. A read takes 190 bytes for each VM.
+/// Orders to the VM service need a list that isn't older than 2 s.
 const VM_POLL_PACE: PollPace =
     PollPace { least_ms: 500, most_ms: 1_200, share_percent: 5 };
 
-/// The share of the lease after which it is renewed.
+/// The number of renewals within the duration of the lease.
 const RENEWALS_PER_LEASE: u64 = 4;
 
-/// How often it is checked whether the feed has gone silent: a watch may hear
-/// nothing for a second before it fails, which is longer than a quick job may
-/// wait.
+/// The interval of checks whether the feed's watch is silent, that is, whether
+/// it misses changes without failing. A broken watch may take a second to
+/// fail, which is longer than a quick job may wait.
 const SILENCE_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// How far the feed may be behind what the store has, in time: some answers
-/// of a slow store.
+/// How long the feed may lag behind the store before it counts as silent: a
+/// few round trips of a slow store.
 const SILENCE_GRACE: Duration = Duration::from_millis(100);
 
-/// The pause after a call to the store that gave no result.
+/// The delay before a failed call to the store is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// What a node's readings cost it.
+/// The means to measure the cost of a node's reads: its machine and its
+/// network traffic.
 #[derive(Clone, Debug)]
 pub(super) struct PollCost {
     pub(super) machine: Machine,
@@ -62,7 +63,7 @@
 }
 
 impl PollCost {
-    /// Begins a reading whose calls count for this purpose.
+    /// Begins a read whose calls are counted under this purpose.
     fn begin(&self, purpose: Purpose) -> Poll<'_> {
         let received = self.received(purpose);
         Poll { cost: self, purpose, received, requested_ms: clock::now_ms() }
@@ -73,17 +74,17 @@
     }
 }
 
-/// A reading under way.
+/// A read in progress.
 struct Poll<'a> {
     cost: &'a PollCost,
     purpose: Purpose,
-    /// What was received for its purpose before.
+    /// The bytes that were received for its purpose before it began.
     received: u64,
     requested_ms: u64,
 }
 
 impl Poll<'_> {
-    /// Pauses as long as its cost asks for.
+    /// Pauses for as long as the pace requires after a read of this cost.
     async fn pause(self, pace: PollPace) {
         let bytes = self.cost.received(self.purpose) - self.received;
         let cost_ms = self.cost.machine.list_read_ms(bytes);
@@ -92,7 +93,7 @@
     }
 }
 
-/// Reads the list of VMs again and again.
+/// Polls the list of VMs until the holder stops.
 pub(super) async fn poll_vms<F: Fleet>(
     fleet: F,
     cost: PollCost,
@@ -116,9 +117,9 @@
 
 /// Reports every change of the feed, in the store's order.
 ///
-/// A watch that fails or falls silent is followed by another that goes on
-/// from where it stood: a whole reading takes some 2 kB for each open job, and
-/// most of all when many are open, which is when it is needed least.
+/// A watch that fails or is silent is replaced by one that resumes at the last
+/// version. A full read is avoided because it takes some 2 kB for each open
+/// job, and so costs most when many jobs are open and the load is highest.
 pub(super) async fn follow_feed<K: KeyValue>(
     store: K,
     version: u64,
@@ -141,8 +142,8 @@
                 let version = progress.version();
                 info!(log, "holder: feed silent";
                     "version" => version, "newest" => newest);
-                let previous_silent_version = last_silent_version.replace(version);
-                after_silence(version, previous_silent_version)
+                let previous = last_silent_version.replace(version);
+                after_silence(version, previous)
             }
         };
         match next {
@@ -165,12 +166,12 @@
     }
 }
 
-/// How the feed is read once a watch of it has ended.
+/// How the feed is read after a watch of it has ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum FeedResume {
-    /// By another watch, from where the last one stood.
+    /// By another watch that resumes at the last version.
     Watch,
-    /// As a whole.
+    /// By a full read.
     FullRead,
 }
 
@@ -181,22 +182,19 @@
     }
 }
 
-/// A watch that took the place of a silent one and heard nothing either won't
-/// be helped by a third.
-fn after_silence(
-    version: u64,
-    previous_silent_version: Option<u64>,
-) -> FeedResume {
-    if previous_silent_version == Some(version) {
+/// Chooses a full read if a new watch was silent at the same version as the
+/// one that it replaced: a third watch wouldn't help either.
+fn after_silence(version: u64, previous: Option<u64>) -> FeedResume {
+    if previous == Some(version) {
         FeedResume::FullRead
     } else {
         FeedResume::Watch
     }
 }
 
-/// Returns once the store has accepted a job of which the feed doesn't tell,
-/// with the version at which it did; until then it reports when the feed was
-/// current.
+/// Waits until the feed has missed a job that was accepted, and returns the
+/// version at which that was stored. Until then, reports the times up to which
+/// the feed is current.
 async fn wait_for_silence<K: KeyValue>(
     store: &K,
     progress: &SharedFeedProgress,
@@ -217,8 +215,8 @@
         }
         match progress.state(newest, requested_ms) {
             FeedState::Current => {
-                // Behind what the feed has told, in the same channel. A holder
-                // that is gone ends this task.
+                // Queued after the feed's events in the same channel. If the
+                // holder has stopped, this task is aborted.
                 let _ = sender.send(Event::FeedCurrent { requested_ms }).await;
             }
             FeedState::Behind => {}
@@ -227,8 +225,8 @@
     }
 }
 
-/// Up to where and when the feed was heard; the tasks that watch it and look
-/// for silence share it.
+/// The version and time of the last change received from the feed, shared by
+/// the watch and the check for silence.
 #[derive(Debug)]
 struct SharedFeedProgress(Mutex<FeedProgress>);
 
@@ -239,7 +237,7 @@
     }
 
     fn progress(&self) -> MutexGuard<'_, FeedProgress> {
-        // OK after a panic: each change of it is whole.
+        // OK after a panic: each update of it is complete.
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -278,16 +276,16 @@
             .filter_map(|event| parse_event(event, log))
             .collect();
         if !feed.is_empty() {
-            // A holder that is gone ends this task.
+            // If the holder has stopped, this task is aborted.
             let _ = sender.send(Event::Feed(feed)).await;
         }
-        // Not before it is on its way: who finds the feed current says so in
-        // the same channel.
+        // Only after the events are queued: the check for silence reports the
+        // feed as current in the same channel, which must come after them.
         progress.advance(batch.version);
     }
 }
 
-/// Renews the lease, a few times within its length.
+/// Renews the lease several times within its duration, until the holder stops.
 pub(super) async fn renew_lease<K: KeyValue>(
     store: K,
     held: HeldLease,
@@ -311,7 +309,7 @@
     }
 }
 
-/// Reads the directory of workers again and again.
+/// Polls the directory of workers until the holder stops.
 pub(super) async fn poll_directory<F: Fleet>(
     fleet: F,
     cost: PollCost,
@@ -343,12 +341,12 @@
     match fleet.worker(id).await {
         Ok(Some(listing)) => {
             let event = Event::WorkerFound { requested_ms, listing };
-            // A holder that is gone has no use for it.
+            // If the holder has stopped, the result isn't needed.
             let _ = sender.send(event).await;
             LookupOutcome::Done
         }
         Ok(None) if sender.is_closed() => LookupOutcome::Done,
-        // It has gone again, or it enters itself in a moment.
+        // It has ended already, or it will register soon.
         Ok(None) => LookupOutcome::Retry,
         Err(error) => {
             counters::platform_failure(&error);
--- a/crates/dewspard/src/jobs/holder.rs
+++ b/crates/dewspard/src/jobs/holder.rs
@@ -1,17 +1,18 @@
 /*!
-The node that holds the scheduler lease: the task that owns the scheduler.
+The task that owns the scheduler, on the node that holds the scheduler lease.
 
-Events come in over one channel: changes of the feed, the directory of
-workers, answers to orders, renewals of the lease, stored progress. After
-each burst of events the scheduler plans once, and what it wants is carried
-out by tasks of their own.
+Events arrive over one channel: changes of the feed, the directory of workers,
+answers to orders, renewals of the lease, results of writes. After each batch
+of events the scheduler plans once, and the resulting orders are executed by
+separate tasks.
 
-# Without the store
+# Store outages
 
 A holder that can't renew its lease may have been superseded without knowing.
-It goes on for a while with the jobs it knows: a successor asks every worker
-under its higher token before it starts any of these, so nothing runs twice.
-It orders nothing on VMs meanwhile, because those orders aren't fenced.
+For a limited time it goes on with the jobs it knows. This is safe because a
+successor queries every worker under its higher fencing token before it starts
+any of these jobs, so nothing runs twice. Changes of VMs aren't ordered during
+that time, because those orders aren't fenced.
 */
 
 use {
@@ -61,31 +62,34 @@
     },
 };
 
-/// How many events are taken in before the scheduler plans again.
+/// The maximum number of events handled between two plans.
 const MAX_EVENTS_PER_PLAN: usize = 256;
 
-/// How often the scheduler plans without any event.
+/// The interval at which the scheduler plans if there are no events.
 const PLAN_INTERVAL: Duration = Duration::from_millis(25);
 
-/// How often orders to the VM service are planned, in milliseconds: a quarter
-/// of the interval at which pools' sizes are looked at. Doing so with each plan
-/// of tasks took a busy holder as long as the tasks did.
+/// The interval at which orders to the VM service are planned, in
+/// milliseconds: a quarter of the interval of pool sizing. Planning VMs with
+/// each plan of tasks took a busy holder as long as the tasks themselves.
 const VM_PLAN_INTERVAL_MS: u64 = 50;
 
-/// How long an order takes at the median on a node that can't keep up, in
-/// milliseconds: most of what an order may take at all, and more than a burst
-/// of starts takes on a node that does keep up.
+/// The median round trip of orders from which a node counts as overloaded, in
+/// milliseconds: most of the time allowed for an order, and more than a burst
+/// of starts takes on a node that isn't overloaded.
 const OVERLOADED_ORDER_MS: u64 = 140;
 
-/// How long that must last, in milliseconds: longer than a burst of starts,
-/// and much less than the 3 s after which a job must be seen to wait.
+/// How long orders must be that slow, in milliseconds: longer than a burst of
+/// starts, and much less than the 3 s after which a job must be reported as
+/// waiting.
 const OVERLOAD_AFTER_MS: u64 = 600;
 
-/// How long a new holder isn't judged, in milliseconds: it first has to ask
-/// every worker, and the lease shouldn't go from hand to hand.
+/// The time after a takeover during which overload is ignored, in
+/// milliseconds: a new holder first has to query every worker, and the lease
+/// shouldn't change holders in quick succession.
 const OVERLOAD_GRACE_MS: u64 = 4_000;
 
-/// How long a holder goes on that can't reach the store, in milliseconds.
+/// How long a holder goes on after its lease has expired because the store
+/// can't be reached, in milliseconds.
 pub(super) const MAX_DETACHED_MS: u64 = 8_000;
 
 /// Schedules until the lease is lost or the node stops.
@@ -94,7 +98,7 @@
     held: HeldLease,
 ) -> StepDown {
     let (sender, events) = event::channel();
-    // Dropped, and so ended, with this function.
+    // Aborted when this function returns.
     let mut tasks = JoinSet::new();
     let store = |purpose| candidate.store.with_purpose(purpose);
     tasks.spawn(follow_feed(
@@ -152,7 +156,7 @@
         lost_reason: None,
         is_claimed: false,
         started_ms: clock::now_ms(),
-        // The feed tells all since then, and what was there is loaded.
+        // The feed has all jobs accepted since then; older ones are loaded.
         feed_current_ms: held.renewed_ms,
         load_stats: LoadStats::new(candidate.traffic.clone()),
         round_trips: RoundTrips::new(OVERLOAD_AFTER_MS),
@@ -171,65 +175,68 @@
 
 pub(super) struct Holder<'a, K, W, F> {
     pub(super) candidate: &'a Candidate<K, W, F>,
-    /// The workers, over relays where there are any.
+    /// The workers, reached over relays if there are any.
     workers: RelayedWorkers<W>,
     pub(super) held: HeldLease,
     pub(super) scheduler: Scheduler,
-    /// The version of each job's progress in the store.
+    /// The store version of each job's progress.
     pub(super) versions: RecordVersions,
-    /// What a former holder stored of the jobs that are being taken over.
+    /// The stored progress of the jobs that are being loaded.
     pub(super) loaded_progress: BTreeMap<JobId, dewspar::job::Progress>,
     /// Jobs whose stored progress can't be read.
     pub(super) unreadable: BTreeSet<JobId>,
-    /// Ends that former holders have set aside.
+    /// Ends of runs that former holders stored for jobs they couldn't read.
     pub(super) deferred_ends: DeferredEnds,
     pub(super) start_logs: StartLogWrites,
     pub(super) sender: EventSender,
-    /// New lives of workers that are being looked up.
+    /// Directory lookups of new workers.
     worker_lookups: WorkerLookups,
-    /// How many VMs each pool has, by what they are doing.
+    /// The number of VMs of each pool, by state.
     pub(super) pool_vms: BTreeMap<String, BTreeMap<&'static str, u32>>,
-    /// How many writes of progress are under way.
+    /// The number of writes of progress in flight.
     pub(super) writes_in_flight: usize,
+    /// When progress was last written.
     pub(super) last_write_ms: u64,
     /// When orders to the VM service were last planned.
     last_vm_plan_ms: u64,
+    /// The version of the queues' configuration that is in use.
     applied_version: Option<u64>,
+    /// Why the lease counts as lost, if it does.
     pub(super) lost_reason: Option<&'static str>,
-    /// Whether a stronger node asks for the lease.
+    /// Whether a stronger node has requested the lease.
     pub(super) is_claimed: bool,
     started_ms: u64,
-    /// Up to when everything that was accepted is known here.
+    /// Every job that was accepted before this time is known here.
     pub(super) feed_current_ms: u64,
     load_stats: LoadStats,
-    /// How long orders to start took that were answered.
+    /// The round trips of start orders that were answered.
     round_trips: RoundTrips,
     pub(super) counts: CountsWriter,
-    /// When the state of each wave is written.
+    /// The write state of each wave's record.
     pub(super) wave_writers: BTreeMap<u64, RecordWriter>,
-    /// The record of the VMs of which changes are ordered.
+    /// The write state of the record of VMs with ordered changes.
     vm_orders: RecordWriter,
-    /// Whether that record may name VMs.
+    /// Whether that record may contain VMs.
     vm_orders_recorded: bool,
-    /// What former holders kept of each wave.
+    /// What former holders stored about each wave.
     pub(super) waves: LoadedWaves,
-    /// The waves that were reported as completed before.
+    /// The waves that were reported as completed before this takeover.
     completed_waves: Vec<u64>,
     pub(super) last_expiry_ms: u64,
     suspensions: Suspensions,
-    /// Since when the store must have renewed the lease for it to count.
+    /// The lease counts only if it was renewed at this time or later.
     renewal_needed_from_ms: u64,
 }
 
-/// Waits until the node is told to stop.
+/// Waits until the node is asked to stop.
 pub(super) async fn wait_for_stop(stopping: &mut watch::Receiver<bool>) {
-    // An error means that the node is gone, which is a stop as well.
+    // An error means that the sender was dropped, so the node stops as well.
     let _ = stopping.wait_for(|stopping| *stopping).await;
 }
 
-/// Writes a list or table as JSON, for logs that programs read.
+/// Serializes a value as JSON, for log lines that programs parse.
 pub(super) fn to_json<T: Serialize>(value: &T) -> String {
-    // OK because these hold only texts and numbers.
+    // OK because these hold only strings and numbers.
     serde_json::to_string(value).expect("plain JSON")
 }
 
@@ -247,7 +254,7 @@
         tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
-                // OK to skip `None`: this struct keeps a sender.
+                // OK to skip `None`: this struct holds a sender.
                 Some(event) = events.recv() => self.handle_event(event),
                 _ = tick.tick() => {}
                 () = wait_for_stop(&mut stopping) => {
@@ -393,8 +400,8 @@
         self.completed_waves = fleet_state.completed_waves;
     }
 
-    /// Looks up the workers that the list of VMs names and the directory, as
-    /// it was last read, doesn't.
+    /// Looks up the workers that are in the list of VMs but not yet in the
+    /// last read of the directory.
     fn look_up_unlisted_workers(&self) {
         let unlisted = self.scheduler.unlisted_workers();
         if unlisted.is_empty() {
@@ -412,8 +419,8 @@
     }
 
     /// Returns whether the store has renewed the lease since this VM was last
-    /// suspended: another node may have taken over meanwhile, and the workers'
-    /// answers that are still to be read may be long out of date.
+    /// suspended. Another node may have taken over during the suspension, and
+    /// workers' answers that are still unread may be out of date.
     fn is_lease_confirmed(&mut self, now: Now) -> bool {
         let suspended_ms = clock::suspended_ms();
         if let Some(for_ms) = self.suspensions.noticed_ms(suspended_ms) {
@@ -428,7 +435,7 @@
         self.held.renewed_ms >= self.renewal_needed_from_ms
     }
 
-    /// Plans once and sets going what is wanted.
+    /// Plans once, and dispatches the resulting orders and writes.
     fn plan_and_dispatch(&mut self) -> Option<StepDown> {
         let now = now();
         let lease_over_ms = self.held.renewed_ms + self.held.lease_ms;
@@ -451,7 +458,8 @@
         if let Some(reason) = self.lost_reason {
             return Some(StepDown::Lost(reason));
         }
-        // Before that the store may still say that the worker is wrong.
+        // Until the lease expires the store may still show that the worker's
+        // token is wrong.
         let uncertain = now.steady_ms >= lease_over_ms;
         if uncertain && self.scheduler.may_be_superseded() {
             return Some(StepDown::Lost("a worker has seen a newer holder"));
@@ -501,7 +509,7 @@
 
     fn apply_configuration(&mut self, now: Now) {
         let reading = self.candidate.reader.borrow();
-        // What former holders kept of the waves is known once all is loaded.
+        // The stored state of waves is known once loading is finished.
         if !self.scheduler.is_loading() {
             let waves = &reading.intent.waves;
             let records = &self.waves.records;
@@ -526,14 +534,15 @@
         self.scheduler.configure(queues.map(|q| (q.name.as_str(), &q.terms)));
     }
 
-    /// Orders what the VM service is to do, while the lease is certain.
+    /// Sends orders to the VM service, as long as the lease hasn't expired.
     fn order_vms(&mut self, now: Now) {
         let lease_over_ms = self.held.renewed_ms + self.held.lease_ms;
         let due_ms = self.last_vm_plan_ms + VM_PLAN_INTERVAL_MS;
         if now.steady_ms >= lease_over_ms || now.steady_ms < due_ms {
             return;
         }
-        // One record of orders at a time: an older one must not replace it.
+        // One write of the record at a time: an older one must not replace a
+        // newer one.
         if self.vm_orders.is_writing() {
             return;
         }
@@ -543,8 +552,9 @@
             return;
         }
         let vms = self.scheduler.ordered_vms(now, &self.candidate.orderer());
-        // The record doesn't say how old it is: a VM that stayed in it would be
-        // left alone anew by each later holder, and no crash there be counted.
+        // The record has no time stamp of its own. A VM that remained in it
+        // would be skipped anew by each later holder, and crashes on it would
+        // not be counted.
         if orders.is_empty() && !vms.is_empty() {
             return;
         }
--- a/crates/dewspard/src/jobs/intake.rs
+++ b/crates/dewspard/src/jobs/intake.rs
@@ -1,6 +1,6 @@
 /*!
-What the holder makes of the feed and of the list of VMs: jobs that are new,
-cancelled or over, and who else would like to schedule.
+How the holder processes the feed and the list of VMs: accepted, cancelled and
+finished jobs, and requests of other nodes for the lease.
 */
 
 use {
@@ -19,17 +19,17 @@
     std::collections::BTreeMap,
 };
 
-/// Where news of jobs comes from.
+/// Where an event about a job comes from.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum FeedOrigin {
-    /// The feed, which doesn't tell how far jobs have come.
+    /// The feed, which has no progress of jobs.
     Feed,
-    /// What was loaded, with the progress of each job.
+    /// The jobs loaded at takeover, with the progress of each.
     Loaded,
 }
 
 impl<K: KeyValue, W: JobWorkers, F: Fleet> Holder<'_, K, W, F> {
-    /// Takes in what the feed tells, or what was loaded of it.
+    /// Applies events of the feed, or jobs that were loaded from it.
     pub(super) fn apply_feed(
         &mut self,
         feed: Vec<FeedEvent>,
@@ -37,12 +37,12 @@
     ) {
         for event in feed {
             match event {
-                // All of it may have been done: it isn't run again.
+                // Its tasks may all be done, so it isn't run again.
                 FeedEvent::Accepted { id, .. }
                     if self.unreadable.contains(&id) => {}
                 FeedEvent::Accepted { id, job, revision } => {
-                    // A whole reading of the feed doesn't tell how far a job
-                    // has come under former holders.
+                    // A full read of the feed lacks the progress that a job
+                    // made under former holders; the loading brings both.
                     if origin == FeedOrigin::Feed
                         && self.scheduler.is_loading()
                         && revision < self.held.revision
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Takes in jobs that former holders left.
+    /// Applies jobs that former holders left in the store.
     pub(super) fn apply_loaded_jobs(&mut self, jobs: LoadedJobs) {
         for (id, version) in &jobs.versions {
             self.versions.note_loaded(*id, *version);
@@ -80,7 +80,7 @@
         }
         self.loaded_progress = jobs.progress;
         self.apply_feed(jobs.feed, FeedOrigin::Loaded);
-        // Jobs that are over have no entry in the feed any more.
+        // Finished jobs no longer have an entry in the feed.
         let left = std::mem::take(&mut self.loaded_progress);
         let over = left.iter().filter(|(_, p)| p.phase.is_final());
         for (id, progress) in over {
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Logs what a job asks for, and how old the news of it is.
+    /// Logs what a job requests, and the time since it was accepted.
     fn log_accepted_job(&self, id: JobId, job: &AcceptedJob, revision: u64) {
         let age_ms = clock::unix_ms().saturating_sub(job.accepted_at_ms);
         let steps = &job.spec.steps;
@@ -105,7 +105,7 @@
             "stretch" => job.terms.stretch);
     }
 
-    /// Logs how many VMs each pool has, when that has changed.
+    /// Logs the number of VMs of each pool by state, if it has changed.
     pub(super) fn log_pool_changes(&mut self, vms: &[ManagedVm]) {
         let mut pools: BTreeMap<String, BTreeMap<&'static str, u32>> =
             BTreeMap::new();
@@ -117,8 +117,8 @@
             let capacities = vms.iter().map(|vm| vm.capacity.cpu_millis);
             let reading = self.candidate.reader.borrow();
             let free = reading.intent.queues.as_ref().map(|q| q.free_pools());
-            info!(self.candidate.log, "vms: listed"; "pools" => to_json(&pools),
-                "free_pools" => to_json(&free),
+            info!(self.candidate.log, "vms: listed";
+                "pools" => to_json(&pools), "free_pools" => to_json(&free),
                 "vm_cpu_millis" => capacities.max());
             self.pool_vms = pools;
         }
--- a/crates/dewspard/src/jobs/load_stats.rs
+++ b/crates/dewspard/src/jobs/load_stats.rs
@@ -1,7 +1,9 @@
 /*!
-What scheduling costs the node that does it: one log line a second, with how
-often it planned, what it heard and how long that had waited, how many orders
-are under way, and what each purpose took of its link.
+Load statistics of the node that schedules.
+
+One log line a second has the number of plans and their time, the number of
+events and their queueing delay, the orders in flight, and the network traffic
+by purpose. The same figures are exported as metrics.
 */
 
 use {
@@ -15,16 +17,16 @@
     tokio::time::Instant,
 };
 
-/// How often what was done is logged, in milliseconds: often enough to see a
-/// takeover go by, and few lines beside those of the tasks.
+/// The interval of log lines, in milliseconds: short enough to show the course
+/// of a takeover, long enough to stay rare beside the lines of single tasks.
 const LOG_INTERVAL_MS: u64 = 1_000;
 
-/// What a holder did since the last line.
+/// Counts since the last log line.
 #[derive(Debug)]
 pub(super) struct LoadStats {
     last_log_ms: u64,
     events: u64,
-    /// How long events waited to be taken in, all together and at most.
+    /// The queueing delay of events, in total and at most.
     total_wait_ms: u64,
     longest_wait_ms: u64,
     plans: u64,
@@ -36,7 +38,7 @@
 }
 
 impl LoadStats {
-    /// Begins to count, with the traffic of this node's calls.
+    /// Creates empty statistics over the traffic of this node's calls.
     pub(super) fn new(traffic: Traffic) -> LoadStats {
         let tallies = traffic.tallies();
         LoadStats {
@@ -53,14 +55,14 @@
         }
     }
 
-    /// Notes an event that was taken in after such a wait.
+    /// Counts an event that was queued for this long.
     pub(super) fn event_received(&mut self, waited_ms: u64) {
         self.events += 1;
         self.total_wait_ms += waited_ms;
         self.longest_wait_ms = self.longest_wait_ms.max(waited_ms);
     }
 
-    /// Notes a plan that was begun at this time, and what it orders.
+    /// Counts a plan that began at this time, and the orders that it made.
     pub(super) fn plan_finished(
         &mut self,
         began: Instant,
@@ -77,7 +79,7 @@
         }
     }
 
-    /// Logs what was done, once a while.
+    /// Logs and resets the statistics, once per interval.
     pub(super) fn log(
         &mut self,
         log: &Logger,
@@ -115,7 +117,8 @@
     }
 }
 
-/// Calls, bytes sent and bytes received of each purpose that had any.
+/// Returns the calls, bytes sent and bytes received of each purpose that has
+/// any.
 fn rows(traffic: &Tallies) -> BTreeMap<&'static str, [u64; 3]> {
     let rows = Purpose::ALL.iter().map(|purpose| {
         let tally = traffic.of(*purpose);
--- a/crates/dewspard/src/jobs/lookup.rs
+++ b/crates/dewspard/src/jobs/lookup.rs
@@ -100,7 +100,8 @@
         let now_ms = clock::now_ms();
         let record = reader.evaluate(found.as_ref(), now_ms);
         info!(self.log, "call: counts of waiting jobs read";
-            "counts" => to_json(&record.counts()), "unfit" => record.unusable_reason(),
+            "counts" => to_json(&record.counts()),
+            "unfit" => record.unusable_reason(),
             "store_version" => found.map_or(0, |found| found.version),
             "unchanged_ms" => reader.unchanged_ms(now_ms));
         let reason = match record {
--- a/crates/dewspard/src/jobs/orders.rs
+++ b/crates/dewspard/src/jobs/orders.rs
@@ -1,10 +1,11 @@
 /*!
-Carrying out what the scheduler decides: one task for each order.
+Execution of the scheduler's orders to workers: one task for each order.
 
-An order is sent by the lease as the holder knew it when it decided. If the VM
-is suspended before the order goes out, another node may hold the lease by then:
-the order isn't sent, which its result says. The clocks are read once for each
-order, for when it was sent as well: a busy holder sends thousands a second.
+An order is valid under the lease as the holder knew it when it planned. If the
+VM is suspended before the order is sent, another node may hold the lease by
+then. In that case the order isn't sent, and its result is
+[`OrderError::NotSent`]. The clocks are read only once for each order, which
+also gives its time of sending, because a busy holder sends thousands a second.
 */
 
 use {
@@ -20,7 +21,7 @@
 
 /// Sends an order and reports its result as an event.
 ///
-/// `decided` is what was known of suspensions when the order was decided on.
+/// `suspensions` are those known when the order was planned.
 pub(super) fn send<W: JobWorkers, F: Fleet>(
     workers: &W,
     fleet: &F,
@@ -32,7 +33,7 @@
     let events = events.clone();
     tokio::spawn(async move {
         let event = execute(&workers, &fleet, action, suspensions).await;
-        // A holder that is gone has no use for it.
+        // If the holder has stopped, the result isn't needed.
         let _ = events.send(event).await;
     });
 }
@@ -66,7 +67,8 @@
             count_order("hold", result.as_ref().err());
             Event::HoldAnswered { worker, held, result }
         }
-        // It orders nothing, and its answer counts from when it was decided on.
+        // Sent even if outdated: it changes nothing, and its answer counts as
+        // of when it was planned.
         Action::Advise { step, workers, asked_ms } => {
             let answer = fleet.advise(&step, &workers).await;
             if let Err(error) = &answer {
@@ -83,14 +85,20 @@
     }
 }
 
-/// Returns whether this VM was suspended since an order was decided on.
+/// Returns whether this VM was suspended since an order was planned.
 ///
-/// Workers refuse such an order by its token only where another holder has been.
+/// Workers refuse such an order by its fencing token only if another holder
+/// has already contacted them.
 fn is_outdated(mut suspensions: Suspensions, time: Reading) -> bool {
     suspensions.noticed_ms(time.suspended_ms).is_some()
 }
 
 /// Sends an order, unless it is outdated.
+///
+/// # Errors
+///
+/// [`OrderError::NotSent`] for an outdated order, otherwise the error of the
+/// call.
 async fn send_unless<T>(
     outdated: bool,
     sending: impl Future<Output = Result<T, OrderError>>,
--- a/crates/dewspard/src/jobs/progress.rs
+++ b/crates/dewspard/src/jobs/progress.rs
@@ -1,9 +1,9 @@
 /*!
-What the holder of the scheduler lease reads of jobs and stores.
+Parsing of the feed, and writes of the jobs' progress.
 
-Every write is conditional on the lease's key and on each job's own key, so
-that neither a holder that was superseded nor a late copy of an earlier write
-can change anything.
+Every write is conditional on the lease's key and on the key of each job's
+record, so that neither a superseded holder nor a delayed copy of an earlier
+write can change anything.
 */
 
 use {
@@ -26,40 +26,44 @@
     tokio::time::sleep,
 };
 
-/// How many entries of a write jobs may take: the store takes 32, and one is the
-/// lease's condition.
+/// The maximum number of entries for jobs in a write: the store accepts 32,
+/// and one is the condition on the lease.
 const MAX_ENTRIES_PER_WRITE: usize = 31;
 
-/// Returns how many entries of a write a job takes: a condition and a put, and
-/// once it is over a deletion and a second put.
+/// Returns the maximum number of entries that a job needs in a write: a
+/// condition and a put, and once it is finished a deletion and a second put.
 fn entries_per_job(phase: Phase) -> usize {
     if phase.is_final() { 4 } else { 2 }
 }
 
-/// Takes the changes that ride on the next write.
+/// Takes the changes for the next write from the scheduler.
 pub(super) fn take_next_write(scheduler: &mut Scheduler) -> Changes {
     scheduler.take_changes_within(MAX_ENTRIES_PER_WRITE, entries_per_job)
 }
 
-/// The pause before a write without result is tried again.
+/// The delay before a write without an answer is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(60);
 
-/// What happened to a job, in the order of the store.
+/// A change in the feed.
 #[derive(Debug)]
 pub(super) enum FeedEvent {
     /// A job was accepted.
     Accepted { id: JobId, job: Box<AcceptedJob>, revision: u64 },
-    /// A job was accepted whose entry can't be read.
+    /// A job was accepted, but its entry can't be read.
     Unreadable(JobId),
     /// A job was cancelled.
     Cancelled(JobId),
-    /// The lease's key was written or is gone.
+    /// The lease's key was written or deleted.
     LeaseChanged { revision: u64 },
-    /// Another node would like to schedule.
+    /// Another node has requested the lease.
     Claimed(Claim),
 }
 
-/// Reads the feed outright.
+/// Reads the whole feed, with the store's version at that time.
+///
+/// # Errors
+///
+/// An error of the store.
 pub(super) async fn load_feed<K: KeyValue>(
     store: &K,
     log: &Logger,
@@ -68,16 +72,17 @@
     Ok((version, parse_feed(&stored, log)))
 }
 
-/// Reads what a list of the feed says.
+/// Parses a listing of the feed.
 pub(super) fn parse_feed(items: &[Versioned], log: &Logger) -> Vec<FeedEvent> {
     items.iter().filter_map(|item| parse_put(item, log)).collect()
 }
 
-/// Reads a change of the feed.
+/// Parses a change of the feed; returns `None` if it isn't relevant.
 pub(super) fn parse_event(event: &Event, log: &Logger) -> Option<FeedEvent> {
     match event {
         Event::Put(item) => parse_put(item, log),
-        // The holder itself deletes what is over; only the lease matters.
+        // The holder itself deletes the entries of finished jobs, so only
+        // deletions of the lease's key matter.
         Event::Deleted { key, version } => match FeedKey::parse(key)? {
             FeedKey::Owner => {
                 Some(FeedEvent::LeaseChanged { revision: *version })
@@ -119,39 +124,41 @@
     }
 }
 
-/// What became of storing changes.
+/// The outcome of a write of changes.
 #[derive(Debug)]
 pub(super) enum WriteOutcome {
-    /// They are in the store; each job's key is at this version.
+    /// The changes are stored; each job's record is at this version.
     Done(u64),
     /// A condition didn't hold, and nothing was stored.
     Conflict(WriteConflict),
-    /// Nothing was stored.
+    /// The write failed, and nothing was stored.
     Failed,
 }
 
-/// A write whose conditions didn't hold.
+/// A write with conditions that didn't hold.
 #[derive(Debug)]
 pub(super) struct WriteConflict {
-    /// What had to hold.
+    /// All conditions of the write.
     conditions: Vec<Condition>,
-    /// The keys of these conditions that were there.
+    /// The existing keys among those of the conditions, as they were found.
     current: Vec<Versioned>,
 }
 
-/// What a refused write found otherwise than it expected.
+/// Which conditions of a conflicting write failed.
 #[derive(Debug, Eq, PartialEq)]
 pub(super) enum ConflictCause {
-    /// The lease's key: another node holds the lease, or may.
+    /// The one on the lease's key: another node holds the lease, or may hold
+    /// it.
     Lease,
-    /// The records of these jobs, while the lease stands.
+    /// Those on the records of these jobs, while the lease is unchanged.
     Records(BTreeSet<JobId>),
-    /// Nothing any more: what stood in the way has changed again.
+    /// None any more: the keys have changed again since, and a new attempt may
+    /// succeed.
     Resolved,
 }
 
 impl WriteConflict {
-    /// Makes the refusal of a batch whose conditional keys are as given.
+    /// Creates the conflict of a batch from the current state of its keys.
     pub(super) fn new(
         batch: &Batch,
         current: Vec<Versioned>,
@@ -159,7 +166,7 @@
         WriteConflict { conditions: batch.conditions.clone(), current }
     }
 
-    /// Returns what stood in the way of changes to these jobs.
+    /// Returns the cause of the conflict for the jobs of these changes.
     pub(super) fn cause_for(&self, changes: &Changes) -> ConflictCause {
         if self.differs(keys::OWNER) {
             return ConflictCause::Lease;
@@ -173,24 +180,24 @@
         ConflictCause::Records(differing)
     }
 
-    /// Returns a job's record as it was found.
+    /// Returns a job's current record.
     pub(super) fn found_record(&self, id: JobId) -> FoundRecord {
         let Some(item) = self.find(&keys::progress(id)) else {
             return FoundRecord::Absent;
         };
         match serde_json::from_slice(&item.value) {
             Ok(progress) => FoundRecord::Readable(progress),
-            // Told by what is logged of each refusal.
+            // Not logged here: the conflict itself is logged.
             Err(_) => FoundRecord::Unreadable,
         }
     }
 
-    /// Returns the version of a key as it was found; 0 for absent.
+    /// Returns the current version of a key; 0 if it is absent.
     pub(super) fn found_version(&self, key: &str) -> u64 {
         self.find(key).map_or(0, |item| item.version)
     }
 
-    /// Returns the version that a key had to be at; 0 for absent.
+    /// Returns the version that was expected of a key; 0 for absent.
     pub(super) fn expected_version(&self, key: &str) -> u64 {
         let condition = self.conditions.iter().find(|c| c.key == key);
         match condition.map(|condition| condition.expected) {
@@ -208,7 +215,7 @@
     }
 }
 
-/// The write that carries changes.
+/// Returns the write of these changes.
 pub(super) fn progress_batch(
     lease_revision: u64,
     changes: &Changes,
@@ -219,14 +226,14 @@
     for (id, progress) in &changes.progress {
         let key = keys::progress(*id);
         let version = versions.expected(*id);
-        // OK because progress holds only what JSON can write.
+        // OK because progress has only values that JSON can represent.
         let value = serde_json::to_vec(progress).expect("plain JSON");
         batch =
             batch.when(&key, Expected::from_version(version)).put(&key, value);
         if progress.phase.is_final() {
-            // A cancelling stays on record while anything may run of its job,
-            // and so does any other end: the next holder stops that before it
-            // has loaded a job.
+            // While tasks of a finished job may still run, its cancellation
+            // stays on record, or is added if the job ended otherwise. With it
+            // the next holder stops these tasks before it has loaded any job.
             batch = batch.delete(&keys::accepted(*id));
             if changes.is_unstopped(*id) {
                 batch = batch.put(&keys::cancelled(*id), Vec::new());
@@ -236,8 +243,8 @@
     batch
 }
 
-/// Stores changes; a write without an answer is tried until its outcome is
-/// known, since it may still be done later.
+/// Commits a batch. A write without an answer is retried until its outcome is
+/// known, because it may still take effect later.
 pub(super) async fn commit_changes<K: KeyValue>(
     store: &K,
     batch: &Batch,
@@ -261,7 +268,8 @@
     }
 }
 
-/// Tells a write that was done on an earlier try from one that can't be.
+/// Distinguishes a write that took effect on an earlier attempt from one that
+/// conflicts.
 fn classify_conflict(
     batch: &Batch,
     current: Vec<Versioned>,
@@ -275,10 +283,11 @@
     WriteOutcome::Conflict(WriteConflict::new(batch, current))
 }
 
-/// Returns the version at which all that a batch puts under a condition is
-/// there, if it is: all of it was written at once, so it is one version.
+/// Returns the version at which a batch took effect, if it did: all keys that
+/// it puts under a condition then have its values. They were written at once,
+/// so they must also share one version.
 fn version_if_applied(batch: &Batch, current: &[Versioned]) -> Option<u64> {
-    // Only of these the store says what it has found.
+    // The store returns only the keys that have a condition.
     let is_reported =
         |put: &&Put| batch.conditions.iter().any(|c| c.key == put.key);
     let mut versions = batch.puts.iter().filter(is_reported).map(|put| {
--- a/crates/dewspard/src/jobs/progress_writes.rs
+++ b/crates/dewspard/src/jobs/progress_writes.rs
@@ -1,15 +1,15 @@
 /*!
-How the holder stores the progress of jobs.
+How the holder writes the progress of jobs to the store.
 
-Changes are gathered for a moment and written a few jobs at a time, each write
-under the condition that the lease is still this holder's and that each job's
-record is as it is known here.
+Changes are collected for a short time and written in batches of a few jobs.
+Each write is conditional on the lease's key, and on the version of each job's
+record as it is known here.
 
-A write that is refused says which of these didn't hold. If it is the lease,
-another node schedules, and this one leaves. If it is some jobs' records while
-the lease stands, only they are at fault: the other jobs of the write are
-written again at once without them, and of each of them it is decided by what
-was found how it goes on (see [`dewspar::job::conflict`]).
+A conflicting write returns which of these conditions failed. If the lease's
+key has changed, another node schedules, and this one stops. If only the
+records of some jobs have changed, the other jobs of the batch are written
+again at once, and each conflict is resolved on its own from the record that
+was found (see [`dewspar::job::conflict`]).
 */
 
 use {
@@ -37,36 +37,36 @@
     tokio::time::sleep,
 };
 
-/// How many writes of progress may be under way at once: a slow store still
-/// takes what some 50 jobs a second change.
+/// The maximum number of writes of progress in flight: with this, even a slow
+/// store keeps up with the changes of some 50 jobs a second.
 const MAX_WRITES_IN_FLIGHT: usize = 8;
 
-/// How long changes of jobs that go on are gathered, in milliseconds; those
-/// of jobs that are over are written at once.
+/// How long changes of unfinished jobs are collected before they are written,
+/// in milliseconds. Those of finished jobs are written at once.
 const BATCH_DELAY_MS: u64 = 20;
 
-/// The same while work waits for this node's link: a job's record is written
-/// again with each change, so fewer writes carry the same.
+/// The same while this node's network link is saturated. Each write has a
+/// job's whole record, so fewer writes transfer less for the same changes.
 const BUSY_LINK_BATCH_DELAY_MS: u64 = 150;
 
-/// The pause after a write that wasn't done.
+/// The delay before a failed write is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// A job's record that wasn't as a refused write expected; versions are 0
-/// where there is no record.
+/// A log row for a job's record that wasn't at the version that a write
+/// expected. Versions are 0 if there is no record.
 #[derive(Debug, Serialize)]
 struct ConflictRow {
     job: JobId,
     expected: u64,
     found: u64,
-    /// How the expected version came to be known.
+    /// How the expected version was learned.
     source: Option<VersionSource>,
     resolution: &'static str,
     times_in_a_row: u32,
 }
 
 impl<K: KeyValue, W: JobWorkers, F: Fleet> Holder<'_, K, W, F> {
-    /// Sets going what is to be stored by now.
+    /// Starts the writes of progress that are due.
     pub(super) fn write_changes(&mut self, now: Now) {
         let link_busy = self.scheduler.link().is_short(now.steady_ms);
         let batch_delay_ms =
@@ -93,13 +93,13 @@
             if matches!(outcome, WriteOutcome::Failed) {
                 sleep(RETRY_DELAY).await;
             }
-            // A holder that is gone has no use for it.
+            // If the holder has stopped, the result isn't needed.
             let _ =
                 sender.send(Event::ProgressWritten { changes, outcome }).await;
         });
     }
 
-    /// Takes in what became of a write.
+    /// Handles the result of a write of progress.
     pub(super) fn changes_stored(
         &mut self,
         changes: Changes,
@@ -148,9 +148,9 @@
         }
     }
 
-    /// Decides of each job whose record was found changed how it goes on: one
-    /// such record must not cost the lease, since the next holder would meet
-    /// the same.
+    /// Resolves the conflict of each job whose record has changed. The holder
+    /// keeps its lease, because the next holder could run into the same
+    /// conflict.
     fn resolve_conflicts(
         &mut self,
         mut conflicted: Changes,
@@ -184,7 +184,7 @@
         self.log_conflict(conflict, &rows);
     }
 
-    /// Goes on with one job as was decided.
+    /// Applies the resolution of one job's conflict.
     fn apply_resolution(
         &mut self,
         change: Changes,
@@ -215,7 +215,8 @@
         }
     }
 
-    /// Has changes written again after a pause, with what has changed by then.
+    /// Returns changes to the scheduler after a pause; it writes them again
+    /// with whatever has changed by then.
     fn retry_write(&mut self, changes: Changes, pause: Duration) {
         if pause.is_zero() {
             self.scheduler.changes_failed(&changes);
@@ -224,13 +225,13 @@
         let sender = self.sender.clone();
         tokio::spawn(async move {
             sleep(pause).await;
-            // A holder that is gone has no use for it.
+            // If the holder has stopped, the retry isn't needed.
             let _ = sender.send(Event::RetryWrite(changes)).await;
         });
     }
 
-    /// Logs a refused write, with the records that stood in the way; at most
-    /// as many as a write carries.
+    /// Logs a conflicting write with the records that caused it: at most the
+    /// number of jobs in one write.
     fn log_conflict(&self, conflict: &WriteConflict, rows: &[ConflictRow]) {
         warn!(self.candidate.log, "holder: write refused";
             "lease_revision" => self.held.revision,
@@ -238,7 +239,7 @@
             "records" => to_json(&rows));
     }
 
-    /// Stores what isn't stored yet, before the lease is given up.
+    /// Writes all remaining changes before the lease is released.
     pub(super) async fn flush_changes(&mut self) {
         while self.scheduler.has_changes() {
             let changes = progress::take_next_write(&mut self.scheduler);
@@ -248,8 +249,8 @@
         }
     }
 
-    /// Stores changes but those that are refused for their jobs' records;
-    /// returns whether there is any use in storing more.
+    /// Writes changes, except those whose jobs' records conflict; returns
+    /// whether further writes may succeed.
     async fn flush_write(&self, mut changes: Changes) -> bool {
         while !changes.progress.is_empty() {
             let batch =
@@ -258,7 +259,7 @@
                 Ok(Commit::Done(_)) => return true,
                 Ok(Commit::Conflict(current)) => current,
                 Err(error) => {
-                    // The next holder hears of these ends from the workers.
+                    // Workers will report these ends to the next holder.
                     counters::platform_failure(&error);
                     warn!(self.candidate.log, "holder: write gave no result";
                         "of" => "progress", "error" => %error);
@@ -270,7 +271,7 @@
             match conflict.cause_for(&changes) {
                 ConflictCause::Lease => return false,
                 ConflictCause::Resolved => return true,
-                // Left to the next holder, which reads these records anew.
+                // The next holder reads these records again.
                 ConflictCause::Records(ids) => drop(changes.take(&ids)),
             }
         }
--- a/crates/dewspard/src/jobs/records.rs
+++ b/crates/dewspard/src/jobs/records.rs
@@ -1,6 +1,6 @@
 /*!
-What the holder keeps in the store beside the progress of jobs: counts of
-waiting jobs, the state of waves; and what it deletes there.
+Records that the holder writes besides the progress of jobs: counts of waiting
+jobs and the state of waves. Also the deletion of expired keys.
 */
 
 use {
@@ -18,33 +18,33 @@
     slog::{info, warn},
 };
 
-/// How far behind the feed a holder may be and still count, in milliseconds.
-/// With what readers allow, a count is then some 4 s old at most; jobs must be
-/// among those counted that were accepted 5 s ago.
+/// The maximum lag behind the feed at which the holder publishes counts, in
+/// milliseconds. Together with the age that readers accept, a count is then at
+/// most some 4 s old; jobs that were accepted 5 s ago must be counted.
 const MAX_FEED_AGE_MS: u64 = 2_000;
 
-/// How often keys of jobs that are over for long are deleted, in
+/// The interval at which the keys of expired jobs are deleted, in
 /// milliseconds.
 const EXPIRY_INTERVAL_MS: u64 = 5_000;
 
-/// How soon more of them are deleted where a write was full, in milliseconds:
-/// 150 jobs a second.
+/// The interval after a full write, in milliseconds: up to 150 jobs a second.
 const EXPIRY_BACKLOG_INTERVAL_MS: u64 = 100;
 
-/// How many jobs' keys are deleted at once: the store takes 32 entries, one
-/// is the lease's condition, and each job has two keys.
+/// The maximum number of jobs whose keys one write deletes: the store accepts
+/// 32 entries, one is the condition on the lease, and each job has two keys.
 const MAX_EXPIRED_PER_WRITE: usize = 15;
 
-/// How many keys of cancellings are deleted at once, one for each job.
+/// The maximum number of cancellations that one write deletes, with one key
+/// for each job.
 const MAX_CANCELLATIONS_PER_WRITE: usize = 31;
 
 impl<K: KeyValue, W: JobWorkers, F: Fleet> Holder<'_, K, W, F> {
-    /// Notes that the state of a wave has changed.
+    /// Marks the state of a wave as changed, so that it is written.
     pub(super) fn mark_wave_changed(&mut self, wave: u64) {
         self.wave_writers.entry(wave).or_default().owe();
     }
 
-    /// Writes the state of each wave of which a write is due.
+    /// Writes the state of each wave whose write is due.
     pub(super) fn write_waves(&mut self, now: Now) {
         for (wave, writer) in &mut self.wave_writers {
             let record = self.scheduler.wave_record(*wave);
@@ -69,14 +69,14 @@
                         "of" => "state of a wave", "error" => %error);
                 }
                 let written = record_written(&answer, &keys::wave(wave));
-                // A holder that is gone has no use for it.
+                // If the holder has stopped, the result isn't needed.
                 let _ =
                     sender.send(Event::WaveWritten { wave, written }).await;
             });
         }
     }
 
-    /// Takes in what became of a write of a wave's state.
+    /// Handles the result of a write of a wave's state.
     pub(super) fn wave_written(
         &mut self,
         wave: u64,
@@ -88,9 +88,9 @@
         }
     }
 
-    /// Writes the counts of waiting jobs, unless there may be jobs that this
-    /// holder hasn't heard of: the record then grows old, and nodes count
-    /// themselves.
+    /// Writes the counts of waiting jobs, unless this holder may have missed
+    /// jobs. The record then becomes stale, and other nodes count the stored
+    /// jobs themselves.
     pub(super) fn write_counts(&mut self, now: Now) {
         let behind_ms = now.steady_ms.saturating_sub(self.feed_current_ms);
         let may_be_incomplete =
@@ -118,18 +118,19 @@
             }
             let written =
                 Event::CountsWritten(record_written(&answer, keys::PENDING));
-            // A holder that is gone has no use for it.
+            // If the holder has stopped, the result isn't needed.
             let _ = sender.send(written).await;
         });
     }
 
+    /// Deletes the keys of jobs that finished long ago.
     pub(super) fn delete_expired(&mut self, now: Now) {
         if now.steady_ms < self.last_expiry_ms + EXPIRY_INTERVAL_MS {
             return;
         }
         let expired = self.scheduler.take_expired(now, MAX_EXPIRED_PER_WRITE);
-        // After a full write there is more: at 15 jobs each 5 s the keys of a
-        // busy fleet would only ever become more.
+        // After a full write more jobs are probably waiting: at only 15 jobs
+        // per 5 s the keys of a busy fleet would accumulate without limit.
         if expired.len() < MAX_EXPIRED_PER_WRITE {
             self.last_expiry_ms = now.steady_ms;
         } else {
@@ -148,7 +149,7 @@
         self.spawn_write(batch, "deletion of expired jobs");
     }
 
-    /// Deletes cancellings of which nothing runs any more.
+    /// Deletes the cancellations of jobs that have no running tasks left.
     pub(super) fn delete_settled_cancellations(&mut self, now: Now) {
         let settled = self
             .scheduler
@@ -164,7 +165,7 @@
         self.spawn_write(batch, "deletion of settled cancellings");
     }
 
-    /// Writes what needn't be written at any one time.
+    /// Starts a write that isn't retried. `what` names it in the log.
     pub(super) fn spawn_write(&self, batch: Batch, what: &'static str) {
         let store = self.candidate.store.with_purpose(Purpose::Progress);
         let log = self.candidate.log.clone();
@@ -178,7 +179,7 @@
     }
 }
 
-/// Reads what the store answered to a write of the record under this key.
+/// Converts the store's answer to a write of the record under this key.
 pub(super) fn record_written(
     answer: &Result<Commit, Error>,
     key: &str,
@@ -193,7 +194,8 @@
     }
 }
 
-/// Returns the version of a key among those that were found; 0 for absent.
+/// Returns the version of a key among those that were found; 0 if it is
+/// absent.
 pub(super) fn find_version(found: &[Versioned], key: &str) -> u64 {
     let item = found.iter().find(|item| item.key == key);
     item.map_or(0, |item| item.version)
--- a/crates/dewspard/src/jobs/start_logs.rs
+++ b/crates/dewspard/src/jobs/start_logs.rs
@@ -1,11 +1,12 @@
 /*!
-Logs of starts, as they lie in the store (see [`dewspar::schedule`]'s `start_log`).
+Storage of start logs: write-ahead logs of the tasks that are about to be
+started (see [`dewspar::schedule`]'s `start_log`).
 
-Each has a key of its own under the revision of its holder's lease, so that what
-two holders have logged can't be mixed up, and a write that is done late replaces
-nothing. They are read before the jobs, and deleted once nobody needs them: this
-lease's as soon as their starts are settled, those of former ones once the jobs'
-records hold what they say.
+Each log has its own key under the revision of its holder's lease, so that logs
+of two holders can't be mixed up, and a delayed write replaces nothing. Logs
+are read before the jobs. Those of this lease are deleted as soon as their
+starts are settled, those of former leases once the jobs' records include their
+starts.
 */
 
 use {
@@ -23,36 +24,42 @@
     slog::{Logger, info, warn},
 };
 
-/// How many logs may be written at once: a store whose answers take 50 ms still
-/// takes what is planned every 15 ms.
+/// The maximum number of writes in flight: with this, a store with a latency
+/// of 50 ms keeps up with a plan every 15 ms.
 const MAX_WRITES_IN_FLIGHT: usize = 4;
 
-/// The pause after a write that wasn't done, in milliseconds.
+/// The delay before a failed write is retried, in milliseconds.
 const RETRY_DELAY_MS: u64 = 50;
 
-/// How many logs are deleted at once: the store takes 32 entries, and one is the
-/// lease's condition.
+/// The maximum number of logs that one write deletes: the store accepts 32
+/// entries, and one is the condition on the lease.
 const MAX_DELETIONS_PER_WRITE: usize = 31;
 
-/// What former holders have logged.
+/// The start logs of former holders.
 #[derive(Debug, Default)]
 pub(super) struct LoadedStartLogs {
     starts: Vec<LoggedStart>,
-    /// The keys of their logs.
+    /// The keys of the logs.
     keys: Vec<String>,
 }
 
-/// The writes of this holder's logs, and which of former holders are left.
+/// The state of this holder's writes of logs.
 #[derive(Debug, Default)]
 pub(super) struct StartLogWrites {
+    /// The number of writes in flight.
     in_flight: usize,
-    /// From when the next write may begin.
+    /// The earliest time of the next write.
     next_write_ms: u64,
+    /// The keys of former holders' logs that aren't deleted yet.
     former_keys: Vec<String>,
 }
 
-/// Reads what former holders have logged; a start that can't be read is passed
-/// over.
+/// Reads the start logs of former holders; an unreadable start is logged and
+/// skipped, without affecting the others of its log.
+///
+/// # Errors
+///
+/// An error of the store.
 pub(super) async fn load_starts<K: KeyValue>(
     store: &K,
     log: &Logger,
@@ -88,7 +95,7 @@
 }
 
 impl<K: KeyValue, W: JobWorkers, F: Fleet> Holder<'_, K, W, F> {
-    /// Takes in what former holders have logged.
+    /// Passes the start logs of former holders to the scheduler.
     pub(super) fn apply_start_logs(&mut self, loaded: LoadedStartLogs) {
         let LoadedStartLogs { starts, keys } = loaded;
         if !keys.is_empty() {
@@ -99,8 +106,8 @@
         self.scheduler.inherit_logged_starts(starts);
     }
 
-    /// Writes the starts that wait to be on record, and deletes the logs that
-    /// nobody needs.
+    /// Writes the logs of planned starts, and deletes logs that are no longer
+    /// needed.
     pub(super) fn write_start_logs(&mut self, now: Now) {
         while self.start_logs.in_flight < MAX_WRITES_IN_FLIGHT
             && now.steady_ms >= self.start_logs.next_write_ms
@@ -127,7 +134,7 @@
 
     fn write_start_log(&mut self, log: StartLog) {
         self.start_logs.in_flight += 1;
-        // OK because it holds only what JSON can write.
+        // OK because it has only values that JSON can represent.
         let value = serde_json::to_vec(log.starts()).expect("plain JSON");
         let revision = self.held.revision;
         let batch = Batch::default()
@@ -145,12 +152,12 @@
                     "error" => %error);
             }
             let written = record_written(&answer, keys::OWNER);
-            // A holder that is gone has no use for it.
+            // If the holder has stopped, the result isn't needed.
             let _ = sender.send(Event::StartLogWritten { log, written }).await;
         });
     }
 
-    /// Takes in what became of a write of a log.
+    /// Handles the result of a write of a log.
     pub(super) fn start_log_written(
         &mut self,
         log: &StartLog,
@@ -164,7 +171,7 @@
                 self.start_logs.next_write_ms = now.steady_ms + RETRY_DELAY_MS;
                 self.scheduler.start_log_failed(log);
             }
-            // Nothing but the lease's key has to be as it was.
+            // The only condition is that on the lease's key.
             RecordWritten::Conflict { .. } => {
                 self.lost_reason =
                     Some("the store refused this holder's write");
--- a/crates/dewspard/src/jobs/step_down.rs
+++ b/crates/dewspard/src/jobs/step_down.rs
@@ -1,24 +1,26 @@
 /*!
-How a node's time as the holder of the scheduler lease ends.
+Why the holder of the scheduler lease stops scheduling.
 */
 
-/// Why a node no longer schedules.
+/// Why a node stops scheduling.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum StepDown {
-    /// Another node does, or may.
+    /// The lease is lost: another node holds it, or may hold it. The text says
+    /// how this was noticed.
     Lost(&'static str),
-    /// A stronger node asks for the lease.
+    /// A stronger node has requested the lease.
     Yielding,
-    /// The node can't keep up.
+    /// The node is overloaded.
     Overloaded,
-    /// No later token is left under this lease for some worker.
+    /// The fencing tokens available under this lease are used up for some
+    /// worker.
     OutOfTokens,
-    /// The node stops.
+    /// The node is shutting down.
     Stopping,
 }
 
 impl StepDown {
-    /// Returns whether the node gives up a lease that it holds.
+    /// Returns whether the node still holds the lease and releases it.
     pub(super) fn releases_lease(self) -> bool {
         match self {
             StepDown::Lost(_) => false,
--- a/crates/dewspard/src/jobs/takeover.rs
+++ b/crates/dewspard/src/jobs/takeover.rs
@@ -1,16 +1,17 @@
 /*!
-Loading what former holders left, beside scheduling.
+Loading the stored state after a takeover, concurrently with scheduling.
 
-The holder schedules new jobs from the first moment; what is open already
-comes in by and by. Cancellations come first, so that nothing starts that was
-cancelled. Jobs then come in slices by the first digit of their identifiers,
+A new holder schedules new jobs immediately; jobs that are already open are
+loaded in the background. Cancellations are loaded first, so that no cancelled
+job is started. Jobs follow in slices by the first digit of their identifiers,
 which is random, each with its progress.
 
-How much there is isn't known before. The first slice tells: where the rest
-takes little longer, as on any usual link, it is read at once. Else it comes
-slice by slice with pauses, so that orders and renewals find the link free
-between them. A reading that fails is tried again, and what was loaded stays
-loaded: nothing begins anew as long as the lease is held.
+The amount of data isn't known in advance and is estimated from the first
+slice. If the remaining slices take little longer, as on any usual link, they
+are read at once. Otherwise they are read one by one with pauses, so that
+orders and lease renewals find the link free in between. A failed read is
+retried, and slices that were loaded aren't read again as long as the lease is
+held.
 */
 
 use {
@@ -36,48 +37,50 @@
     tokio::time::sleep,
 };
 
-/// The slices: the digits that identifiers of jobs begin with.
+/// The slices: the first digits of job identifiers.
 const SLICES: [&str; 16] = [
     "0", "1", "2", "3", "4", "5", "6", "7", "8", "9", "a", "b", "c", "d", "e",
     "f",
 ];
 
-/// How long all the rest may take to be read at once, in milliseconds: less
-/// than a lease lasts without renewal, and not much more than orders may take.
+/// The maximum time in which all remaining slices are read at once, in
+/// milliseconds: less than a lease lasts without renewal, and not much more
+/// than the time allowed for an order.
 const MAX_FULL_READ_MS: u64 = 600;
 
-/// How slices follow each other: half of the link is left for orders.
+/// The pace of single slices: half of the link's time is left for orders.
 const SLICE_PACE: PollPace =
     PollPace { least_ms: 0, most_ms: 1_000, share_percent: 50 };
 
-/// The pause after a reading that failed.
+/// The delay before a failed read is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Jobs that were loaded, with all that is stored of them.
+/// A slice of loaded jobs, with everything that is stored about them.
 #[derive(Debug, Default)]
 pub(super) struct LoadedJobs {
     pub(super) feed: Vec<FeedEvent>,
     pub(super) progress: BTreeMap<JobId, Progress>,
-    /// The version of each job's progress in the store.
+    /// The store version of each job's progress.
     pub(super) versions: BTreeMap<JobId, u64>,
-    /// Jobs whose progress can't be read: what is done of them isn't known.
+    /// Jobs whose progress can't be read, so that it isn't known which of
+    /// their tasks are done.
     pub(super) unreadable: BTreeSet<JobId>,
 }
 
-/// What former holders left beside the jobs.
+/// What former holders stored besides the jobs.
 #[derive(Debug)]
 pub(super) struct LoadedFleetState {
-    /// What they kept of each wave.
+    /// The state of each wave.
     pub(super) waves: LoadedWaves,
-    /// The waves that were reported as completed.
+    /// The waves that were reported to the operator as completed.
     pub(super) completed_waves: Vec<u64>,
-    /// The VMs of which the former holder ordered changes of late.
+    /// The VMs of which the former holder recently ordered changes.
     pub(super) vm_orders: LoadedVmOrders,
-    /// The version of the counts of waiting jobs; 0 for none.
+    /// The version of the counts of waiting jobs; 0 if there are none.
     pub(super) counts_version: u64,
 }
 
-/// Loads everything and reports it, until it is complete.
+/// Loads the stored state and sends it to the holder, until it is complete.
 pub(super) async fn load<K: KeyValue, F: Fleet>(
     store: K,
     fleet: F,
@@ -88,7 +91,7 @@
     let fleet_state = load_fleet_state(&store, &fleet, &sender, &log);
     let jobs = load_jobs(&store, &sender, &log);
     let (fleet_state, jobs) = tokio::join!(fleet_state, jobs);
-    // A holder that is gone has no use for the rest.
+    // Errors mean that the holder has stopped.
     let (Ok(()), Ok(loaded)) = (fleet_state, jobs) else { return };
     info!(log, "holder: jobs loaded"; "jobs" => loaded.jobs,
         "bytes" => loaded.bytes, "readings" => loaded.reads,
@@ -112,7 +115,7 @@
     fleet: &F,
     log: &Logger,
 ) -> Result<LoadedFleetState, Error> {
-    // All at once: one after the other they take a slow store seconds.
+    // Concurrently, because one after the other takes seconds on a slow store.
     let (waves, completed_waves, vm_orders, counts_version) = tokio::try_join!(
         load_waves(store, log),
         fleet.completed_waves(),
@@ -122,7 +125,7 @@
     Ok(LoadedFleetState { waves, completed_waves, vm_orders, counts_version })
 }
 
-/// How much was loaded.
+/// The amount of data that was loaded, for the log.
 #[derive(Debug, Default)]
 struct LoadTotals {
     jobs: usize,
@@ -130,7 +133,7 @@
     reads: usize,
 }
 
-/// How what is left is read.
+/// How the remaining slices are read.
 enum RemainingRead {
     AtOnce,
     BySlices,
@@ -151,7 +154,7 @@
     let call_ms = clock::now_ms().saturating_sub(requested_ms);
     sender.send(Event::Feed(parse_feed(&cancelled, log))).await?;
     sender.send(Event::DeferredEndsLoaded(ends)).await?;
-    // Before any job of which they tell.
+    // Sent before any of the jobs that they refer to.
     sender.send(Event::StartLogsLoaded(starts)).await?;
 
     let [first, rest @ ..] = &SLICES;
@@ -172,8 +175,9 @@
     Ok(loaded)
 }
 
-/// Decides by how much longer the first slice took than a call that brings
-/// hardly anything, all in milliseconds.
+/// Chooses how to read the remaining slices. The estimate is the time of the
+/// first slice beyond that of calls with little data, in milliseconds, times
+/// the number of remaining slices.
 fn choose_remaining_read(
     took_ms: u64,
     call_ms: u64,
@@ -187,8 +191,8 @@
     }
 }
 
-/// Loads the jobs whose identifiers begin so; returns how long the store took
-/// to tell them, in milliseconds.
+/// Loads the jobs whose identifiers begin with the slice's digit, or all jobs
+/// for an empty slice; returns the time that the read took, in milliseconds.
 async fn load_slice<K: KeyValue>(
     store: &K,
     slice: &str,
@@ -238,7 +242,7 @@
     }
 }
 
-/// Reads until there is a result.
+/// Retries a read until it succeeds.
 async fn retry_until_read<T, R>(mut read: impl FnMut() -> R) -> T
 where
     R: Future<Output = Result<T, Error>>,
--- a/crates/dewspard/src/jobs/versions.rs
+++ b/crates/dewspard/src/jobs/versions.rs
@@ -1,20 +1,20 @@
 /*!
-At which version the holder knows each job's record to be.
+The store version of each job's record, as last known to the holder.
 
-A holder writes a job's record under the condition that it is still at the
-version known here. A version comes from one of three sources: the record was
-loaded, this holder wrote it, or a refused write told what it found. Which one
-it was is kept, so that a refusal can be explained.
+The holder writes a job's record by compare-and-swap on the version known here.
+A version comes from one of three sources: the record was loaded, this holder
+wrote it, or a conflicting write returned it. The source is kept so that a
+later conflict can be explained in the log.
 
-Versions are those of the whole store, so any two of them tell which write was
-the later one. What is loaded is as old as its reading, and the holder may have
-written the same record since: of two versions the later one is kept, in
-whatever order they become known.
+Versions are counted for the whole store, so of any two the higher one belongs
+to the later write. A loaded version is as old as the read that returned it,
+and the holder may have written the record since. The higher version is
+therefore kept, in whatever order the two become known.
 */
 
 use {dewspar::job::JobId, serde::Serialize, std::collections::BTreeMap};
 
-/// How the holder came to know a version.
+/// How the holder learned a version.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub(super) enum VersionSource {
@@ -22,54 +22,54 @@
     Loaded,
     /// This holder wrote it.
     Written,
-    /// A refused write found it.
+    /// A conflicting write returned it.
     Found,
 }
 
-/// A record's version, and how the holder came to know it.
+/// A record's version, and how the holder learned it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) struct KnownVersion {
     pub(super) version: u64,
     pub(super) source: VersionSource,
 }
 
-/// The versions of the records that the holder knows of.
+/// The known versions of all job records.
 #[derive(Debug, Default)]
 pub(super) struct RecordVersions {
     known: BTreeMap<JobId, KnownVersion>,
-    /// How often in a row a record was found otherwise than expected.
+    /// The number of consecutive write conflicts of a record.
     conflicts: BTreeMap<JobId, u32>,
 }
 
 impl RecordVersions {
-    /// Returns the version that a write of the job's record expects; 0 for no
-    /// record.
+    /// Returns the version that a write of the job's record expects; 0 if
+    /// there is no record.
     pub(super) fn expected(&self, id: JobId) -> u64 {
         self.known.get(&id).map_or(0, |known| known.version)
     }
 
-    /// Returns how the job's version came to be known; `None` where no record
-    /// is known.
+    /// Returns how the version of the job's record was learned; `None` if no
+    /// record is known.
     pub(super) fn source(&self, id: JobId) -> Option<VersionSource> {
         self.known.get(&id).map(|known| known.source)
     }
 
-    /// Notes the version at which a record was loaded.
+    /// Stores the version at which a record was loaded.
     pub(super) fn note_loaded(&mut self, id: JobId, version: u64) {
         self.note(id, version, VersionSource::Loaded);
     }
 
-    /// Notes the version at which this holder wrote a record.
+    /// Stores the version at which this holder wrote a record.
     pub(super) fn note_written(&mut self, id: JobId, version: u64) {
         self.conflicts.remove(&id);
         self.note(id, version, VersionSource::Written);
     }
 
-    /// Notes the version at which a refused write found a record, 0 for none;
-    /// returns how often in a row that was another than expected.
+    /// Stores the version that a conflicting write returned, 0 if there is no
+    /// record; returns the number of consecutive conflicts of this record.
     pub(super) fn note_found(&mut self, id: JobId, version: u64) -> u32 {
-        // Known better than any other: the store said so when it refused, and
-        // no other write of the record is under way.
+        // Replaces even a higher version: the store returned it with the
+        // conflict, and no other write of the record is in flight.
         let source = VersionSource::Found;
         self.known.insert(id, KnownVersion { version, source });
         let times = self.conflicts.entry(id).or_default();
@@ -77,15 +77,15 @@
         *times
     }
 
-    /// Forgets a record that this holder deletes.
+    /// Removes a record that this holder deletes.
     pub(super) fn forget(&mut self, id: JobId) {
         self.known.remove(&id);
         self.conflicts.remove(&id);
     }
 
     fn note(&mut self, id: JobId, version: u64, source: VersionSource) {
-        // A reading may be taken in after a write that it doesn't show; the
-        // next write would expect a version that is gone.
+        // A read may be processed after a write that it doesn't include; with
+        // its version the next write would conflict.
         if version > self.expected(id) {
             self.known.insert(id, KnownVersion { version, source });
         }
--- a/crates/dewspard/src/jobs/vm_orders.rs
+++ b/crates/dewspard/src/jobs/vm_orders.rs
@@ -1,5 +1,6 @@
 /*!
-Orders to the VM service: maintenance, moves, and telling the operator.
+Orders to the VM service: maintenance, moves between pools, and reports of
+waves to the operator.
 */
 
 use {
@@ -24,25 +25,26 @@
     std::collections::BTreeMap,
 };
 
-/// Orders to send, once they are on record.
+/// Orders that are sent once they are recorded.
 pub(super) struct VmOrderBatch {
     /// The node that sends them.
     pub(super) holder: String,
     /// Their fencing token.
     pub(super) fence: u64,
     pub(super) orders: Vec<VmOrder>,
-    /// What was known of suspensions when they were planned.
+    /// The suspensions known when the orders were planned.
     pub(super) suspensions: Suspensions,
-    /// Of which VMs changes are ordered by now.
+    /// The VMs with recently ordered changes, including these.
     pub(super) vms: OrderedVms,
-    /// The version of the last such record; 0 for none.
+    /// The version of the current record; 0 if there is none.
     pub(super) record_version: u64,
 }
 
-/// Records orders and sends them; results come back as events.
+/// Records orders and then sends them; results are reported as events.
 ///
-/// The record tells the next holder which VMs to leave alone for a while,
-/// and its condition shows that this node still holds the lease.
+/// The record tells the next holder which VMs to leave unchanged for a while.
+/// Since its write is conditional on the lease, its success also shows that
+/// this node still holds the lease.
 pub(super) fn send<K: KeyValue, F: Fleet>(
     store: &K,
     fleet: &F,
@@ -60,7 +62,7 @@
         let recorded =
             matches!(event, Event::VmOrdersWritten(RecordWritten::Done(_)));
         let lease_gone = matches!(event, Event::LeaseLost);
-        // A holder that is gone has no use for it.
+        // If the holder has stopped, the event isn't needed.
         if events.send(event).await.is_err() || lease_gone {
             return;
         }
@@ -76,7 +78,7 @@
             let events = events.clone();
             tokio::spawn(async move {
                 if let Some(event) = sending.await {
-                    // A holder that is gone has no use for it.
+                    // If the holder has stopped, the result isn't needed.
                     let _ = events.send(event).await;
                 }
             });
@@ -84,12 +86,12 @@
     });
 }
 
-/// How often a record of orders is written anew that was found changed: once
-/// for a write of this holder whose answer was lost, and once more in case
-/// that is done just then.
+/// The maximum number of attempts to write the record of orders. One retry
+/// covers an earlier write of this holder whose answer was lost, another one a
+/// write of that kind that takes effect only during the retry.
 const MAX_RECORD_ATTEMPTS: u32 = 3;
 
-/// What became of recording orders.
+/// The result of recording orders.
 enum RecordResult {
     Answered(RecordWritten),
     /// Another node holds the lease, or may.
@@ -98,8 +100,8 @@
 
 /// Records orders before they are sent.
 ///
-/// Depends on the record's version as well as on the lease: an older record
-/// that is done late must not replace this one.
+/// The write is conditional on the record's version as well as on the lease,
+/// so that a delayed older write can't replace it.
 async fn record_orders<K: KeyValue>(
     store: &K,
     order_batch: &VmOrderBatch,
@@ -118,7 +120,7 @@
                 if find_version(found, keys::OWNER) != order_batch.fence {
                     return RecordResult::LeaseLost;
                 }
-                info!(log, "vm: record of orders was another";
+                info!(log, "vm: record of orders conflicts";
                     "expected" => version,
                     "found" => find_version(found, keys::VM_ORDERS));
             }
@@ -133,7 +135,7 @@
     RecordResult::Answered(written)
 }
 
-/// Who orders a change to a VM.
+/// The context in which a change to a VM is ordered.
 struct OrderContext {
     holder: String,
     fence: u64,
@@ -142,10 +144,10 @@
 }
 
 impl OrderContext {
-    /// Returns whether the order may go out: it is on record, and this VM
-    /// wasn't suspended since it was planned. After that another node may hold
-    /// the lease, and the VM service refuses the order only where it has heard
-    /// of that one.
+    /// Returns whether the order may be sent: it is recorded, and this VM
+    /// wasn't suspended since the order was planned. After a suspension
+    /// another node may hold the lease, and the VM service refuses an outdated
+    /// order only if it has already seen that node's token.
     fn may_be_sent(&self) -> bool {
         let mut suspensions = self.suspensions;
         let suspended_ms = clock::suspended_ms();
@@ -189,7 +191,7 @@
         VmOrder::ReportRunning { wave } => {
             match fleet.report_wave(wave, false).await {
                 Ok(()) => info!(log, "wave: running"; "wave" => wave),
-                // Not worth another try: it is reported when it completes.
+                // Not retried, because its completion is reported as well.
                 Err(error) => {
                     counters::platform_failure(&error);
                     warn!(log, "wave: not reported as running";
@@ -229,17 +231,21 @@
     counters::count_by(counters::FLEET_STEPS, "step", order);
 }
 
-/// What earlier holders kept of the waves.
+/// What former holders stored about the waves.
 #[derive(Debug, Default)]
 pub(super) struct LoadedWaves {
     pub(super) records: BTreeMap<u64, WaveRecord>,
-    /// What else newer versions have kept of them.
+    /// Unknown fields of the records, written by newer versions.
     pub(super) other: BTreeMap<u64, OtherFields>,
-    /// The version of each record, also of one that can't be read.
+    /// The version of each record, including unreadable ones.
     pub(super) versions: BTreeMap<u64, u64>,
 }
 
-/// Reads what earlier holders kept of each wave.
+/// Reads what former holders stored about each wave.
+///
+/// # Errors
+///
+/// An error of the store. Unreadable records are logged and skipped.
 pub(super) async fn load_waves<K: KeyValue>(
     store: &K,
     log: &Logger,
@@ -269,16 +275,20 @@
     Ok(waves)
 }
 
-/// Of which VMs the former holder had ordered changes when it last did.
+/// The VMs of which the former holder had recently ordered changes.
 #[derive(Debug)]
 pub(super) struct LoadedVmOrders {
-    /// `None` where that can't be known.
+    /// `None` if the record can't be read.
     pub(super) vms: Option<OrderedVms>,
-    /// The version of the record; 0 for none.
+    /// The version of the record; 0 if there is none.
     pub(super) version: u64,
 }
 
-/// Reads of which VMs the former holder had ordered changes when it last did.
+/// Reads the VMs of which the former holder had recently ordered changes.
+///
+/// # Errors
+///
+/// An error of the store.
 pub(super) async fn load_vm_orders<K: KeyValue>(
     store: &K,
     log: &Logger,
@@ -298,13 +308,13 @@
     Ok(LoadedVmOrders { vms, version: found.version })
 }
 
-/// The write that records of which VMs changes are ordered.
+/// Returns the write that records the VMs with ordered changes.
 fn vm_orders_batch(
     lease_revision: u64,
     version: u64,
     vms: &OrderedVms,
 ) -> Batch {
-    // OK because texts and numbers can always be written.
+    // OK because strings and numbers can always be serialized.
     let value = serde_json::to_vec(vms).expect("plain JSON");
     Batch::default()
         .when(keys::OWNER, Expected::Version(lease_revision))
@@ -312,14 +322,14 @@
         .put(keys::VM_ORDERS, value)
 }
 
-/// The write that records how far a wave has come.
+/// Returns the write that records the state of a wave.
 pub(super) fn wave_batch(
     lease_revision: u64,
     wave: u64,
     version: u64,
     record: &WithOthers<&WaveRecord>,
 ) -> Batch {
-    // OK because a number and texts can always be written.
+    // OK because numbers and strings can always be serialized.
     let value = serde_json::to_vec(record).expect("plain JSON");
     Batch::default()
         .when(keys::OWNER, Expected::Version(lease_revision))
--- a/crates/dewspard/src/jobs/worker_lookups.rs
+++ b/crates/dewspard/src/jobs/worker_lookups.rs
@@ -1,13 +1,16 @@
 /*!
-New lives of workers, looked up in the directory one by one, many at once.
+Concurrent lookups of single new workers in the directory.
 
-A VM that has moved comes back with a new worker, which the list of VMs names
-before the directory, read as a whole now and then, shows where it is. Until
-then it carries nothing. When a queue's demand turns, hundreds of VMs come back
-within a second. So each new life is looked up at once, beside the others, and
-again after a moment while it hasn't entered itself yet; none is looked up twice
-at a time, however often the list of VMs names it. One that still hasn't entered
-itself then is left to the readings of the whole directory for longer and longer.
+A VM that has moved to another pool restarts with a new worker. The list of VMs
+names that worker before its address appears in the next full read of the
+directory, and until then it can't be given tasks. When the demand of queues
+shifts, hundreds of VMs may restart within a second. Each new worker is
+therefore looked up immediately, concurrently with others.
+
+A lookup is retried while the worker isn't registered yet, and a worker is
+never looked up twice at a time, however often the list of VMs names it. If all
+retries fail, the worker is left to full reads of the directory, with
+exponential backoff before it is looked up again.
 
 # Example
 
@@ -21,12 +24,12 @@
 
 # #[tokio::main(flavor = "current_thread")]
 # async fn main() {
-let look_ups = WorkerLookups::default();
+let lookups = WorkerLookups::default();
 let (found, mut finds) = mpsc::channel(1);
 let id = WorkerId::new("worker-7");
 for _ in 0..2 {
     let (found, name) = (found.clone(), id.clone());
-    look_ups.start(&id, move || {
+    lookups.start(&id, move || {
         let (found, name) = (found.clone(), name.clone());
         async move {
             found.send(name).await.unwrap();
@@ -36,7 +39,7 @@
 }
 assert_eq!(finds.recv().await, Some(id));
 tokio::time::sleep(Duration::from_millis(10)).await;
-assert!(finds.try_recv().is_err(), "the second was under way already");
+assert!(finds.try_recv().is_err(), "one lookup only");
 # }
 ```
 */
@@ -54,44 +57,45 @@
     },
 };
 
-/// How many lives are looked up at once: 300 of them take ten ways to the
-/// store and back then, and a reply is some 400 bytes.
+/// The maximum number of concurrent lookups: with this, 300 workers take ten
+/// round trips to the store. A reply has some 400 bytes.
 const MAX_CONCURRENT: usize = 32;
 
-/// The pause after a look-up that found nothing: entries appear up to a second
-/// after their workers.
+/// The delay before an unsuccessful lookup is retried: workers register up to
+/// a second after they appear in the list of VMs.
 const RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// How often a life is looked up at most: the whole directory is read before
-/// that, and tells which lives there are.
+/// The maximum number of attempts of a lookup: before they are used up, a full
+/// read of the directory shows which workers exist.
 const MAX_ATTEMPTS: usize = 12;
 
-/// How long a life that wasn't found isn't looked up again, and how long at
-/// most: twice as long each time, from the time in which the whole directory is
-/// surely read to one in which a look costs nothing.
+/// The first backoff of a worker that wasn't found, and the longest one. It
+/// doubles each time: from a time within which the whole directory is
+/// certainly read, to one at which the cost of lookups is negligible.
 const MIN_BACKOFF: Duration = Duration::from_secs(10);
 const MAX_BACKOFF: Duration = Duration::from_secs(160);
 
-/// For how long after its rest a life is remembered that is named no more.
+/// How long the expired backoff of a worker is kept, in case the worker is
+/// looked up again.
 const BACKOFF_RETENTION: Duration = Duration::from_secs(600);
 
-/// A life that wasn't found.
+/// The backoff of a worker that wasn't found.
 #[derive(Clone, Copy, Debug)]
 struct Backoff {
     until: Instant,
     duration: Duration,
 }
 
-/// What came of a look-up.
+/// The outcome of an attempt to look up a worker.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum LookupOutcome {
-    /// Nothing more is to be looked up.
+    /// No further attempt is needed.
     Done,
-    /// It isn't there yet, or nobody could say.
+    /// The worker isn't registered yet, or the call failed.
     Retry,
 }
 
-/// Look-ups under way; clones share them.
+/// Lookups in progress. Clones share their state.
 #[derive(Clone, Debug)]
 pub struct WorkerLookups {
     state: Arc<Mutex<LookupState>>,
@@ -101,12 +105,13 @@
 #[derive(Debug, Default)]
 struct LookupState {
     in_flight: BTreeSet<WorkerId>,
-    /// Those that weren't found.
+    /// The workers that weren't found.
     backoffs: BTreeMap<WorkerId, Backoff>,
 }
 
 impl LookupState {
-    /// Notes that a life is looked up, if it is to be.
+    /// Marks a lookup as in progress; returns `false` if one is already in
+    /// progress or the worker's backoff isn't over.
     fn begin(&mut self, id: &WorkerId) -> bool {
         let now = Instant::now();
         let backing_off = self.backoffs.get(id).is_some_and(|r| now < r.until);
@@ -139,8 +144,9 @@
 }
 
 impl WorkerLookups {
-    /// Looks a life up until that is done, unless it is being looked up or
-    /// wasn't found a short while ago.
+    /// Starts a lookup of a worker, unless one is in progress or the worker
+    /// wasn't found recently. `look` makes one attempt and is called until it
+    /// returns [`LookupOutcome::Done`] or all attempts are used up.
     pub fn start<L, R>(&self, id: &WorkerId, look: L)
     where
         L: Fn() -> R + Send + 'static,
@@ -162,7 +168,7 @@
         R: Future<Output = LookupOutcome>,
     {
         for _ in 0..MAX_ATTEMPTS {
-            // OK because nobody closes it.
+            // OK because the semaphore is never closed.
             let permit = self.concurrency.acquire().await.expect("open");
             let outcome = look().await;
             drop(permit);
@@ -175,7 +181,8 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, LookupState> {
-        // OK after a panic: a life is looked up once more or less.
+        // OK after a panic: at worst a lookup is made once too often or too
+        // rarely.
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
