--- a/crates/dewspar/tests/schedule/restarted_workers.rs
+++ b/crates/dewspar/tests/schedule/restarted_workers.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         crashing::{MAX_STARTS, first_task, starts_of},
-        task_moves::look,
+        task_moves::plan_round,
         world::{RunKind, World, at, id, job, next_hold, step},
     },
     dewspar::{
@@ -377,7 +377,7 @@
     run_reading_directory(&mut world, 3_000);
     let starts = world.starts.len();
     let on = world.starts[0].0.clone();
-    let earlier = Incarnation::born_at(1);
+    let earlier = Incarnation::started_at(1);
     for told in [Incarnation::UNKNOWN, earlier] {
         let mut entries = world.listings.clone();
         for entry in &mut entries {
@@ -404,7 +404,7 @@
     world.fate = Fate::endless();
     world.scheduler.submit(id(1), job(vec![long_step(1)]), 6, None);
     run_reading_directory(&mut world, 3_000);
-    world.start_again_as(&w("w1"), Incarnation::born_at(1));
+    world.start_again_as(&w("w1"), Incarnation::started_at(1));
     let task = first_task(id(1)).to_string();
     let end_ms = world.now_ms + EARLIER_USED_WITHIN_MS;
     while world.now_ms < end_ms && !world.running().contains(&task) {
@@ -449,7 +449,7 @@
     }
     world.list();
     for _ in 0..4 {
-        look(&mut world);
+        plan_round(&mut world);
     }
     world.start_again(&to);
     world.list();
--- a/crates/dewspard/src/jobs/holder.rs
+++ b/crates/dewspard/src/jobs/holder.rs
@@ -281,7 +281,7 @@
         let waited_ms = now.steady_ms.saturating_sub(sent_ms);
         self.load_stats.event_received(waited_ms);
         let scheduler = &mut self.scheduler;
-        scheduler.event_waited(waited_ms, now);
+        scheduler.record_event_delay(waited_ms, now);
         match event {
             Event::Feed(feed) => self.apply_feed(feed, FeedOrigin::Feed),
             Event::JobsLoaded(jobs) => self.apply_loaded_jobs(jobs),
@@ -325,7 +325,9 @@
             Event::MoveAnswered { vm, pool, result } => {
                 scheduler.move_answered(&vm, &pool, result, now);
             }
-            Event::WaveReportFailed { wave } => scheduler.report_failed(wave),
+            Event::WaveReportFailed { wave } => {
+                scheduler.wave_report_failed(wave)
+            }
             Event::LeaseRenewed { sent_ms } => {
                 self.held.renewed_ms = self.held.renewed_ms.max(sent_ms);
                 scheduler.lease_renewed(sent_ms);
@@ -383,11 +385,11 @@
     }
 
     fn apply_fleet_state(&mut self, fleet_state: LoadedFleetState, now: Now) {
-        let orderer = self.candidate.orderer();
+        let orderer = self.candidate.order_issuer();
         self.vm_orders.found(fleet_state.vm_orders.version);
         let ordered = fleet_state.vm_orders.vms.as_ref();
         self.vm_orders_recorded = ordered.is_some_and(|vms| !vms.is_empty());
-        self.scheduler.leave_vms_alone(
+        self.scheduler.hold_off_vm_orders(
             now,
             &orderer,
             fleet_state.vm_orders.vms,
@@ -529,7 +531,7 @@
         let free = queues.free_pools().iter().cloned();
         self.scheduler.configure_pools(serving.collect(), free.collect());
         let unguarded = queues.unguarded_pools().iter().cloned();
-        self.scheduler.guard_pools(unguarded.collect());
+        self.scheduler.enforce_capacity(unguarded.collect());
         let queues = queues.queues().iter();
         self.scheduler.configure(queues.map(|q| (q.name.as_str(), &q.terms)));
     }
@@ -551,7 +553,8 @@
         if orders.is_empty() && !self.vm_orders_recorded {
             return;
         }
-        let vms = self.scheduler.ordered_vms(now, &self.candidate.orderer());
+        let vms =
+            self.scheduler.ordered_vms(now, &self.candidate.order_issuer());
         // The record has no time stamp of its own. A VM that remained in it
         // would be skipped anew by each later holder, and crashes on it would
         // not be counted.
--- a/crates/dewspard/src/jobs/lookup.rs
+++ b/crates/dewspard/src/jobs/lookup.rs
@@ -90,7 +90,7 @@
     }
 
     /// Uses the holder's counts, or the ones that one node makes for all nodes
-    /// when the holder's are unfit.
+    /// when the holder's are unusable.
     async fn read_counts(
         &self,
         reader: &mut CountsReader,
@@ -171,7 +171,7 @@
         let phases: BTreeMap<JobId, Phase> = progress
             .iter()
             .filter_map(|item| {
-                let id = keys::job_of_progress(&item.key)?;
+                let id = keys::parse_progress(&item.key)?;
                 let stored = serde_json::from_slice::<Progress>(&item.value);
                 Some((
                     id,
