--- a/crates/dewspar/src/schedule/mod.rs
+++ b/crates/dewspar/src/schedule/mod.rs
@@ -1,49 +1,51 @@
 /*!
-The scheduler: which task runs on which worker, and what is owed next.
+The scheduler: decides which task runs on which worker, and which orders to
+send next.
 
-One node at a time holds the *scheduler lease*, a key in the store that goes
+One node at a time holds the *scheduler lease*, a key in the store that expires
 when its holder stops renewing it. The revision at which the key was written
-rises from holder to holder, so it is the fencing token of every order. The
-[`Scheduler`] is that holder's state. It does no I/O: events go in (jobs,
-cancellations, the directory of workers, answers to orders), and
-[`Scheduler::plan`] returns [`Action`]s to carry out.
+increases from holder to holder, so it serves as the fencing token of every
+order. [`Scheduler`] is that holder's state. It performs no I/O: events go in
+(jobs, cancellations, the directory of workers, answers to orders), and
+[`Scheduler::plan`] returns the [`Action`]s to carry out.
 
-# Who knows what
+# Sources of truth
 
-| what | who knows it for sure |
+| state | authority |
 |---|---|
 | accepted jobs, cancellations, ends that were acknowledged | the store |
-| what runs, ends that weren't acknowledged | the workers |
+| running tasks, ends that weren't acknowledged | the workers |
 
-So nothing is written when a task starts that no former holder can have started,
-and of the others what a later holder must know of them is written first (see
-`write_ahead`). A new holder loads the jobs and
-asks every worker, under its own token, what runs there; the first such
-answer also fences the former holder off. An end is acknowledged to its
-worker only after the store has it: until then a new holder hears it again.
+Starting a task that no former holder can have started therefore writes
+nothing. For the others, whatever a later holder must know is written before
+the start (see `write_ahead`). A new holder loads the jobs and sends each
+worker a hold, which asks what runs there, under its own token; the first such
+answer also fences the former holder off. An end is acknowledged to its worker
+only after the store has it: until then, a new holder receives it again.
 
-A worker that can't be asked after a takeover may run any task of a job that
-the former holder knew. Such tasks wait until that worker's lease is over for
-certain, or until it is known that this life of it has ended. Jobs accepted
-after the takeover don't wait: the former holder can't have known them.
+A worker that can't be reached after a takeover may run any task of a job that
+the former holder knew. Such tasks wait until that worker's lease has certainly
+expired, or until that process of the worker is known to have ended. Jobs
+accepted after the takeover don't wait, since the former holder can't have
+known them.
 
-# Orders without an answer
+# Unanswered orders
 
-An order that got no answer may be carried out later. The scheduler then
-raises the token for that worker and sends it nothing but [`HoldOrder`]s
-until one is answered. From then on the late order is refused, and the answer
-says whether the run is there.
+An order without an answer may still be carried out later. The scheduler then
+raises the fencing token for that worker and sends it only [`HoldOrder`]s until
+one is answered. From then on the worker refuses the late order, and the answer
+tells whether the run exists.
 
-# How much at once
+# Flow control
 
-A new holder owes each worker a question and each waiting task an order, more
-than a small node can send and hear answered in time. What is under way is
-bounded by a [`CallWindow`](crate::window::CallWindow): questions that fence a
-former holder off go first, then starts in their order, as far as there is
-room in the window; the rest waits for answers. Workers known to be silent are
-asked outside of it, so that they take no room from those that answer. What a
-small link can't carry waits as well, the least urgent longest; see
-[`link`](crate::link).
+A new holder owes each worker a hold and each waiting task a start, more than a
+small node can send and receive answers for in time. A
+[`CallWindow`](crate::window::CallWindow) bounds the orders in flight: holds
+that fence a former holder off go first, then starts in their order, as far as
+the window has room; the rest waits for answers. Holds to unresponsive workers
+don't count against the window, so they take no room from those that answer.
+Orders that exceed the capacity of the node's link are delayed as well, the
+least urgent ones longest; see [`link`](crate::link).
 
 # Example
 
@@ -73,7 +75,7 @@
     remaining_ms: None,
 }]);
 
-// The worker must say what runs on it before it gets anything to run.
+// A worker must report what runs on it before it is sent a start.
 scheduler.expect_workers(now, [(id.clone(), "registry".to_owned())]);
 let actions = scheduler.plan(now);
 let Action::Hold { held, .. } = &actions[0] else { panic!() };
@@ -166,52 +168,54 @@
 mod workers;
 mod write_ahead;
 
-/// The two clocks of an event.
+/// The time of an event, on two clocks.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Now {
-    /// A clock that never jumps, in milliseconds.
+    /// A monotonic clock, in milliseconds.
     pub steady_ms: u64,
-    /// The time of day, in milliseconds of the Unix epoch.
+    /// The wall clock, in milliseconds of the Unix epoch.
     pub unix_ms: u64,
 }
 
-/// What a queue promises and allows; each accepted job keeps its own copy.
+/// The service terms of a queue, copied into each accepted job.
 ///
-/// The copy keeps a job schedulable after its queue was taken out of the
+/// The copy keeps a job schedulable after its queue was removed from the
 /// configuration.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(default)]
 pub struct QueueTerms {
     /// The pool whose workers run the tasks.
     pub pool: String,
-    /// The priority; 0 goes first.
+    /// The priority; 0 is the highest.
     pub priority: u32,
-    /// How often a task may fail before its job does.
+    /// How many times a task may fail before its job fails.
     pub max_attempts: u32,
-    /// What a job may take beyond its own work, in milliseconds.
+    /// The latency allowed on top of a job's own work, in milliseconds.
     pub target_latency_ms: u64,
-    /// What a job may take for its work, as a multiple of its longest chain.
+    /// The time allowed for a job's work, as a multiple of its longest chain
+    /// of steps.
     pub stretch: f64,
-    /// How the adviser answers, if only some workers may run the tasks.
+    /// The timing of the adviser, if only some workers may run the tasks.
     pub advice: Option<AdviceTerms>,
 }
 
-/// How an adviser answers.
+/// The timing of an adviser, the service that decides which workers may run a
+/// step.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize,
 )]
 pub struct AdviceTerms {
-    /// How long an answer takes at least, in milliseconds.
+    /// The minimum duration of a decision, in milliseconds.
     pub decision_ms: u64,
-    /// How much longer it takes for each worker named, in milliseconds.
+    /// The additional duration for each worker named, in milliseconds.
     pub period_ms: u64,
     /// How long a ticket is valid, in milliseconds.
     pub validity_ms: u64,
 }
 
 impl QueueTerms {
-    /// Returns how long a job with this chain of work may take, in
-    /// milliseconds.
+    /// Returns how long a job whose longest chain of steps takes `chain_ms`
+    /// may take, in milliseconds.
     pub fn objective_ms(&self, chain_ms: u64) -> u64 {
         // OK to truncate: chains are far below 2^53 ms.
         self.target_latency_ms + (self.stretch * chain_ms as f64) as u64
@@ -221,22 +225,22 @@
 /// A job as it was accepted.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct AcceptedJob {
-    /// What the caller handed in.
+    /// The specification that the caller submitted.
     pub spec: JobSpec,
-    /// The queue's terms at that time.
+    /// The queue's terms when the job was accepted.
     pub terms: QueueTerms,
     /// When it was accepted, in milliseconds of the Unix epoch.
     pub accepted_at_ms: u64,
 }
 
-/// Something to carry out.
+/// An order or request for the caller to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send an order to start a run.
     Start {
         /// The worker.
         worker: WorkerId,
-        /// Where it takes orders.
+        /// The address that accepts its orders.
         address: String,
         /// The order.
         order: StartOrder,
@@ -245,7 +249,7 @@
     Stop {
         /// The worker.
         worker: WorkerId,
-        /// Where it takes orders.
+        /// The address that accepts its orders.
         address: String,
         /// The order.
         order: StopOrder,
@@ -254,43 +258,43 @@
     Hold {
         /// The worker.
         worker: WorkerId,
-        /// Where it takes orders.
+        /// The address that accepts its orders.
         address: String,
-        /// The order, to be given back with its answer.
+        /// The hold, to be passed back with its answer.
         held: SentHold,
     },
     /// Ask the adviser which workers may run a step.
     Advise {
         /// The step, named by its first task.
         step: TaskId,
-        /// The workers that would suit it.
+        /// The candidate workers.
         workers: Vec<WorkerId>,
-        /// When that was asked, to be given back with the answer.
+        /// When the request was made, to be passed back with the answer.
         asked_ms: u64,
     },
-    /// Send an order that limits the share at which a run works.
+    /// Send an order that limits the processor share of a run.
     Pace {
         /// The worker.
         worker: WorkerId,
-        /// Where it takes orders.
+        /// The address that accepts its orders.
         address: String,
         /// The order.
         order: PaceOrder,
     },
 }
 
-/// A hold that was sent.
+/// A hold order that was sent to a worker.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SentHold {
-    /// Since when the worker's process was known that was to answer; see
+    /// The session of the worker process that the hold was sent to; see
     /// [`workers`].
     session: u64,
     order: HoldOrder,
     fencing: bool,
     sent_ms: u64,
-    /// Whether it counts as under way in the window of orders.
+    /// Whether it counts against the window of orders in flight.
     in_window: bool,
-    /// Whether the worker was known to be silent.
+    /// Whether the worker was known to be unresponsive.
     silent: bool,
 }
 
@@ -301,7 +305,7 @@
     }
 }
 
-/// A decision or finding, for logs and counters.
+/// A decision or observation, for logs and metrics.
 #[derive(Clone, Debug, PartialEq)]
 #[non_exhaustive]
 pub enum Decision {
@@ -315,17 +319,17 @@
         worker: WorkerId,
         /// How long the task had been ready, in milliseconds.
         waited_ms: u64,
-        /// What it takes, in thousandths of a core.
+        /// The processor time that it requests, in thousandths of a core.
         cpu_millis: u64,
     },
-    /// A worker has said that a run of a job began, the first that is known.
+    /// A worker has confirmed the first run of a job.
     JobBegan {
         /// The job.
         job: JobId,
         /// How long after it was accepted, in milliseconds.
         after_ms: u64,
     },
-    /// A worker listed an end.
+    /// A worker reported the end of a run.
     Ended {
         /// The task.
         task: TaskId,
@@ -358,30 +362,31 @@
         /// Why.
         reason: &'static str,
     },
-    /// A run is to stop because its VM is needed, and its task to go on
+    /// A run is to stop because its VM is needed, and its task to continue
     /// elsewhere.
     Displaced {
         /// The task.
         task: TaskId,
         /// The worker that it leaves.
         worker: WorkerId,
-        /// Where it is to go on; `None` for a task that waits for its turn.
+        /// The worker that it moves to; `None` for a task that is queued
+        /// again.
         place: Option<WorkerId>,
     },
-    /// A task that is to last has waited for a while.
+    /// A long-running task has been waiting for a while.
     LongWait {
         /// The first such task of its step.
         task: TaskId,
-        /// How many of the step wait.
+        /// How many tasks of the step are waiting.
         tasks: usize,
         /// For how long, in milliseconds.
         waited_ms: u64,
         /// Why.
         reason: &'static str,
-        /// What the workers of its pool lack for it.
+        /// Why the workers of its pool can't take it.
         unfit: UnfitWorkers,
     },
-    /// A run that was to be stopped is over.
+    /// A run that was to be stopped has ended.
     StopFinished {
         /// The task.
         task: TaskId,
@@ -389,12 +394,12 @@
         run: u64,
         /// The worker.
         worker: WorkerId,
-        /// How it ended, or how that is known.
+        /// How it ended, or how the end was detected.
         cause: &'static str,
-        /// How it was stopped.
+        /// The attempts to stop it.
         stop: StopAttempts,
     },
-    /// A run goes on for longer than a stop may take.
+    /// A run continues for longer than a stop may take.
     StopOverdue {
         /// The task.
         task: TaskId,
@@ -402,10 +407,10 @@
         run: u64,
         /// The worker.
         worker: WorkerId,
-        /// How it was to be stopped so far.
+        /// The attempts to stop it so far.
         stop: StopAttempts,
     },
-    /// A run is over without a listed end.
+    /// A run was lost: it is over without a reported end.
     RunLost {
         /// The task.
         task: TaskId,
@@ -413,54 +418,54 @@
         run: u64,
         /// The worker.
         worker: WorkerId,
-        /// How that is known.
+        /// How the loss was detected.
         reason: &'static str,
-        /// For how long its worker had confirmed it, in milliseconds; 0 if
-        /// it isn't known to have begun.
+        /// The age of the run when its worker last confirmed it, in
+        /// milliseconds; 0 if it isn't known to have begun.
         age_ms: u64,
-        /// How many other runs its worker had, of all jobs.
+        /// The number of other runs on its worker, of all jobs.
         other_runs: usize,
     },
-    /// An order to start a task got no answer and may still be carried out: the
-    /// task starts on that worker only for a while.
+    /// An order to start a task got no answer and may still be carried out:
+    /// for a limited time, the task may start on that worker only.
     StartInDoubt {
         /// The task.
         task: TaskId,
         /// The worker.
         worker: WorkerId,
-        /// For how long at most, in milliseconds.
+        /// The maximum duration of the restriction, in milliseconds.
         for_ms: u64,
     },
-    /// A worker was lost soon after it had been told to start a run.
+    /// A worker was lost soon after it had been ordered to start a run.
     Suspected {
         /// The task.
         task: TaskId,
         /// The worker.
         worker: WorkerId,
-        /// How many workers in a row were lost under the task.
+        /// The number of consecutive workers lost while running the task.
         crashes: u32,
-        /// How old the run was at most, in milliseconds.
+        /// The maximum age that the run can have reached, in milliseconds.
         most_age_ms: u64,
-        /// Whether nothing else there can have caused it.
+        /// Whether no other run on the worker can have caused the loss.
         alone: bool,
     },
-    /// A task is given up, since workers crash that start it.
+    /// A task is given up, because workers that start it crash.
     GivenUp {
         /// The task.
         task: TaskId,
-        /// How many workers in a row were lost under it.
+        /// The number of consecutive workers lost while running it.
         crashes: u32,
     },
-    /// An order got no result.
+    /// An order failed, or its outcome is unknown.
     OrderFailed {
         /// The worker.
         worker: WorkerId,
-        /// The task, for an order that names one.
+        /// The task, if the order names one.
         task: Option<TaskId>,
         /// Why.
         reason: &'static str,
     },
-    /// A worker gets nothing to start for a while.
+    /// A worker is sent no starts for a while.
     Suspended {
         /// The worker.
         worker: WorkerId,
@@ -473,118 +478,125 @@
         worker: WorkerId,
         /// Its process.
         process: Incarnation,
-        /// How many runs it had.
+        /// The number of its runs.
         runs: usize,
     },
-    /// Another process of a worker tells of itself than the known one.
+    /// A message came from a different process of a worker than the known one.
     OtherProcess {
         /// The worker.
         worker: WorkerId,
         /// The process that was known.
         known: Incarnation,
-        /// The one that tells.
+        /// The process that the message came from.
         told: Incarnation,
-        /// What tells of it.
+        /// The source of the message.
         source: &'static str,
     },
-    /// What a worker's answer lists isn't believed, since its clock is behind
-    /// that of an answer before: the first of a row of such answers.
+    /// The lists in a worker's answer are ignored, because the worker's clock
+    /// in it is behind that of an earlier answer. Reported for the first of a
+    /// series of such answers.
     StaleReportIgnored {
         /// The worker.
         worker: WorkerId,
         /// The worker's clock in the answer, in milliseconds.
         clock_ms: u64,
-        /// The latest before, in milliseconds.
+        /// The latest clock reading before, in milliseconds.
         latest_ms: u64,
     },
-    /// A worker gets nothing more, so that its VM can be used otherwise.
+    /// A worker is drained, so that its VM can be used for another purpose.
     DrainStarted {
         /// The worker.
         worker: WorkerId,
         /// Its VM.
         vm: String,
-        /// What for.
+        /// The purpose.
         reason: &'static str,
     },
-    /// A pool should have another number of VMs than before.
+    /// The target size of a pool has changed.
     PoolSized {
         /// The pool.
         pool: String,
-        /// How many VMs it should have.
+        /// The number of VMs that it should have.
         target: u64,
-        /// How many it has or is about to have.
+        /// The number that it has or is about to have.
         vms: u64,
-        /// What runs, in thousandths of a core.
+        /// The processor time in use, in thousandths of a core.
         used_cpu: u64,
-        /// What will run when a VM could come, in thousandths of a core.
+        /// The processor time expected to be in use by the time that another
+        /// VM could be available, in thousandths of a core.
         forecast_cpu: u64,
-        /// What waits for room, in thousandths of a core.
+        /// The processor time that waiting tasks request, in thousandths of a
+        /// core.
         waiting_cpu: u64,
     },
-    /// A wave goes on, or its time is over.
+    /// A wave is in progress, or its deadline has passed.
     WaveProgress {
         /// The wave's number.
         wave: u64,
-        /// How far it has come, and what keeps its VMs.
+        /// Its progress, and what blocks its remaining VMs.
         progress: WaveProgress,
     },
-    /// A worker's life is over.
+    /// A worker has ended.
     WorkerGone {
         /// The worker.
         worker: WorkerId,
-        /// How that is known.
+        /// How the end was detected.
         reason: &'static str,
     },
-    /// A job came to another phase.
+    /// A job has ended.
     JobFinished {
         /// The job.
         job: JobId,
-        /// The phase.
+        /// Its final phase.
         phase: Phase,
         /// How long after it was accepted, in milliseconds.
         after_ms: u64,
     },
-    /// A worker has seen a higher token: another node may hold the lease.
+    /// A worker has seen a higher fencing token: another node may hold the
+    /// lease.
     Superseded {
         /// The worker.
         worker: WorkerId,
     },
-    /// The store has renewed the lease since a worker claimed a higher token.
+    /// The store has renewed the lease after a worker claimed to have seen a
+    /// higher token.
     ClaimDisproved {
         /// The worker.
         worker: WorkerId,
     },
 }
 
-/// How many workers of a pool can't take a task, each counted once, by the
-/// first that holds of it in this order.
+/// The number of workers of a pool that can't take a task, by reason. Each is
+/// counted once, under the first reason in this order that applies.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct UnfitWorkers {
     /// All workers of the pool.
     pub workers: usize,
-    /// Those that take nothing now: emptied, draining, silent, not asked yet.
+    /// Those that accept no tasks now: drained, draining, unresponsive, or not
+    /// asked yet.
     pub closed: usize,
-    /// Those with too little processor time left.
+    /// Those with too little free processor time.
     pub cpu: usize,
-    /// Those with too little memory left.
+    /// Those with too little free memory.
     pub memory: usize,
-    /// Those that already have as many tasks of its step as may share one.
+    /// Those that already run the maximum number of tasks of its step per
+    /// worker.
     pub siblings: usize,
-    /// Those that it has failed on or has no ticket for, or that are kept
-    /// from it in some other way.
+    /// Those that it has failed on or has no ticket for, or that are excluded
+    /// for another reason.
     pub barred: usize,
 }
 
-/// What was done to stop a run.
+/// The attempts to stop a run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct StopAttempts {
-    /// Why it was to stop.
+    /// Why it is to stop.
     pub reason: &'static str,
     /// How long ago the first order to stop it was sent, in milliseconds; 0
     /// if none was.
     pub after_ms: u64,
-    /// How many orders to stop it were sent.
+    /// The number of stop orders sent.
     pub orders: u32,
-    /// Whether the worker has said that it carried one out.
+    /// Whether the worker has confirmed one of them.
     pub answered: bool,
 }
--- a/crates/dewspar/src/schedule/options.rs
+++ b/crates/dewspar/src/schedule/options.rs
@@ -1,19 +1,18 @@
 /*!
-The times and limits by which a scheduler keeps its promises, beside the
-policy that could be otherwise.
+The times and limits of a scheduler, and the policy that it follows.
 */
 
 use crate::{link::LinkLimits, schedule::Policy};
 
-/// Within what time after a takeover the workers are asked for the first
-/// time, in milliseconds.
+/// How soon after a takeover all workers are polled for the first time, in
+/// milliseconds.
 const ASKED_WITHIN_MS: u64 = 1_000;
 
-/// What the node's link carries where nobody says, in megabits a second: a
-/// usual one.
+/// The default capacity of the node's link, in megabits per second: a common
+/// one.
 const LINK_MBPS: f64 = 1_000.0;
 
-/// Times and limits of a scheduler.
+/// The times, limits and policy of a scheduler.
 #[derive(Clone, Debug)]
 pub struct Options {
     pub(crate) lease_ms: u64,
@@ -37,39 +36,40 @@
 impl Default for Options {
     fn default() -> Options {
         Options {
-            // Outlives two takeovers in a row, of some 3 s each.
+            // Outlasts two takeovers in a row, of some 3 s each.
             lease_ms: 8_000,
-            // The longest that a worker grants, by its protocol.
+            // The longest lease that a worker grants, by its protocol.
             max_lease_ms: 10_000,
-            // As long as a lease: what runs can be looked after that long.
+            // As long as a lease, for which runs can be managed without the
+            // store.
             detached_ms: 8_000,
-            // A worker that comes back is found within this.
+            // A worker that returns is found within this time.
             hold_retry_ms: 200,
-            // Longer than changes are gathered and usually stored, so that
-            // most ends are acknowledged with the next question.
+            // Longer than changes are batched and usually take to be stored,
+            // so that most ends are acknowledged with the next hold.
             unstored_hold_ms: 50,
-            // Several times a worker's usual answer.
+            // Several times the usual response time of a worker.
             stop_retry_ms: 400,
-            // A worker that fails what it starts is tried about as often as
-            // a short task takes.
+            // A worker that fails its starts is tried about as often as a
+            // short task takes.
             suspension_ms: 1_000,
-            // 8 s between tries at most: a worker that recovers is used
-            // again soon.
+            // At most 8 s between tries, so that a worker that recovers is
+            // soon used again.
             max_suspension_doublings: 3,
-            // How long callers may ask for a finished job.
+            // How long callers may query a finished job.
             finished_retention_ms: 120_000,
-            // Workers are back in the directory some 2 s after the store
-            // is, and the holder was there no later.
+            // Workers are back in the directory some 2 s after the store is,
+            // and the holder was back no later.
             directory_settle_ms: 3_000,
-            // As long as the operator keeps two holders apart.
+            // The time by which the operator keeps two holders apart.
             duty_gap_ms: 3_000,
-            // The longest that a worker takes for a stop, as its protocol
-            // says where nothing else is set.
+            // The longest time that a worker takes for a stop, by its
+            // protocol, where no other value is set.
             stop_timeout_ms: 900,
-            // A stop takes up to 0.9 s, and workers are asked for the first
+            // A stop takes up to 0.9 s, and workers are polled for the first
             // time within a second of a takeover.
             stop_settle_ms: 2_000,
-            // A few readings of the list, and less than a VM takes to move.
+            // A few reads of the list, and less than a VM takes to move.
             vm_list_age_ms: 2_000,
             link: LinkLimits::of_link(LINK_MBPS),
             policy: Policy::default(),
@@ -78,7 +78,7 @@
 }
 
 impl Options {
-    /// Sets the lease that orders give to a worker's runs, in milliseconds.
+    /// Sets the lease that orders grant to a worker's runs, in milliseconds.
     pub fn lease_ms(mut self, lease_ms: u64) -> Options {
         self.lease_ms = lease_ms;
         self
@@ -90,34 +90,34 @@
         self
     }
 
-    /// Sets how long a holder goes on that can't reach the store, in
+    /// Sets how long a holder that can't reach the store continues, in
     /// milliseconds.
     pub fn detached_ms(mut self, detached_ms: u64) -> Options {
         self.detached_ms = detached_ms;
         self
     }
 
-    /// Sets how long after a takeover nothing is ordered of the VM service,
-    /// in milliseconds.
+    /// Sets how long after a takeover no orders are sent to the VM service, in
+    /// milliseconds.
     pub fn duty_gap_ms(mut self, duty_gap_ms: u64) -> Options {
         self.duty_gap_ms = duty_gap_ms;
         self
     }
 
-    /// Sets how long a stop may take at a worker, in milliseconds.
+    /// Sets how long a worker may take for a stop, in milliseconds.
     pub fn stop_timeout_ms(mut self, stop_timeout_ms: u64) -> Options {
         self.stop_timeout_ms = stop_timeout_ms;
         self.stop_settle_ms = stop_timeout_ms + ASKED_WITHIN_MS;
         self
     }
 
-    /// Sets what may be sent over the node's link.
+    /// Sets the limits of the node's link.
     pub fn link(mut self, link: LinkLimits) -> Options {
         self.link = link;
         self
     }
 
-    /// Sets what the scheduler decides by.
+    /// Sets the policy of the scheduler.
     pub fn policy(mut self, policy: Policy) -> Options {
         self.policy = policy;
         self
@@ -132,11 +132,11 @@
         self
     }
 
-    /// Returns how long after a takeover a worker that was never reached
-    /// may still run what a former holder started, in milliseconds.
+    /// Returns how long after a takeover a worker that was never reached may
+    /// still run what a former holder started, in milliseconds.
     pub(super) fn inherited_lease_ms(&self) -> u64 {
-        // The former holder may go on for so long and then order a last
-        // lease, which a slow clock makes 2 % longer.
+        // The former holder may continue for `detached_ms` and then grant a
+        // last lease, which a slow worker clock extends by up to 2 %.
         let lease_ms = self.lease_ms.min(self.max_lease_ms);
         self.detached_ms + lease_ms + lease_ms / 40
     }
--- a/crates/dewspar/src/schedule/order.rs
+++ b/crates/dewspar/src/schedule/order.rs
@@ -4,18 +4,18 @@
     std::{fmt, sync::Arc},
 };
 
-/// The name that a worker goes by. Its process may start again under it; see
+/// The name of a worker. Its process may restart under the same name; see
 /// [`Incarnation`].
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct WorkerId(Arc<str>);
 
 impl WorkerId {
-    /// Makes an identifier from the name that the worker goes by.
+    /// Returns the identifier of the worker with this name.
     pub fn new(id: &str) -> WorkerId {
         WorkerId(Arc::from(id))
     }
 
-    /// Returns the name that the worker goes by.
+    /// Returns the worker's name.
     pub fn as_str(&self) -> &str {
         &self.0
     }
@@ -27,13 +27,13 @@
     }
 }
 
-/// Which process of a worker it is that says something.
+/// One process of a worker, identified by its start time.
 ///
-/// A worker may start again under its identifier. The new process runs nothing
-/// and knows nothing of what was before: its clock and the numbers of its ends
-/// begin anew, and it has seen no fencing token. Of two processes of one worker
-/// the newer is the greater. The time of its start only serves to tell them
-/// apart: VMs' times of day may step, so nothing is worked out from it.
+/// A worker may restart under its identifier. The new process runs nothing and
+/// knows nothing of the previous one: its clock and the numbers of its ends
+/// start again, and it has seen no fencing token. Of two processes of one
+/// worker, the newer is the greater. The start time only serves to tell them
+/// apart: the wall clocks of VMs may step, so nothing is computed from it.
 ///
 /// # Example
 ///
@@ -60,17 +60,17 @@
 pub struct Incarnation(Option<u64>);
 
 impl Incarnation {
-    /// One that isn't told, less than all that are.
+    /// An unknown process; it is less than all known ones.
     pub const UNKNOWN: Incarnation = Incarnation(None);
 
-    /// Returns the one that says that it was started then, in milliseconds of
+    /// Returns the process that reports this start time, in milliseconds of
     /// the Unix epoch.
     pub fn started_at(unix_ms: u64) -> Incarnation {
         Incarnation(Some(unix_ms))
     }
 
-    /// Returns when it says that it was started, in milliseconds of the Unix
-    /// epoch; `None` for one that isn't told.
+    /// Returns the start time that the process reports, in milliseconds of the
+    /// Unix epoch; `None` if it is unknown.
     pub(crate) fn started_unix_ms(self) -> Option<u64> {
         self.0
     }
@@ -85,7 +85,7 @@
     }
 }
 
-/// What a task takes of a worker, or what a worker has.
+/// Resources that a task requests, or that a worker provides.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Resources {
     /// Processor time, in thousandths of a core.
@@ -97,34 +97,34 @@
 }
 
 impl Resources {
-    /// Returns whether `other` fits into this room.
+    /// Returns whether `other` fits into these resources.
     pub fn contains(&self, other: &Resources) -> bool {
         self.cpu_millis >= other.cpu_millis
             && self.memory_mb >= other.memory_mb
             && self.gpus >= other.gpus
     }
 
-    /// Adds another room.
+    /// Adds other resources.
     pub fn add(&mut self, other: &Resources) {
         self.cpu_millis += other.cpu_millis;
         self.memory_mb += other.memory_mb;
         self.gpus += other.gpus;
     }
 
-    /// Takes another room away; what isn't there counts as 0.
+    /// Subtracts other resources, saturating at 0.
     pub fn subtract(&mut self, other: &Resources) {
         self.cpu_millis = self.cpu_millis.saturating_sub(other.cpu_millis);
         self.memory_mb = self.memory_mb.saturating_sub(other.memory_mb);
         self.gpus = self.gpus.saturating_sub(other.gpus);
     }
 
-    /// Returns this room and another.
+    /// Returns the sum of these and other resources.
     pub fn plus(mut self, other: &Resources) -> Resources {
         self.add(other);
         self
     }
 
-    /// Returns so many times this room.
+    /// Returns `count` times these resources.
     pub fn times(&self, count: u64) -> Resources {
         Resources {
             cpu_millis: self.cpu_millis.saturating_mul(count),
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Returns so manieth a part of this room.
+    /// Returns one `count`th of these resources.
     pub fn divided_by(&self, count: u64) -> Resources {
         let count = count.max(1);
         Resources {
@@ -143,16 +143,17 @@
         }
     }
 
-    /// Returns how many times `other` fits into this room; `u64::MAX` if it
-    /// takes nothing.
+    /// Returns how many times `other` fits into these resources; `u64::MAX` if
+    /// `other` is empty.
     pub fn count_fitting(&self, other: &Resources) -> u64 {
         let kinds = self.components().into_iter().zip(other.components());
         let times = kinds.filter_map(|(has, takes)| has.checked_div(takes));
         times.min().unwrap_or(u64::MAX)
     }
 
-    /// Returns how many rooms like `other` this takes, by the kind that takes
-    /// most; kinds that `other` has none of don't count.
+    /// Returns how many units of `other` cover these resources, by the
+    /// component that needs most; components that are 0 in `other` don't
+    /// count.
     pub fn units_of(&self, other: &Resources) -> u64 {
         let kinds = self.components().into_iter().zip(other.components());
         let counted = kinds.filter(|(_, of)| *of > 0);
@@ -160,7 +161,7 @@
         rooms.max().unwrap_or(0)
     }
 
-    /// Returns the larger of each kind of room.
+    /// Returns the maximum of each component.
     pub fn component_max(&self, other: &Resources) -> Resources {
         Resources {
             cpu_millis: self.cpu_millis.max(other.cpu_millis),
@@ -169,7 +170,7 @@
         }
     }
 
-    /// Returns the smaller of each kind of room.
+    /// Returns the minimum of each component.
     pub fn component_min(&self, other: &Resources) -> Resources {
         Resources {
             cpu_millis: self.cpu_millis.min(other.cpu_millis),
@@ -178,8 +179,8 @@
         }
     }
 
-    /// Returns how many rooms like `other` this is, in thousandths, by the
-    /// kind of which it is most; kinds that `other` has none of don't count.
+    /// Returns these resources in thousandths of `other`, by the component
+    /// with the largest share; components that are 0 in `other` don't count.
     pub fn permille_of(&self, other: &Resources) -> u64 {
         let kinds = self.components().into_iter().zip(other.components());
         let shares = kinds
@@ -191,40 +192,41 @@
         [self.cpu_millis, self.memory_mb, self.gpus]
     }
 
-    /// Returns this room less another.
+    /// Returns the difference of these and other resources, saturating at 0.
     pub fn minus(mut self, other: &Resources) -> Resources {
         self.subtract(other);
         self
     }
 }
 
-/// What a worker says of itself in the directory of workers.
+/// A worker's entry in the directory of workers.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct WorkerListing {
     /// The worker.
     pub id: WorkerId,
-    /// Its process that says this.
+    /// The process that wrote the entry.
     pub incarnation: Incarnation,
-    /// Where it takes orders.
+    /// The address that accepts its orders.
     pub address: String,
     /// The VM that it runs on, which outlives it.
     pub vm: String,
     /// The pool that it belongs to.
     pub pool: String,
-    /// The rack that it stands in; empty when it names none.
+    /// The rack that it is in; empty if it names none.
     pub rack: String,
     /// Its labels.
     pub labels: Vec<String>,
-    /// What it has room for.
+    /// Its capacity.
     pub capacity: Resources,
-    /// Whether it will end soon and takes nothing new.
+    /// Whether it will end soon and accepts no new tasks.
     pub draining: bool,
-    /// How long it lasts at least while it drains, in milliseconds.
+    /// The minimum time before it ends while it is draining, in milliseconds.
     pub remaining_ms: Option<u64>,
 }
 
 impl WorkerListing {
-    /// Makes the listing of a worker that is known to live, but not where.
+    /// Returns an entry for a worker that is known to run, but not at which
+    /// address.
     pub(crate) fn unlisted(id: WorkerId, pool: String) -> WorkerListing {
         WorkerListing {
             id,
@@ -248,15 +250,16 @@
     pub task: TaskId,
     /// The run's number, higher than that of any run of the task before.
     pub run: u64,
-    /// What the task is given.
+    /// The input of the task.
     pub payload: Arc<str>,
-    /// Until when everything on the worker may run, on the worker's clock.
+    /// The end of the lease for all runs on the worker, on the worker's clock,
+    /// in milliseconds.
     pub lease_until_ms: u64,
     /// The fencing token.
     pub fence: u64,
-    /// The checkpoint to go on from; empty for none.
+    /// The checkpoint to resume from; empty for none.
     pub checkpoint: String,
-    /// The ticket of the adviser, where the queue needs one; else empty.
+    /// The ticket of the adviser, if the queue requires one; otherwise empty.
     pub ticket: String,
 }
 
@@ -271,35 +274,36 @@
     pub fence: u64,
 }
 
-/// An order to limit the share at which a run works.
+/// An order to limit the processor share of a run.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct PaceOrder {
     /// The task.
     pub task: TaskId,
     /// The run's number.
     pub run: u64,
-    /// The share at which it may work, in percent.
+    /// The maximum share, in percent.
     pub percent: u8,
     /// The fencing token.
     pub fence: u64,
 }
 
-/// A renewal of a worker's lease, which also asks what runs there.
+/// A hold: an order that renews a worker's lease and asks what runs there.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct HoldOrder {
     /// The fencing token.
     pub fence: u64,
-    /// The last end that is stored and needn't be told again; 0 for nothing
-    /// new.
+    /// The number of the last end that is stored and needn't be reported
+    /// again; 0 for no new one.
     pub acknowledged: u64,
-    /// Until when everything on the worker may run, on the worker's clock;
-    /// `None` before that clock is known.
+    /// The end of the lease for all runs on the worker, on the worker's clock,
+    /// in milliseconds; `None` before that clock is known.
     pub lease_until_ms: Option<u64>,
-    /// How long the worker may wait for an end, in milliseconds.
+    /// How long the worker may wait for an end before it answers, in
+    /// milliseconds.
     pub wait_ms: u64,
 }
 
-/// A run that is going on.
+/// A run in progress.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ActiveRun {
     /// The task.
@@ -308,28 +312,28 @@
     pub run: u64,
     /// The last checkpoint; empty for none.
     pub checkpoint: String,
-    /// How much of the work is done, in percent; for a long-running task,
-    /// 100 once it is at work.
+    /// The progress, in percent; for a long-running task, 100 once it is at
+    /// work.
     pub percent: u8,
-    /// For a task with a target, its slowest answers of late, in
-    /// milliseconds; for any other, the cores in use, in thousandths.
+    /// For a task with a latency target, its slowest recent answers, in
+    /// milliseconds; for any other task, the cores in use, in thousandths.
     pub gauge: u64,
 }
 
 /// How a run ended.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum EndCause {
-    /// It did its work.
+    /// It completed its work.
     Done,
-    /// It failed, by its own fault or the worker's.
+    /// It failed, through a fault of its own or of the worker.
     Failed,
     /// It was stopped by an order.
     Stopped,
-    /// The worker's lease ran out.
+    /// The worker's lease expired.
     LeaseOver,
     /// Another member of its gang ended.
     GangBroken,
-    /// The other members of its gang didn't come in time.
+    /// The other members of its gang didn't start in time.
     GangIncomplete,
 }
 
@@ -365,37 +369,37 @@
 /// A worker's answer to a [`HoldOrder`].
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct HoldReport {
-    /// The worker's process that answers.
+    /// The process that answers.
     pub incarnation: Incarnation,
     /// The worker's clock, in milliseconds.
     pub clock_ms: u64,
-    /// What runs.
+    /// The runs in progress.
     pub active: Vec<ActiveRun>,
-    /// What has ended and wasn't acknowledged, oldest first.
+    /// The ends that weren't acknowledged, oldest first.
     pub ended: Vec<EndedRun>,
-    /// Whether something that runs couldn't be read: a run that isn't named
-    /// may be there all the same.
+    /// Whether some runs couldn't be read: a run that isn't listed may exist
+    /// all the same.
     pub is_partial: bool,
 }
 
-/// Why a worker refused an order; it has done nothing.
+/// The reason why a worker refused an order. A refused order has no effect.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Refusal {
     /// It has seen a higher fencing token.
     Fenced,
     /// It has seen this run, or a later one of the task, end.
     StaleRun,
-    /// The lease that came with the order was over already.
+    /// The lease in the order had already expired.
     LeaseOver,
-    /// There is no room.
+    /// The worker's free capacity is insufficient.
     NoRoom,
-    /// The adviser's ticket isn't valid here or no longer.
+    /// The adviser's ticket isn't valid for this worker, or has expired.
     Ticket,
-    /// It takes nothing at present.
+    /// The worker accepts no tasks at present.
     Unhealthy,
-    /// It can't read the order.
+    /// The worker can't parse the order.
     Invalid,
-    /// Another life of the worker answers at the address.
+    /// Another process of the worker answers at the address.
     OtherLife,
 }
 
@@ -415,14 +419,14 @@
     }
 }
 
-/// Why an order has no result.
+/// The reason why an order has no result.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum OrderError {
-    /// The worker refused it and has done nothing.
+    /// The worker refused it; it had no effect.
     Refused(Refusal),
     /// It never reached the worker.
     NotSent,
-    /// Nobody knows whether it was or will still be carried out.
+    /// It is unknown whether it was or will still be carried out.
     Unknown,
 }
 
--- a/crates/dewspar/src/schedule/pacing.rs
+++ b/crates/dewspar/src/schedule/pacing.rs
@@ -1,11 +1,11 @@
 /*!
-Runs that are looked after while they go on: those that don't come on, and
-those that disturb others.
+Monitoring of runs: stopping stalled ones, and throttling best-effort ones that
+disturb others.
 
-A task whose percentage stands still is stopped and started elsewhere, from
-its checkpoint if it has one. A best-effort task is slowed down while a task
-beside it misses the answer time that its users were promised, and let go
-again, step by step, once that has passed.
+A task whose progress stalls is stopped and started elsewhere, from its
+checkpoint if it has one. A best-effort task is throttled while a task on the
+same worker misses its latency target, and its processor share is raised again
+step by step once that task has recovered.
 */
 
 use crate::{
@@ -16,43 +16,44 @@
     },
 };
 
-/// How often runs that go on are looked at, in milliseconds: a seventh of the
-/// shortest time by which anything is done about one. Looking at each run with
-/// each plan took a busy holder more time than placing tasks.
+/// The interval between checks of all runs, in milliseconds: a seventh of the
+/// shortest timeout after which a run is acted on. Checking each run in each
+/// plan took a busy holder more time than placing tasks.
 const RUN_CHECK_INTERVAL_MS: u64 = 100;
 
-/// How long a percentage may stand still, in milliseconds: longer than a
-/// restore from a checkpoint, and than three answers of a quiet worker.
+/// How long the progress of a run may stall, in milliseconds: longer than a
+/// restore from a checkpoint, and than three answers of a worker without ends.
 const STALL_TIMEOUT_MS: u64 = 2_500;
 
-/// How long a long-running task may take to come to work, in milliseconds:
-/// some are slow to start.
+/// How long a long-running task may take to be at work, in milliseconds: some
+/// are slow to start.
 const START_TIMEOUT_MS: u64 = 5_000;
 
-/// How long a change of pace is given to show, in milliseconds: it takes
-/// hold within 0.1 s, and the figures cover half a second.
+/// The time that a change of pace is given to show an effect, in milliseconds:
+/// it is applied within 0.1 s, and the latency figures cover half a second.
 const PACE_CHANGE_INTERVAL_MS: u64 = 700;
 
-/// By how much the pace is raised again, in percent.
+/// The step in which the pace is raised again, in percent.
 const PACE_STEP_PERCENT: u8 = 25;
 
-/// How far below its target a task must be for its neighbours to go faster,
-/// in hundredths.
+/// The latency below which tasks of the same worker may go faster again, in
+/// percent of the target.
 const RECOVERED_PERCENT: u64 = 70;
 
-/// How a worker's serving tasks fare.
+/// The latency of a worker's serving tasks, compared with their targets.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum TargetStatus {
-    /// One is over its target.
+    /// At least one task is above its target.
     Missed,
-    /// All are well below their targets.
+    /// All tasks are well below their targets.
     WellWithin,
-    /// Neither.
+    /// Neither of the above.
     Within,
 }
 
 impl Scheduler {
-    /// Looks after runs that go on, once in a while.
+    /// Checks the runs in progress, at most once per
+    /// [`RUN_CHECK_INTERVAL_MS`].
     pub(super) fn monitor_runs(
         &mut self,
         now: Now,
@@ -66,20 +67,20 @@
         self.pace_best_effort(now, actions);
     }
 
-    /// Stops what doesn't come on.
+    /// Stops stalled runs.
     fn stop_stalled(&mut self, now: Now) {
         if !self.options.policy.watching.stops_stalled {
             return;
         }
         let mut stalled: Vec<(WorkerId, TaskId)> = Vec::new();
         for worker in self.workers.values() {
-            // What an older answer says needn't be so any more.
+            // The last answer is outdated.
             if worker.silent_since_ms.is_some() {
                 continue;
             }
             for (task, run) in &worker.runs {
                 let still = worker.reported_ms().saturating_sub(run.moved_ms);
-                // Nearly none is: the step is looked up for these alone.
+                // Very few runs are, so the step is looked up for these only.
                 let may_be_stalled = still > STALL_TIMEOUT_MS
                     && run.state == RunState::Running
                     && run.percent < 100
@@ -94,7 +95,7 @@
                 } else {
                     STALL_TIMEOUT_MS
                 };
-                // A gang's members wait for one another.
+                // The members of a gang wait for one another.
                 if !spec.gang && still > timeout_ms {
                     stalled.push((worker.id().clone(), *task));
                 }
@@ -121,7 +122,8 @@
         self.jobs.get(&task.job)?.step_spec(task)
     }
 
-    /// Slows best-effort tasks down that disturb, and lets others go.
+    /// Throttles best-effort tasks that disturb others, and raises the pace of
+    /// the rest.
     fn pace_best_effort(&mut self, now: Now, actions: &mut Vec<Action>) {
         if !self.options.policy.watching.paces {
             return;
@@ -151,24 +153,24 @@
         }
     }
 
-    /// Returns the runs of a worker that may be slowed down and have begun.
+    /// Returns the runs of a worker that may be throttled and have begun.
     fn best_effort_runs<'a>(
         &'a self,
         worker: &'a Worker,
     ) -> impl Iterator<Item = (&'a TaskId, &'a Run)> {
         worker.runs.iter().filter(|(task, run)| {
-            // They ask for no share of the processor, which is known without
-            // a look at their step.
+            // They request no processor time, which can be checked without
+            // looking their step up.
             run.demand.cpu_millis == 0
                 && run.state == RunState::Running
                 && self.step_spec(task).is_some_and(|s| s.best_effort)
         })
     }
 
-    /// Takes note that an order to pace a run has no result.
+    /// Handles a pace order that has no result.
     ///
-    /// The share at which the run works isn't known then: it is set again
-    /// when the next change would be due.
+    /// The pace of the run is unknown then: it is set again when the next
+    /// change would be due.
     pub fn pace_failed(
         &mut self,
         worker_id: &WorkerId,
@@ -183,7 +185,7 @@
         if current {
             worker.unset_paces.insert(order.task);
         }
-        // It may be carried out yet, after later ones.
+        // The order may still be carried out, even after later ones.
         if error == OrderError::Unknown && order.fence == worker.fence() {
             worker.raise_fence(now.steady_ms);
         }
@@ -207,10 +209,12 @@
     }
 }
 
-/// Returns the share at which a best-effort task should work, in percent.
+/// Returns the processor share that a best-effort task should have, in
+/// percent.
 fn next_pace(target_status: TargetStatus, pace: u8) -> u8 {
     match target_status {
-        // A quarter first, then nothing: the rules allow a few seconds only.
+        // First a quarter, then nothing: the requirements tolerate the
+        // disturbance for a few seconds only.
         TargetStatus::Missed if pace > PACE_STEP_PERCENT => PACE_STEP_PERCENT,
         TargetStatus::Missed => 0,
         TargetStatus::WellWithin => {
--- a/crates/dewspar/src/schedule/policy.rs
+++ b/crates/dewspar/src/schedule/policy.rs
@@ -1,11 +1,11 @@
 /*!
-What the scheduler decides by, as one value.
+The scheduling policy: the tunable part of the scheduler, as one value.
 
-Rules (what may never happen) are not policy: they are in the code and can't
-be set. Policy is what could be otherwise without breaking any promise: how
-full a pool may get, whom to start first, when to look again. Each mechanism
-has a switch, so that its worth can be measured by running the same build
-without it, and each figure says where it comes from.
+Invariants (what must never happen) are not part of the policy: they are in the
+code and can't be configured. The policy holds what can vary without breaking a
+guarantee: how full a pool may get, which task to start first, how often to
+re-evaluate. Each mechanism has a switch, so that its effect can be measured by
+running the same build without it, and each default states its rationale.
 
 # Example
 
@@ -28,94 +28,97 @@
     serde::{Deserialize, Serialize},
 };
 
-/// What the scheduler decides by.
+/// The scheduling policy.
 #[derive(
     Clone, Debug, Default, Deserialize, JsonSchema, PartialEq, Serialize,
 )]
 #[serde(deny_unknown_fields, default)]
 pub struct Policy {
-    /// How many VMs each pool has.
+    /// The sizes of the pools, in VMs.
     pub sizing: Sizing,
-    /// What arriving jobs will ask for.
+    /// The demand forecast for arriving jobs.
     pub forecast: Forecast,
-    /// Which task starts next, and where.
+    /// The order and placement of starts.
     pub placing: Placing,
-    /// What is done about runs that go on.
+    /// The monitoring of runs and workers.
     pub watching: Watching,
-    /// How many orders may be under way at once.
+    /// The limits on orders in flight.
     pub orders: Orders,
 }
 
-/// How many VMs each pool has.
+/// The sizes of the pools, in VMs.
 #[derive(Clone, Debug, Deserialize, JsonSchema, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Sizing {
-    /// How full a pool may be before it gets another VM, in percent.
+    /// The utilization above which a pool gets another VM, in percent.
     pub full_percent: u64,
-    /// How full a pool may be without one of its VMs for that to be switched
-    /// off, in percent.
+    /// The utilization that a pool may have without one of its VMs for that VM
+    /// to be switched off, in percent.
     pub spare_percent: u64,
-    /// How much of a waiting task counts whose job is too late already, in
-    /// percent.
+    /// The share of a waiting task's demand that counts if its job is already
+    /// late, in percent.
     pub late_percent: u64,
-    /// The fewest VMs that a pool keeps that has queues.
+    /// The minimum number of VMs of a pool that has queues.
     pub least_vms: u64,
-    /// How often sizes are looked at, in milliseconds.
+    /// The interval between evaluations of the pool sizes, in milliseconds.
     pub interval_ms: u64,
-    /// How long a task may find no place before its pool gets a VM for that
-    /// alone, in milliseconds.
+    /// How long a task may be unplaceable before its pool gets a VM for that
+    /// reason alone, in milliseconds.
     pub without_place_ms: u64,
-    /// How long a worker must have been idle before its VM is switched off,
-    /// in milliseconds.
+    /// How long a worker must have been idle before its VM is switched off, in
+    /// milliseconds.
     pub idle_ms: u64,
     /// How long after the first job no VM is switched off, in milliseconds.
     pub observed_ms: u64,
-    /// Which part of a pool may be switched off at a look, as a divisor; one
-    /// more than that always may.
+    /// The divisor that bounds how many VMs of a pool are switched off per
+    /// evaluation: the pool's size divided by it, plus one.
     pub leaving_divisor: u64,
-    /// Whether pools that want more than there is get equal shares; else the
-    /// first by name takes what it wants.
+    /// Whether pools share VMs equally if there are too few for all; otherwise
+    /// pools are served in the order of their names.
     pub equal_shares: bool,
 }
 
 impl Default for Sizing {
     fn default() -> Sizing {
         Sizing {
-            // A VM takes some 2 s to come, in which a peak grows by a fifth.
+            // A VM takes some 2 s to become available, in which a peak grows
+            // by a fifth.
             full_percent: 80,
-            // Well below the above, so that VMs don't go to and fro.
+            // Well below `full_percent`, so that VMs don't alternate between
+            // pools.
             spare_percent: 50,
-            // Such jobs are worth little, but have to be run.
+            // Late jobs are worth little, but still have to run.
             late_percent: 25,
-            // One may fail or be maintained.
+            // One may fail or be under maintenance.
             least_vms: 2,
-            // A few times while a VM moves.
+            // Several evaluations while a VM moves.
             interval_ms: 200,
-            // Most tasks find a place as others end.
+            // Most tasks can be placed as others end.
             without_place_ms: 500,
-            // A move costs about as much as a second in a pool.
+            // Moving a VM costs about as much as keeping it in a pool for a
+            // second.
             idle_ms: 1_500,
-            // What will be asked of the pools isn't known before.
+            // The demand on the pools isn't known earlier.
             observed_ms: 3_000,
-            // A pool at rest is small after a few looks, and one that isn't
-            // keeps the most.
+            // An idle pool shrinks to its minimum within a few evaluations,
+            // while a pool that isn't idle keeps most of its VMs.
             leaving_divisor: 16,
             equal_shares: true,
         }
     }
 }
 
-/// What arriving jobs will ask for.
+/// The demand forecast for arriving jobs.
 #[derive(Clone, Debug, Deserialize, JsonSchema, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Forecast {
-    /// Whether the jobs that came of late count as demand to come.
+    /// Whether recent arrivals of jobs count as future demand.
     pub enabled: bool,
-    /// Over how long arrivals are counted, in milliseconds.
+    /// The window over which arrivals are counted, in milliseconds.
     pub window_ms: u64,
-    /// The shortest time over which arrivals are counted, in milliseconds.
+    /// The shortest window over which arrivals are counted, in milliseconds.
     pub least_window_ms: u64,
-    /// How far ahead is looked, in milliseconds.
+    /// How far ahead demand is forecast, in milliseconds.
     pub ahead_ms: u64,
 }
 
@@ -123,39 +126,40 @@
     fn default() -> Forecast {
         Forecast {
             enabled: true,
-            // About as long as a VM takes to come, halved, so that a peak
-            // shows before it is over.
+            // About half of the time that a VM takes to become available, so
+            // that a peak is seen before it is over.
             window_ms: 1_000,
-            // A first few jobs close together aren't a flow yet.
+            // A few initial jobs in quick succession aren't a steady rate yet.
             least_window_ms: 400,
-            // As long as a VM takes to come.
+            // The time that a VM takes to become available.
             ahead_ms: 2_000,
         }
     }
 }
 
-/// Which task starts next, and where.
+/// The order and placement of starts.
 #[derive(Clone, Debug, Deserialize, JsonSchema, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Placing {
-    /// Whether jobs that can't be on time any more go last.
+    /// Whether jobs that can no longer meet their latency target go last.
     pub late_last: bool,
 
-    /// Whether a task goes to the fullest worker that has room; else to the
-    /// emptiest.
+    /// Whether a task is placed on the fullest worker with enough room;
+    /// otherwise on the emptiest.
     pub fullest_first: bool,
-    /// Whether long-running tasks are drawn to workers that have some.
+    /// Whether long-running tasks prefer workers that already run some.
     pub keeps_together: bool,
-    /// Whether tasks that disturb each other are kept apart where possible.
+    /// Whether tasks that interfere with each other are kept apart where
+    /// possible.
     pub keeps_apart: bool,
-    /// How long after a takeover a task is started that may run elsewhere
-    /// and may have copies, in milliseconds.
+    /// How long after a takeover a task that may have copies is started
+    /// although it may already run elsewhere, in milliseconds.
     pub copy_after_ms: u64,
     /// How long a task waits for a worker on which it hasn't failed before it
-    /// goes back to one where it has, in milliseconds.
+    /// returns to one where it has, in milliseconds.
     pub go_back_after_ms: u64,
-    /// Whether tasks that may crash their workers are kept apart from others
-    /// until it is known whether they do.
+    /// Whether tasks suspected of crashing their workers are isolated until
+    /// the suspicion is settled.
     pub separates_suspects: bool,
 }
 
@@ -163,34 +167,35 @@
     fn default() -> Placing {
         Placing {
             late_last: true,
-            // The others fall idle, and their VMs can be used elsewhere.
+            // The other workers become idle, and their VMs can be used
+            // elsewhere.
             fullest_first: true,
             keeps_together: true,
             keeps_apart: true,
             // Most workers have answered by then.
             copy_after_ms: 400,
-            // About as long as another VM takes to come to the pool.
+            // About the time that another VM takes to join the pool.
             go_back_after_ms: 1_500,
             separates_suspects: true,
         }
     }
 }
 
-/// What is done about runs that go on, and about workers that fail.
+/// The monitoring of runs and workers.
 #[derive(Clone, Debug, Deserialize, JsonSchema, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Watching {
-    /// Whether tasks that stand still are stopped and started elsewhere.
+    /// Whether tasks that make no progress are stopped and started elsewhere.
     pub stops_stalled: bool,
-    /// Whether workers that fail what they start get nothing for a while.
+    /// Whether workers that fail their starts get no tasks for a while.
     pub suspends: bool,
-    /// Whether best-effort tasks are slowed down that disturb others.
+    /// Whether best-effort tasks that disturb others are throttled.
     pub paces: bool,
     /// How long a worker may wait for an end before it answers a hold, in
     /// milliseconds.
     pub hold_wait_ms: u64,
-    /// Whether workers are asked later while this node has more work than its
-    /// processor gets done.
+    /// Whether workers are polled less often while this node's processor is
+    /// overloaded.
     pub asks_later: bool,
 }
 
@@ -200,34 +205,35 @@
             stops_stalled: true,
             suspends: true,
             paces: true,
-            // An end is told at once. This bounds how old the percentages of
-            // a quiet worker are, and how long an end stays unknown whose
-            // answer is lost: with 1,000 ms a day on which some orders got
-            // no answer served 0.87 of its worth, with 300 ms 0.90 (trials).
+            // An end is reported at once. This bounds how old the progress of
+            // a worker without ends is, and how long an end stays unknown
+            // whose answer was lost: with 1,000 ms, a day on which some orders
+            // got no answer achieved 0.87 of its value, with 300 ms 0.90
+            // (trials).
             hold_wait_ms: 300,
             asks_later: true,
         }
     }
 }
 
-/// How many orders may be under way at once: the limits of a
+/// The limits on orders in flight, as applied by a
 /// [`CallWindow`](crate::window::CallWindow).
 #[derive(Clone, Debug, Deserialize, JsonSchema, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Orders {
-    /// Whether there is a bound at all.
+    /// Whether the number of orders in flight is bounded.
     pub bounded: bool,
-    /// How many to begin with.
+    /// The initial bound.
     pub initial: usize,
-    /// The lowest that the bound may become.
+    /// The lowest bound.
     pub least: usize,
-    /// The highest that the bound may become.
+    /// The highest bound.
     pub most: usize,
-    /// Below which time at the median orders are fast, in milliseconds: the
-    /// bound rises.
+    /// The median duration below which orders are fast and the bound rises, in
+    /// milliseconds.
     pub fast_ms: u64,
-    /// From which time at the median orders are slow, in milliseconds: the
-    /// bound falls.
+    /// The median duration from which orders are slow and the bound falls, in
+    /// milliseconds.
     pub slow_ms: u64,
 }
 
@@ -261,24 +267,24 @@
 /// policy field `{field}` is {value}, but must be {least} to {most}
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
 pub struct InvalidPolicy {
-    /// The field, with those that it is in.
+    /// The path of the field.
     pub field: &'static str,
-    /// What it is.
+    /// Its value.
     pub value: u64,
-    /// The least that it may be.
+    /// The minimum value.
     pub least: u64,
-    /// The most that it may be.
+    /// The maximum value.
     pub most: u64,
 }
 
 impl std::error::Error for InvalidPolicy {}
 
 impl Policy {
-    /// Checks that every figure is one that the scheduler can work with.
+    /// Checks that every value is in the range that the scheduler supports.
     ///
     /// # Errors
     ///
-    /// Returns the first field at fault and its bounds.
+    /// Returns the first invalid field and its bounds.
     pub fn check(&self) -> Result<(), InvalidPolicy> {
         let Policy { sizing, forecast, placing, watching, orders } = self;
         let (initial, least) = (orders.initial as u64, orders.least as u64);
--- a/crates/dewspar/src/schedule/poll_limit.rs
+++ b/crates/dewspar/src/schedule/poll_limit.rs
@@ -1,17 +1,16 @@
 /*!
-Questions that a node can't send as fast as it asks.
+A limit on the holds in flight, for nodes that can't send them fast enough.
 
-A worker is asked again as soon as it has answered, and each question is one
-order. Where a node has many more workers than it sends orders, those that wait
-for their turn become as many as there are workers, and whatever is ordered then
-waits behind them: a stop for more than a second, with 400 workers and 240
-orders a second.
+A worker is polled with another hold as soon as it has answered, and each hold
+is one order. On a node with many more workers than it can send orders to, up
+to one hold per worker waits to be sent, and every other order waits behind
+them: a stop took more than a second with 400 workers and 240 orders a second.
 
-An answer that isn't there well after its worker would have given it says that
-its question waits. Once there are more than a few of those, half as many
-questions may be under way, and more again by and by while none is late. Beyond
-that nothing is asked but what renews leases; what has ended is then heard of a
-little later, as it would be in any case.
+An answer that is overdue well after its worker was to give it shows that its
+hold is queued on this node. Once there are more than a few overdue answers,
+the limit on holds in flight is halved, and it is raised again gradually while
+none is overdue. Beyond the limit only holds that renew leases are sent; ends
+are then received a little later, as they would be in any case.
 */
 
 use {
@@ -19,26 +18,27 @@
     std::collections::VecDeque,
 };
 
-/// How long after its worker was to give it an answer is late, in milliseconds:
-/// most of what an order takes on a node that keeps up.
+/// How long after the worker was to give it an answer counts as late, in
+/// milliseconds: most of the time that an order takes on a node that keeps up.
 const LATE_AFTER_MS: u64 = 100;
 
-/// How many questions may be late, and which part of those under way: some
-/// workers are always slow, and of a rack that falls silent it is known soon.
+/// The number of late answers that is tolerated, and the share of the holds in
+/// flight, as a divisor; the larger counts. Some workers are always slow, and
+/// a rack that becomes unreachable is soon known to be so.
 const MAX_LATE: usize = 16;
 const MAX_LATE_DIVISOR: usize = 8;
 
-/// How many questions may be under way in any case.
+/// The number of holds in flight that is always allowed.
 const MIN_IN_FLIGHT: usize = 32;
 
-/// How soon fewer may be under way once more, in milliseconds: what was sent
-/// before says nothing new.
+/// The minimum time between decreases of the limit, in milliseconds: holds
+/// sent before a decrease tell nothing new.
 const DECREASE_INTERVAL_MS: u64 = 500;
 
-/// How soon an eighth more may, in milliseconds.
+/// The minimum time between increases by an eighth, in milliseconds.
 const INCREASE_INTERVAL_MS: u64 = 200;
 
-/// A question whose answer hasn't come.
+/// A hold without an answer.
 #[derive(Clone, Copy, Debug)]
 struct InFlightPoll {
     worker: WorkerNumber,
@@ -46,21 +46,20 @@
     late_from_ms: u64,
 }
 
-/// The questions that were sent and may have no answer yet.
+/// The holds that were sent and may have no answer yet.
 #[derive(Debug, Default)]
 pub(super) struct InFlightPolls {
     /// In the order in which they were sent.
     sent: VecDeque<InFlightPoll>,
     late: Vec<InFlightPoll>,
-    /// How many may be under way; `None` while there are no bounds.
+    /// The limit on holds in flight; `None` for no limit.
     limit: Option<usize>,
-    /// When that last changed.
+    /// The time at which the limit last changed.
     changed_ms: u64,
 }
 
 impl InFlightPolls {
-    /// Adapts how many questions may be under way, of which so many are open,
-    /// to so many workers.
+    /// Adapts the limit to the holds in flight and the number of workers.
     fn adjust_limit(&mut self, in_flight: usize, workers: usize, now_ms: u64) {
         let since_ms = now_ms.saturating_sub(self.changed_ms);
         let most = self.limit.unwrap_or(in_flight);
@@ -75,15 +74,16 @@
         };
         if let Some(next) = next {
             let next = next.max(MIN_IN_FLIGHT);
-            // Each worker has one question at a time.
+            // There is at most one hold in flight per worker.
             self.limit = (next < workers).then_some(next);
             self.changed_ms = now_ms;
         }
     }
 
-    /// Notes a question that is sent now.
+    /// Records a hold that is sent now.
     pub(super) fn sent(&mut self, worker: WorkerNumber, held: &SentHold) {
-        // That a silent worker doesn't answer says nothing of this node.
+        // A missing answer of an unresponsive worker tells nothing about this
+        // node.
         if held.silent {
             return;
         }
@@ -96,7 +96,7 @@
 }
 
 impl Scheduler {
-    /// Returns how many questions may be sent now beside those that renew
+    /// Returns how many holds may be sent now in addition to those that renew
     /// leases.
     pub(super) fn poll_allowance(&mut self, now: Now) -> usize {
         if !self.options.policy.watching.asks_later {
--- a/crates/dewspar/src/schedule/scheduler.rs
+++ b/crates/dewspar/src/schedule/scheduler.rs
@@ -36,8 +36,8 @@
     std::collections::{BTreeMap, BTreeSet},
 };
 
-/// Spreads the revisions of leases that follow each other closely over all
-/// numbers: 2^64 divided by the golden ratio.
+/// Multiplier that spreads consecutive lease revisions over all numbers: 2^64
+/// divided by the golden ratio.
 const GOLDEN_RATIO_64: u64 = 0x9E37_79B9_7F4A_7C15;
 
 /// The state of the node that holds the scheduler lease.
@@ -54,120 +54,129 @@
     /// The jobs that can't be read, and the ends of their runs.
     pub(super) unreadable_jobs: UnreadableJobs,
     pub(super) workers: Workers,
-    /// Jobs whose progress is to be stored, each with the number of the first
-    /// change that isn't.
+    /// The jobs whose progress is to be stored, each with the sequence number
+    /// of its first unstored change.
     pub(super) changed: BTreeMap<JobId, u64>,
-    /// Jobs whose progress is being stored, each with the first change that it
-    /// holds.
+    /// The jobs whose progress is being stored, each with the sequence number
+    /// of the first change that is included.
     pub(super) storing: BTreeMap<JobId, u64>,
-    /// The jobs whose tasks wait to start until a change is stored, with the
-    /// number of the first such change.
+    /// The jobs whose tasks may not start until a change is stored, each with
+    /// the sequence number of the first such change.
     pub(super) awaited: BTreeMap<JobId, u64>,
-    /// How many changes there were.
+    /// The sequence number of the last change.
     pub(super) sequence: u64,
-    /// Final jobs whose keys are still kept, with when they became final.
+    /// Finished jobs whose keys are still kept, with the time at which they
+    /// finished.
     pub(super) finished: BTreeMap<JobId, u64>,
     pub(super) decisions: Vec<Decision>,
-    /// What workers have said of later tokens.
+    /// The claims of workers to have seen later tokens.
     pub(super) claims: TokenClaims,
-    /// The workers that aren't used any more.
+    /// The worker processes that are no longer used.
     pub(super) former: FormerProcesses,
-    /// Whether any task was suspected so far: looking for them costs time.
+    /// Whether any task was ever suspected of crashing its workers; looking
+    /// for suspects takes time.
     pub(super) has_suspects: bool,
-    /// How many workers of each pool were lost before they had named their runs.
+    /// The number of workers of each pool that were lost before they reported
+    /// their runs.
     pub(super) unsynced_losses: BTreeMap<String, u32>,
-    /// The pools of which some task may wait for which these don't count yet.
+    /// The pools with waiting tasks whose crash counts may not include these
+    /// losses yet.
     pub(super) uncounted_pools: BTreeSet<String>,
-    /// The starts that former holders told of, with their workers, until it is
-    /// known what became of each.
+    /// The starts that former holders recorded, with their workers, until
+    /// their outcome is known.
     pub(super) recorded_starts: BTreeMap<TaskId, RecordedStart>,
-    /// The starts that wait until they are on record.
+    /// The starts that wait until they are recorded.
     pub(super) write_ahead: WriteAhead,
-    /// Where such starts are put on record together.
+    /// The logs in which such starts are recorded together.
     pub(super) start_logs: StartLogs,
-    /// The tasks some start of which is in doubt.
+    /// The tasks with a start that is in doubt: it got no answer and may still
+    /// be carried out.
     pub(super) tasks_in_doubt: BTreeSet<TaskId>,
-    /// The pools whose workers crash one after the other.
+    /// The pools whose workers crash in quick succession.
     pub(super) crash_bursts: CrashBursts,
-    /// The workers that are kept free for tasks that are to be found out about.
+    /// The workers that are kept free to test suspected tasks.
     pub(super) reserved: BTreeMap<WorkerId, ReservedFor>,
-    /// The crashes on each VM of late.
+    /// The recent crashes on each VM.
     pub(super) vm_crashes: BTreeMap<String, VmCrashes>,
-    /// When the directory of workers was last read; 0 for not yet.
+    /// The time of the last read of the directory of workers; 0 for none.
     pub(super) directory_ms: u64,
-    /// From when the directory is complete again after it couldn't be read.
+    /// The time from which the directory is complete again after a failure to
+    /// read it.
     pub(super) directory_complete_ms: u64,
     /// Whether every worker that may run something is among `workers`.
     pub(super) workers_known: bool,
-    /// When the first worker was listed under this lease; 0 for not yet.
+    /// The time at which the first worker was listed under this lease; 0 for
+    /// not yet.
     pub(super) taken_over_ms: u64,
-    /// When changes of each VM were last ordered.
+    /// The time at which this holder last ordered a change of each VM.
     pub(super) ordered_vms: BTreeMap<String, u64>,
-    /// The VMs that former holders touched, who did, and until when that
-    /// counts.
+    /// The orders of former holders that still block their VMs.
     pub(super) inherited_orders: BTreeMap<String, InheritedOrder>,
-    /// From when changes of VMs may be ordered that a former holder touched.
+    /// The time from which each VM may be ordered to change, if that is
+    /// restricted.
     pub(super) vm_orders_from_ms: BTreeMap<String, u64>,
     pub(super) all_vm_orders_from_ms: u64,
     pub(super) waves: BTreeMap<u64, WaveState>,
     pub(super) vms: BTreeMap<String, ManagedVm>,
     pub(super) pending_moves: BTreeMap<String, PendingMove>,
-    /// The places that are kept for tasks.
+    /// The reservations for tasks.
     pub(super) places: Reservations,
-    /// Moves that the VM service will never take.
+    /// The moves that the VM service has refused as invalid, by VM and pool.
     pub(super) refused_moves: BTreeSet<(String, String)>,
     pub(super) serving_pools: BTreeSet<String>,
     pub(super) free_pools: BTreeSet<String>,
-    /// The pools whose workers start whatever they are told.
+    /// The pools whose workers don't enforce their capacity, so that the
+    /// scheduler must.
     pub(super) unenforced_pools: BTreeSet<String>,
     pub(super) pool_loads: BTreeMap<String, PoolLoad>,
-    /// The pools that have no place for some task which another VM could
-    /// hold, and since when.
+    /// The pools that can't place some task which another VM could hold, and
+    /// since when.
     pub(super) unplaced_since_ms: BTreeMap<String, u64>,
-    /// What workers and VMs have room for, each kind once.
+    /// The distinct capacities of workers and VMs.
     pub(super) capacities: Vec<Resources>,
-    /// What the adviser has said, by the first task of each step.
+    /// The adviser's answers, by the first task of each step.
     pub(super) advice: BTreeMap<TaskId, StepAdvice>,
-    /// When the list of VMs was last asked for.
+    /// The time at which the current list of VMs was requested.
     pub(super) vms_asked_ms: u64,
-    /// When the pools' sizes were last looked at.
+    /// The time at which pools were last sized.
     pub(super) last_sizing_ms: u64,
-    /// Jobs accepted under this lease that aren't counted as arrivals yet.
+    /// The jobs accepted under this lease that aren't counted as arrivals yet.
     pub(super) new_jobs: Vec<JobId>,
-    /// The jobs that came to each pool of late.
+    /// The recent arrivals of each pool.
     pub(super) arrivals: BTreeMap<String, Arrivals>,
-    /// The first task of each step of open jobs that is to last and may be
-    /// wanted soon.
+    /// The first task of each long-running step of open jobs that is due now
+    /// or soon.
     pub(super) long_running_steps: Vec<TaskId>,
-    /// What each pool's tasks that are to last need of VMs.
+    /// The VMs that the long-running tasks of each pool need.
     pub(super) long_running_needs: BTreeMap<String, LongRunningNeed>,
-    /// How many VMs pools got that lacked most, since the one that lacked
-    /// fewest had its turn.
+    /// The number of VMs assigned to the pools with the largest deficits since
+    /// one was last assigned to the pool with the smallest.
     pub(super) vms_to_neediest: u32,
-    /// How many VMs each pool should have, when that was last looked at.
+    /// The target number of VMs of each pool, as of the last sizing.
     pub(super) targets: BTreeMap<String, u64>,
-    /// What each pool's known jobs will use a while ahead.
+    /// The projected usage of each pool's known jobs.
     pub(super) projected: BTreeMap<String, Resources>,
-    /// When the first job was known that isn't there for long; 0 for not yet.
+    /// The time at which the first job with short tasks was known; 0 for not
+    /// yet.
     pub(super) first_job_ms: u64,
-    /// The orders that are under way.
+    /// The window that bounds the orders in flight.
     pub(super) window: CallWindow,
-    /// What this node's link carries of orders.
+    /// The budget of this node's link for orders.
     pub(super) link: LinkBudget,
-    /// The questions under way.
+    /// The holds in flight.
     pub(super) polls: InFlightPolls,
-    /// The worker that is asked first; `None` before any is listed.
+    /// The worker that this holder polls first; `None` before any is listed.
     first_polled: Option<WorkerId>,
-    /// How long workers may gather ends, while the processor is short.
+    /// The delay of polls while this node's processor is overloaded.
     busy: BusyPause,
-    /// When runs that go on were last looked at.
+    /// The time at which runs were last monitored.
     pub(super) runs_checked_ms: u64,
-    /// What was told of tasks that are to last and wait.
+    /// The long waits of long-running tasks that were reported.
     pub(super) long_waits: LongWaits,
 }
 
 impl Scheduler {
-    /// Makes the scheduler of a holder whose lease key was written at this
+    /// Returns the scheduler of a holder whose lease key was written at this
     /// revision of the store.
     pub fn new(lease_revision: u64, options: Options) -> Scheduler {
         let window = CallWindow::new(options.policy.orders.limits());
@@ -245,7 +254,7 @@
         std::mem::take(&mut self.decisions)
     }
 
-    /// Takes over the queues of a configuration.
+    /// Applies the queues of a configuration.
     ///
     /// Queues that it no longer has keep their last terms: jobs that they
     /// accepted are still to be run.
@@ -263,9 +272,9 @@
         }
     }
 
-    /// Takes in an accepted job, with what a former holder stored of it.
+    /// Adds an accepted job, with the progress that a former holder stored.
     ///
-    /// A job that is known already changes nothing.
+    /// Does nothing if the job is known already.
     pub fn submit(
         &mut self,
         id: JobId,
@@ -302,10 +311,10 @@
         self.merge_logged_starts(id);
     }
 
-    /// Cancels a job; one that is over or unknown stays as it is, unless jobs
-    /// are still being loaded. What runs of it is stopped either way, under
-    /// the next holders as well, until
-    /// [`Scheduler::take_settled_cancellations`] names it.
+    /// Cancels a job. A job that has finished or is unknown stays as it is,
+    /// unless jobs are still being loaded. Its runs are stopped in any case,
+    /// also under the next holders, until
+    /// [`Scheduler::take_settled_cancellations`] returns it.
     pub fn cancel(&mut self, id: JobId, now: Now) {
         let kept = self.defer_cancellation(id);
         self.cancelled.insert(id);
@@ -315,8 +324,9 @@
         self.finish(id, Phase::Cancelled, now);
     }
 
-    /// Returns each queue's number of jobs none of whose tasks is known to
-    /// have begun; a start that was only ordered is none.
+    /// Returns the number of pending jobs of each queue: those of which no
+    /// task is known to have begun. A start that was only ordered doesn't
+    /// count as begun.
     pub fn pending(&self, unix_ms: u64) -> BTreeMap<String, u64> {
         let mut pending = BTreeMap::new();
         for job in self.jobs.values() {
@@ -328,8 +338,8 @@
         pending
     }
 
-    /// Returns each queue's number of waiting jobs of which a start is under
-    /// way that no worker has confirmed.
+    /// Returns the number of pending jobs of each queue that have a start in
+    /// flight which no worker has confirmed.
     pub fn unconfirmed(&self) -> BTreeMap<String, u64> {
         let mut unconfirmed = BTreeMap::new();
         for (id, job) in self.jobs.iter() {
@@ -341,32 +351,32 @@
         unconfirmed
     }
 
-    /// Returns the window that bounds the orders under way.
+    /// Returns the window that bounds the orders in flight.
     pub fn window(&self) -> &CallWindow {
         &self.window
     }
 
-    /// Sets whether relays carry this node's orders, which then take less of
+    /// Sets whether relays forward this node's orders, which then take less of
     /// its link.
     pub fn set_relayed(&mut self, relayed: bool) {
         self.link.set_relayed(relayed);
     }
 
-    /// Returns what this node's link carries of orders.
+    /// Returns the budget of this node's link for orders.
     pub fn link(&self) -> &LinkBudget {
         &self.link
     }
 
-    /// Notes how long an event had waited before it was taken in now, in
-    /// milliseconds: that says how short this node's processor is.
+    /// Records how long an event had waited before it was processed now, in
+    /// milliseconds. The delay shows how overloaded this node's processor is.
     pub fn record_event_delay(&mut self, waited_ms: u64, now: Now) {
         self.busy.waited(waited_ms, now.steady_ms);
     }
 
-    /// Returns how long a worker that has answered is left alone, in
+    /// Returns the delay before a worker that has answered is polled again, in
     /// milliseconds; 0 while this node keeps up.
     ///
-    /// Starts aren't put off, so they come first.
+    /// Starts aren't delayed, so they take precedence.
     pub(super) fn poll_pause_ms(&self) -> u64 {
         let asks_later = self.options.policy.watching.asks_later;
         if asks_later { self.busy.pause_ms() } else { 0 }
@@ -377,8 +387,8 @@
         self.window.room() > 0 && self.link.allows(Class::Start)
     }
 
-    /// Notes the end of an order that was sent at this time, which says how
-    /// fast this node's are.
+    /// Records the end of an order that was sent at `sent_ms`, which shows how
+    /// fast this node's orders are.
     pub(super) fn record_order_end(
         &mut self,
         sent_ms: u64,
@@ -389,12 +399,12 @@
         self.link.ended(sent_ms, now.steady_ms, end, &limits);
     }
 
-    /// Returns a job's phase, unless it is unknown or over for long.
+    /// Returns a job's phase, or `None` if it is unknown or no longer kept.
     pub fn phase(&self, id: JobId) -> Option<Phase> {
         self.jobs.get(&id).map(|job| job.phase)
     }
 
-    /// Returns what is to be done now.
+    /// Returns the actions to carry out now.
     pub fn plan(&mut self, now: Now) -> Vec<Action> {
         if self.may_be_superseded() {
             return Vec::new();
@@ -406,7 +416,8 @@
         self.settle_recorded_starts(now);
         self.order_withheld(now, &mut actions);
         self.monitor_runs(now, &mut actions);
-        // First of all orders: this holder may be gone any moment.
+        // Stops come before all other orders, since this holder may be lost at
+        // any moment.
         self.order_stops(now, &mut actions);
         self.fence_workers(now, &mut actions);
         self.update_reservations(now);
@@ -416,12 +427,14 @@
         actions
     }
 
-    /// Notes that a worker has said that a run of a job began.
+    /// Marks a job as running, after a worker has confirmed that a run of it
+    /// began.
     ///
-    /// Nothing else makes a job run: an order to start may be refused, may
-    /// never arrive, and its sender may be gone before it knows.
+    /// Nothing else makes a job count as running: an order to start may be
+    /// refused or may never arrive, and its sender may be lost before it
+    /// knows.
     pub(super) fn mark_job_begun(&mut self, id: JobId, now: Now) {
-        // Said again with each answer: most know it already.
+        // Every answer repeats this; nearly always the job is marked already.
         if self.phase(id) != Some(Phase::Queued) {
             return;
         }
@@ -432,7 +445,7 @@
         self.note(Decision::JobBegan { job: id, after_ms });
     }
 
-    /// Ends a job, and stops what still runs of it.
+    /// Finishes a job, and stops its remaining runs.
     pub(super) fn finish(&mut self, id: JobId, phase: Phase, now: Now) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         if job.phase.is_final() {
@@ -477,7 +490,7 @@
         });
     }
 
-    /// Takes a run off a worker; its task may be started again.
+    /// Removes a run from a worker; its task may be started again.
     pub(super) fn release_run(
         &mut self,
         task: &TaskId,
@@ -497,8 +510,8 @@
         }
     }
 
-    /// Notes that a task isn't on a worker any more, where a run of it had
-    /// begun or was only ordered.
+    /// Removes a task from a worker, where a run of it had begun or was only
+    /// ordered.
     pub(super) fn release_task(
         &mut self,
         task: &TaskId,
@@ -515,7 +528,7 @@
         state.workers.retain(|on| on != worker_id);
         if state.workers.is_empty() && !state.done && !over {
             step.waiting.insert(task.index);
-            // Else it has waited all the while.
+            // Otherwise it has been waiting all along.
             if begun {
                 step.ready_ms = now.steady_ms;
             }
@@ -540,8 +553,8 @@
         self.decisions.push(decision);
     }
 
-    /// Notes that a job's progress is to be stored; returns the change's
-    /// number.
+    /// Marks a job's progress as to be stored; returns the sequence number of
+    /// the change.
     pub(super) fn mark_changed(&mut self, id: JobId) -> u64 {
         self.sequence += 1;
         if self.jobs.contains_key(&id) {
@@ -550,9 +563,9 @@
         self.sequence
     }
 
-    /// Puts workers in an order that begins elsewhere for each holder: where
-    /// none lasts until all are asked, the same ones would otherwise never be,
-    /// and keep what nobody wants.
+    /// Rotates the workers so that each holder starts with a different one.
+    /// Otherwise, if no holder lasts until all are polled, the same ones would
+    /// never be, and would keep runs that are no longer needed.
     fn rotate_workers(
         &mut self,
         mut numbers: Vec<WorkerNumber>,
@@ -566,7 +579,7 @@
         numbers
     }
 
-    /// Returns the worker that this holder asks first.
+    /// Returns the worker that this holder polls first.
     fn first_polled(&mut self) -> Option<WorkerId> {
         if self.first_polled.is_none() && !self.workers.is_empty() {
             let spread =
@@ -580,8 +593,9 @@
         self.first_polled.clone()
     }
 
-    /// Asks under a new token, as far as the window and the link have room;
-    /// workers that are silent take no room in the window.
+    /// Sends the holds that introduce a new fencing token, as far as the
+    /// window and the link have room. Holds to unresponsive workers don't
+    /// count against the window.
     fn fence_workers(&mut self, now: Now, actions: &mut Vec<Action>) {
         let due = self.due_workers(now);
         for number in self.rotate_workers(due) {
@@ -612,9 +626,9 @@
         }
     }
 
-    /// Asks workers what runs and has ended; those first whose lease must be
-    /// renewed, the others as far as the link has room, in the order in which
-    /// they were due.
+    /// Polls workers for their runs and ends. Those whose lease must be
+    /// renewed come first, the others as far as the link has room, in the
+    /// order in which they were due.
     fn poll_workers(&mut self, now: Now, actions: &mut Vec<Action>) {
         let long_poll =
             self.link.is_short(now.steady_ms) || self.poll_pause_ms() > 0;
@@ -628,14 +642,14 @@
             let class = worker.question_class(now.steady_ms, &self.options);
             due.push((class, due_ms, number));
         }
-        // Stable: those that are alike keep the order of their identifiers.
+        // A stable sort keeps equal entries in the order of their identifiers.
         due.sort_by_key(|(class, due_ms, _)| (*class, *due_ms));
         let mut room = self.poll_allowance(now);
         for (class, _, number) in due {
             if !self.link.allows(class) {
                 return;
             }
-            // Those that renew leases come first.
+            // Polls that renew leases aren't limited, and are sorted first.
             if room == 0 && class != Class::Renewal {
                 return;
             }
@@ -652,8 +666,8 @@
         }
     }
 
-    /// Returns the workers that want something now, in the order of their
-    /// identifiers.
+    /// Returns the workers that are due for an action now, in the order of
+    /// their identifiers.
     pub(super) fn due_workers(&mut self, now: Now) -> Vec<WorkerNumber> {
         let due = self.workers.due(now.steady_ms, &self.options);
         debug_assert!(
@@ -663,7 +677,7 @@
         due
     }
 
-    /// Makes an order that limits the share at which a run works.
+    /// Creates an order that limits the processor share of a run.
     pub(super) fn pace(
         &mut self,
         task: &TaskId,
@@ -682,7 +696,7 @@
     }
 }
 
-/// Returns the hold that a worker is owed now.
+/// Returns the hold that is due for a worker now.
 fn hold(
     worker: &mut Worker,
     in_window: bool,
