--- a/crates/dewspar/src/schedule/placement.rs
+++ b/crates/dewspar/src/schedule/placement.rs
@@ -100,7 +100,7 @@
         self.candidates.update(&mut self.jobs, late_last, now);
         debug_assert!(
             self.candidates.match_full_rebuild(&mut self.jobs, late_last, now),
-            "what was kept of the order is out of date"
+            "the cached scheduling order is out of date"
         );
         // Moved out because starting a task borrows the scheduler mutably.
         let candidates = mem::take(&mut self.candidates);
--- a/crates/dewspar/tests/schedule/gang_reservations.rs
+++ b/crates/dewspar/tests/schedule/gang_reservations.rs
@@ -1,12 +1,13 @@
-//! A gang of large tasks that are to last waited for as long as a peak of small
-//! ones went on: places were kept for single tasks alone, since a gang that has
-//! half of its places would leave them idle until it has the others. And where
-//! one of its members had to leave a VM, all members ended and small tasks took
-//! their room before the gang could start again.
+//! Reservations for long-running gangs under a load of small tasks.
 //!
-//! So places are kept for all members at once or for none, for one waiting gang
-//! of a pool at a time and not for ever; and a gang that ends keeps the room that
-//! it had.
+//! Two failures are guarded against. If capacity is reserved only for single
+//! tasks, a gang of large tasks waits for as long as the load of small ones
+//! lasts. And if one member has to leave a VM, all members end, and small
+//! tasks take their capacity before the gang can restart.
+//!
+//! Capacity is therefore reserved for all members at once or for none, for one
+//! waiting gang of a pool at a time and for a limited time; and a gang that
+//! ends keeps the capacity that it used.
 
 use {
     crate::{
@@ -22,45 +23,47 @@
     rand::{Rng, SeedableRng, rngs::StdRng},
 };
 
-/// How long a gang may wait though there is room for it, in milliseconds.
+/// How long a gang may wait although there is room for it, in milliseconds.
 const MAX_WAIT_MS: u64 = 6_000;
 
-/// How long room may stand idle for a gang, and a little more, in milliseconds.
+/// How long capacity may be idle for a gang, with a small margin, in
+/// milliseconds.
 const MAX_IDLE_MS: u64 = 7_000;
 
-/// How long a gang may wait once the last of its members has ended, in
-/// milliseconds: two plans.
+/// How long a gang may wait after its last member has ended, in milliseconds:
+/// two scheduling passes.
 const MAX_START_DELAY_MS: u64 = 100;
 
-/// How long after one member of a broken gang the next ends, in milliseconds.
+/// The interval between the ends of two members of a broken gang, in
+/// milliseconds.
 const MEMBER_END_INTERVAL_MS: u64 = 300;
 
-/// How many random runs are made.
+/// The number of random runs.
 const RUNS: u64 = 60;
 
-/// How many are made with waves, which take longer.
+/// The number of random runs with maintenance waves, which take longer.
 const WAVE_RUNS: u64 = 20;
 
-/// A gang of so many tasks that take three quarters of a worker each.
+/// A gang of `count` tasks that take three quarters of a worker each.
 fn gang(count: u32) -> StepSpec {
     let large = StepSpec { cpu_millis: 3_000, ..long_running() };
     StepSpec { count, gang: true, ..large }
 }
 
-/// A world in a peak of small tasks.
+/// A world under a load of small tasks.
 struct Peak {
     world: World,
     next: u64,
-    /// How many tasks of a quarter of a worker come each 50 ms.
+    /// How many tasks of a quarter of a worker are submitted every 50 ms.
     tasks_a_round: u32,
-    /// The gangs, with the number of their members.
+    /// The gangs, with their number of members.
     gangs: Vec<(JobId, usize)>,
-    /// When the last member of a gang ended of late, by gang.
+    /// When a member of a broken gang last ended.
     ended_ms: Option<u64>,
 }
 
 impl Peak {
-    /// Makes a world whose workers are empty yet.
+    /// Creates a world whose workers are empty.
     fn idle(names: &[&str]) -> Peak {
         let mut world = World::new(5, names);
         world.list();
@@ -70,7 +73,7 @@
         Peak { world, next: 100, tasks_a_round: 0, gangs, ended_ms }
     }
 
-    /// Makes a world whose workers are full of small tasks.
+    /// Creates a world whose workers are full of small tasks.
     fn new(names: &[&str]) -> Peak {
         let mut peak = Peak::idle(names);
         peak.begin();
@@ -82,7 +85,7 @@
         self.run_for(2_000);
     }
 
-    /// Lets the peak go on, no task ending together with others.
+    /// Continues the load for a while. The ends of the tasks are staggered.
     fn run_for(&mut self, ms: u64) {
         for _ in 0..ms / 50 {
             self.round();
@@ -94,7 +97,7 @@
         self.world.run_for(50);
     }
 
-    /// Lets the tasks of one round come, and broken gangs end.
+    /// Submits the tasks of one round and ends members of broken gangs.
     fn submit_round(&mut self) {
         for _ in 0..self.tasks_a_round {
             let work_ms = 400 + (self.next + 1) % 8 * 50;
@@ -103,13 +106,13 @@
         self.end_broken_gangs();
     }
 
-    /// Looks after VMs too while the peak goes on.
+    /// Runs one round that also plans VM operations. Returns the VM orders.
     fn plan_round(&mut self) -> Vec<VmOrder> {
         self.submit_round();
         plan_round(&mut self.world)
     }
 
-    /// Carries out what is ordered of VMs too while the peak goes on.
+    /// Runs one round that also carries out VM orders.
     fn maintain(&mut self) {
         self.submit_round();
         maintain_for_a_while(&mut self.world);
@@ -148,12 +151,12 @@
 
     fn runs_completely(&mut self, job: JobId) -> bool {
         let gang = self.gangs.iter().find(|(other, _)| *other == job);
-        let (_, count) = *gang.expect("it was submitted");
+        let (_, count) = *gang.expect("the gang was submitted");
         self.running_on(job).len() == count
     }
 
-    /// Ends the members of gangs of which others are missing, as workers do:
-    /// one after the other.
+    /// Ends the remaining members of incomplete gangs one after the other, as
+    /// workers do.
     fn end_broken_gangs(&mut self) {
         let now_ms = self.world.now_ms;
         if self.ended_ms.is_some_and(|at| now_ms < at + MEMBER_END_INTERVAL_MS)
@@ -185,7 +188,7 @@
         }
     }
 
-    /// Loses a worker, which the VM service tells of at once.
+    /// Loses a worker; the VM service reports that immediately.
     fn lose(&mut self, worker: &WorkerId) {
         let now = at(self.world.now_ms);
         self.world.workers.remove(worker);
@@ -193,13 +196,14 @@
         self.world.scheduler.worker_gone(worker, "test", now);
     }
 
-    /// Returns what is used of a worker, in thousandths of a core.
+    /// Returns the processor that is in use on a worker, in thousandths of a
+    /// core.
     fn used(&self, worker: &str) -> u64 {
         let worker = self.world.workers.get(&WorkerId::new(worker));
         worker.map_or(0, |worker| worker.used().cpu_millis)
     }
 
-    /// Returns the worker whose room stands idle in this peak.
+    /// Returns the worker whose capacity is idle, if there is one.
     fn idle_worker(&self) -> Option<WorkerId> {
         let mut workers = self.world.workers.iter();
         let idle = workers.find(|(_, w)| w.used().cpu_millis <= 1_000);
@@ -214,16 +218,17 @@
     peak.submit_gang(2, gang(2));
     peak.run_for(MAX_WAIT_MS);
     let runs = [id(1), id(2)].map(|job| peak.runs_completely(job));
-    assert!(runs[0] != runs[1], "one of both has room: {runs:?}");
+    assert!(runs[0] != runs[1], "exactly one gang has room: {runs:?}");
     let (first, second) = if runs[0] { (1, 2) } else { (2, 1) };
-    // The third worker has no room for a whole gang, so none is kept there.
+    // The third worker has no room for a complete gang, so nothing is reserved
+    // there.
     let free = ["w1", "w2", "w3"].into_iter().find(|name| {
         !peak.running_on(id(first)).contains(&WorkerId::new(name))
     });
-    let free = free.expect("there are three, for two members");
+    let free = free.expect("three workers for two members");
     for _ in 0..MAX_IDLE_MS / 50 {
         peak.round();
-        assert!(peak.used(free) > 1_000, "it stands idle for half a gang");
+        assert!(peak.used(free) > 1_000, "capacity is idle for half a gang");
     }
     let now = at(peak.world.now_ms);
     peak.world.scheduler.cancel(id(first), now);
@@ -247,17 +252,17 @@
     for _ in 0..2 * MAX_IDLE_MS / 50 {
         peak.round();
         let idle = peak.idle_worker();
-        assert_eq!(idle, None, "room is kept that is never enough");
+        assert_eq!(idle, None, "capacity is reserved that never suffices");
     }
     peak.submit_gang(2, gang(2));
     let large = StepSpec { cpu_millis: 3_000, ..long_running() };
     peak.submit(3, large, Fate::endless());
     peak.run_for(MAX_WAIT_MS);
-    assert!(peak.runs_completely(id(2)), "a gang that fits waits behind it");
+    assert!(peak.runs_completely(id(2)), "a gang that fits is blocked");
     assert_eq!(peak.running_on(id(3)).len(), 1);
 }
 
-/// Two workers of which one is full of tasks that take a minute.
+/// Two workers, one of which is full of tasks that take a minute.
 fn peak_beside_long_runs() -> Peak {
     let mut peak = Peak::idle(&["w1", "w2"]);
     peak.submit_short(4, 60_000);
@@ -272,7 +277,8 @@
     peak.submit_gang(1, gang(2));
     let mut idle_since_ms = peak.world.now_ms;
     let mut used_rounds = 0;
-    // Its turns take 6 and 12 s, after each of which the pool rests for as long.
+    // The turns take 6 and 12 s, and after each of them reservations in the
+    // pool pause for the same duration.
     for _ in 0..36_000 / 50 {
         peak.round();
         if peak.idle_worker().is_none() {
@@ -280,7 +286,10 @@
             used_rounds += 1;
         }
         let idle_ms = peak.world.now_ms - idle_since_ms;
-        assert!(idle_ms <= 2 * MAX_IDLE_MS, "it stands idle for {idle_ms} ms");
+        assert!(
+            idle_ms <= 2 * MAX_IDLE_MS,
+            "capacity was idle for {idle_ms} ms"
+        );
     }
     let half = 36_000 / 50 / 2;
     assert!(used_rounds * 10 >= half * 9, "in use for {used_rounds} rounds");
@@ -297,7 +306,8 @@
 #[test]
 fn a_gang_starts_although_runs_do_not_end_within_one_turn() {
     let mut peak = Peak::idle(&["w1", "w2"]);
-    // Eight of 20 s, one after the other, and more of them than there is room.
+    // Eight tasks of 20 s with staggered starts, followed by more of them than
+    // there is room for.
     for _ in 0..8 {
         peak.submit_short(1, 20_000);
         peak.run_for(2_500);
@@ -323,7 +333,7 @@
         }
     }
     assert!(!peak.runs_completely(id(1)));
-    peak.lose(&kept.expect("room is kept somewhere"));
+    peak.lose(&kept.expect("capacity is reserved on some worker"));
     peak.run_for(MAX_WAIT_MS);
     assert!(peak.runs_completely(id(1)));
 }
@@ -333,16 +343,16 @@
     let mut peak = peak_beside_long_runs();
     peak.submit_gang(1, gang(2));
     peak.run_for(2_000);
-    let kept = peak.idle_worker().expect("one is kept for a member");
+    let kept = peak.idle_worker().expect("capacity is reserved for a member");
     let names = ["w1", "w2"].map(WorkerId::new);
     let full = names.into_iter().find(|name| *name != kept);
-    peak.lose(&full.expect("there are two"));
-    // What the look takes, and a plan.
+    peak.lose(&full.expect("there are two workers"));
+    // Enough for a review and a scheduling pass.
     peak.run_for(1_000);
     for _ in 0..MAX_IDLE_MS / 50 {
         peak.round();
         let used = peak.used(&kept.to_string());
-        assert!(used > 1_000, "it is kept for half a gang");
+        assert!(used > 1_000, "capacity is reserved for half a gang");
     }
 }
 
@@ -360,14 +370,17 @@
     peak.world.expect_all();
     peak.tasks_a_round = 1;
     peak.run_for(MAX_WAIT_MS);
-    assert!(peak.runs_completely(id(1)), "it waits beside empty workers");
+    assert!(
+        peak.runs_completely(id(1)),
+        "the gang waits beside empty workers"
+    );
 }
 
-/// A gang of three at work in a peak.
+/// A running gang of three under load.
 fn peak_with_gang(names: &[&str]) -> Peak {
     let mut peak = Peak::idle(names);
     peak.submit_gang(1, gang(3));
-    // Later than any stop that a former holder may have ordered.
+    // By now no stop ordered by a former lease holder can take effect.
     peak.run_for(3_000);
     assert!(peak.runs_completely(id(1)));
     peak.begin();
@@ -375,15 +388,16 @@
     peak
 }
 
-/// Looks on until the gang runs without a worker; returns for how long it had
-/// waited since its last member ended, if it did.
+/// Runs until the gang runs completely without the given worker. Returns how
+/// long the gang had waited since its last member ended, in milliseconds, or
+/// `None` if it doesn't happen.
 fn wait_until_moved(peak: &mut Peak, worker: &WorkerId) -> Option<u64> {
     for _ in 0..2 * MAX_WAIT_MS / 50 {
         peak.plan_round();
         if peak.runs_completely(id(1))
             && !peak.running_on(id(1)).contains(worker)
         {
-            let ended_ms = peak.ended_ms.expect("it has stopped");
+            let ended_ms = peak.ended_ms.expect("the gang has stopped");
             return Some(peak.world.now_ms - ended_ms);
         }
     }
@@ -396,8 +410,11 @@
     let from = peak.running_on(id(1))[0].clone();
     request_wave_of(&mut peak.world, &[&format!("vm-of-{from}")]);
     let waited_ms = wait_until_moved(&mut peak, &from);
-    let waited_ms = waited_ms.expect("it never starts again");
-    assert!(waited_ms <= MAX_START_DELAY_MS, "it waited for {waited_ms} ms");
+    let waited_ms = waited_ms.expect("the gang never restarts");
+    assert!(
+        waited_ms <= MAX_START_DELAY_MS,
+        "the gang waited for {waited_ms} ms"
+    );
 }
 
 #[test]
@@ -429,8 +446,11 @@
     }
     peak.world.list();
     let waited_ms = wait_until_moved(&mut peak, &from);
-    let waited_ms = waited_ms.expect("it never starts again");
-    assert!(waited_ms <= MAX_START_DELAY_MS, "it waited for {waited_ms} ms");
+    let waited_ms = waited_ms.expect("the gang never restarts");
+    assert!(
+        waited_ms <= MAX_START_DELAY_MS,
+        "the gang waited for {waited_ms} ms"
+    );
 }
 
 #[test]
@@ -440,7 +460,10 @@
     request_wave_of(&mut peak.world, &[&format!("vm-of-{from}")]);
     for _ in 0..2 * MAX_WAIT_MS / 50 {
         peak.plan_round();
-        assert!(peak.runs_completely(id(1)), "it was stopped without a place");
+        assert!(
+            peak.runs_completely(id(1)),
+            "the gang was stopped without a reservation"
+        );
     }
 }
 
@@ -457,7 +480,10 @@
     peak.world.list();
     for _ in 0..2 * MAX_WAIT_MS / 50 {
         peak.plan_round();
-        assert!(peak.runs_completely(id(1)), "one was stopped, for one place");
+        assert!(
+            peak.runs_completely(id(1)),
+            "the gang was stopped with room for one member"
+        );
     }
 }
 
@@ -470,7 +496,7 @@
     assert!(peak.runs_completely(id(1)));
 }
 
-/// Lets one thing random_event, or nothing.
+/// Triggers one random event, or none.
 fn random_event(peak: &mut Peak, random: &mut StdRng) {
     match random.random_range(0..200) {
         0..3 if peak.gangs.len() < 4 => {
@@ -499,7 +525,7 @@
 }
 
 impl Peak {
-    /// Makes a random world in a peak.
+    /// Creates a random world under load.
     fn random(random: &mut StdRng) -> Peak {
         let count = random.random_range(2..6);
         let names: Vec<String> = (0..count).map(|n| format!("w{n}")).collect();
@@ -507,15 +533,17 @@
         Peak::new(&names)
     }
 
-    /// Ends the peak and then all gangs, and checks that these ran whole and
-    /// that every worker can be filled again; returns how many ran.
+    /// Ends the load and then all gangs. Checks that each gang ran completely
+    /// or not at all, and that every worker can be filled again. Returns how
+    /// many gangs ran.
     fn finish(mut self, seed: u64, step: impl Fn(&mut Peak)) -> u32 {
         self.tasks_a_round = 0;
         for number in 101..=self.next {
             let now = at(self.world.now_ms);
             self.world.scheduler.cancel(id(number), now);
         }
-        // All workers come back and nothing else runs: what fits starts.
+        // All workers come back and nothing else runs, so each gang that fits
+        // starts.
         for _ in 0..6_000 / 50 {
             step(&mut self);
         }
@@ -535,7 +563,11 @@
         self.submit_short(4 * workers as u32, 30_000);
         self.run_for(1_000);
         let running = self.world.running().len();
-        assert_eq!(running, 4 * workers, "seed {seed}: room is still kept");
+        assert_eq!(
+            running,
+            4 * workers,
+            "seed {seed}: capacity is still reserved"
+        );
         whole
     }
 }
--- a/crates/dewspar/tests/schedule/long_running_capacity.rs
+++ b/crates/dewspar/tests/schedule/long_running_capacity.rs
@@ -1,8 +1,10 @@
-//! Two tasks that were to last didn't run for more than ten seconds. Their
-//! pool lacked a few VMs, and every VM that came went to the pool of a queue
-//! in its peak, which lacked hundreds. Besides, pools were sized by processors
-//! alone, though what such tasks lack first is memory, or a worker without
-//! another of their step.
+//! Sizing of pools for long-running tasks.
+//!
+//! Two failures are guarded against. A pool that lacks a few VMs for
+//! long-running tasks gets none while another pool with a backlog of short
+//! tasks lacks hundreds; two such tasks were down for more than ten seconds.
+//! And a pool sized by processors alone is too small for tasks that need
+//! memory, or a worker without another task of their step.
 
 use {
     crate::world::{POOL, World, at, id, job, listing, managed, step},
@@ -19,7 +21,7 @@
 const OTHER: &str = "other";
 const OFF: &str = "off";
 
-/// Two pools that have queues, and VMs that are switched off.
+/// Two pools with queues, and VMs that are switched off.
 struct Fleet {
     world: World,
     off: Vec<ManagedVm>,
@@ -54,8 +56,8 @@
         self.world.scheduler.submit(id(number), job, 5 + number, None);
     }
 
-    /// Asks for the maintenance of all VMs that are switched off but so many,
-    /// which are left alone until then.
+    /// Requests the maintenance of all VMs that are switched off but `free`
+    /// ones. They can't be used until then.
     fn await_maintenance_but_for(&mut self, free: usize) {
         let off = self.off.iter().skip(free);
         let request = WaveRequest {
@@ -68,8 +70,8 @@
         self.world.scheduler.request_waves(now, &[request], &none, &[]);
     }
 
-    /// Plans for so long and counts the moves to each pool; VMs that move
-    /// don't come.
+    /// Makes scheduling passes for a while and counts the VM moves to each
+    /// pool. The moved VMs don't arrive.
     fn moves_within(&mut self, ms: u64) -> Moves {
         let end_ms = self.world.now_ms + ms;
         let mut moves = Moves::default();
@@ -94,7 +96,7 @@
     WorkerListing { pool, capacity: ROOM, ..listing }
 }
 
-/// How many VMs were ordered to move to each pool.
+/// The number of VMs ordered to move to each pool.
 #[derive(Debug, Default, Eq, PartialEq)]
 struct Moves {
     here: u32,
@@ -116,12 +118,12 @@
 const ROOM: Resources =
     Resources { cpu_millis: 4_000, memory_mb: 4_000, gpus: 2 };
 
-/// A step of so many tasks that are to last, at most one on a worker.
+/// A step of `count` long-running tasks, at most one on a worker.
 fn long_running(count: u32) -> StepSpec {
     StepSpec { long_running: true, max_per_worker: 1, ..step(count) }
 }
 
-/// A step of so many tasks that are to last and ask for little processor.
+/// A step of `count` long-running tasks that need little processor.
 fn low_cpu(count: u32, memory_mb: u64, gpus: u64) -> StepSpec {
     let cpu_millis = 100;
     let long = StepSpec { max_per_worker: 0, ..long_running(count) };
@@ -142,7 +144,7 @@
 
 #[test]
 fn long_running_tasks_of_one_pool_come_before_short_ones_of_another() {
-    // Its equal share of the six VMs would be three.
+    // An equal share of the six VMs would be three.
     let mut fleet = Fleet::new(2, 4, 0);
     fleet.submit(1, OTHER, vec![step(200)]);
     fleet.submit(2, POOL, vec![long_running(4)]);
@@ -177,7 +179,7 @@
 
 #[test]
 fn anti_affine_tasks_are_packed_beside_those_of_other_steps() {
-    // Of each step one fits on a worker, and no two of different steps.
+    // A worker holds one task of each step, and never two of different steps.
     let mut fleet = Fleet::new(2, 2, 6);
     fleet.world.fate = Fate::endless();
     let apart = StepSpec { memory_mb: 2_500, ..long_running(3) };
@@ -213,7 +215,7 @@
 fn a_pool_gets_vms_for_the_memory_of_jobs_that_keep_coming() {
     let mut fleet = Fleet::new(2, 2, 1);
     fleet.world.fate = Fate::done(2_000);
-    // Two jobs a second of 10 task-seconds each keep 20 tasks going.
+    // Two jobs a second of 10 task-seconds each keep 20 tasks running.
     let long = StepSpec {
         cpu_millis: 100,
         memory_mb: 400,
@@ -235,7 +237,7 @@
     fleet.await_maintenance_but_for(8);
     fleet.world.fate = Fate::endless();
     fleet.submit(1, OTHER, vec![step(100)]);
-    // So many that one VM more has room for all.
+    // One additional VM has room for all of them.
     fleet.submit(2, POOL, vec![step(9)]);
     fleet.world.run_for(100);
     let moves = fleet.moves_within(1_000);
--- a/crates/dewspar/tests/schedule/move_safety.rs
+++ b/crates/dewspar/tests/schedule/move_safety.rs
@@ -1,11 +1,10 @@
-//! Where else something that works may be taken down before its replacement is
-//! sure.
+//! Running tasks aren't stopped before their replacement is certain.
 //!
-//! A new holder moved a task that lasts while one worker of its pool hadn't
-//! answered yet. What a former holder had accepted starts nowhere until then,
-//! since that worker may have it already; but the task's run was stopped as
-//! soon as there was room elsewhere. It was without work for 13.3 s, until the
-//! silent worker's lease was over.
+//! A new lease holder must not move a long-running task while a worker of its
+//! pool hasn't answered yet. Tasks of jobs accepted by a former holder may not
+//! start until then, since that worker may run them already. If the run is
+//! stopped as soon as there is room elsewhere, the task is down until the
+//! lease of the silent worker has expired: 13.3 s in one run.
 
 use {
     crate::{
@@ -21,12 +20,12 @@
     dewspar_standin::task_worker::TaskWorker,
 };
 
-/// How long a task that was moved may be without work, in milliseconds: its
-/// stop, and a plan or two.
+/// How long a moved task may be down, in milliseconds: its stop and one or two
+/// scheduling passes.
 const MOVE_MS: u64 = STOP_MS + 100;
 
-/// A task that lasts on one of four workers, and a new holder, to which
-/// another worker doesn't answer. Returns the task's worker.
+/// A long-running task on one of four workers, and a new lease holder to which
+/// another worker doesn't answer. Returns the worker of the task.
 fn world_with_silent_worker() -> (World, WorkerId) {
     let mut world = world_of(&["w1", "w2", "w3", "w4"]);
     submit_long_running(&mut world, 1, job(vec![large()]));
@@ -44,8 +43,7 @@
     (world, from)
 }
 
-/// Goes on for so long; returns how long the task was without work in all,
-/// in milliseconds.
+/// Runs for a while. Returns the total downtime of the task, in milliseconds.
 fn downtime_ms_within(world: &mut World, ms: u64) -> u64 {
     let first = format!("{}.0.0.0", id(1));
     let rounds = (0..ms / 50).filter(|_| {
@@ -60,11 +58,8 @@
     let (mut world, from) = world_with_silent_worker();
     request_wave_of(&mut world, &[&format!("vm-of-{from}")]);
     let downtime_ms = downtime_ms_within(&mut world, 20_000);
-    assert!(
-        downtime_ms <= MOVE_MS,
-        "it was without work for {downtime_ms} ms"
-    );
-    assert_eq!(starts_of(&world, id(1)), 2, "it has moved in the end");
+    assert!(downtime_ms <= MOVE_MS, "the task was down for {downtime_ms} ms");
+    assert_eq!(starts_of(&world, id(1)), 2, "the task has moved in the end");
 }
 
 #[test]
@@ -78,14 +73,11 @@
     }
     world.list();
     let downtime_ms = downtime_ms_within(&mut world, 20_000);
-    assert!(
-        downtime_ms <= MOVE_MS,
-        "it was without work for {downtime_ms} ms"
-    );
-    assert_eq!(starts_of(&world, id(1)), 2, "it has moved in the end");
+    assert!(downtime_ms <= MOVE_MS, "the task was down for {downtime_ms} ms");
+    assert_eq!(starts_of(&world, id(1)), 2, "the task has moved in the end");
 }
 
-/// Carries out the moves of VMs between pools, each done at once.
+/// Runs a round and carries out the VM moves between pools immediately.
 fn plan_round_and_move_vms(world: &mut World) -> Vec<VmOrder> {
     let orders = plan_round(world);
     for order in &orders {
@@ -102,10 +94,10 @@
     orders
 }
 
-/// A VM of a wave was chosen since its task had another place, and in the same
-/// look that place went to another pool, before it was kept: the only other
-/// VM with the label that the task needs. The first VM was emptied all through
-/// the wave and never maintained.
+/// A VM is selected for a wave because its task can move elsewhere: to the
+/// only other VM with the required label. If that VM moves to another pool in
+/// the same round, before capacity is reserved on it, the first VM is drained
+/// during the whole wave and never maintained.
 #[test]
 fn the_target_of_a_planned_move_does_not_change_pools() {
     let mut world = World::new(5, &["w0", "w1", "w2", "w3", "w4", "w5"]);
@@ -121,17 +113,17 @@
     world.run_for(3_500);
     let (from, _) = world.starts.last().expect("it runs");
     assert_eq!(from.to_string(), "w1");
-    // A pool without a VM is served from now on, and a wave begins.
+    // From now on a pool without any VM is served, and a wave begins.
     let serving = [POOL.to_owned(), "other".to_owned()].into();
     world.scheduler.configure_pools(serving, [].into());
     request_wave_of(&mut world, &["vm-of-w1"]);
     world.stops_take_ms = STOP_MS;
     let mut orders = Vec::new();
-    // The wave's time.
+    // The duration of the wave.
     for _ in 0..200 {
         orders.extend(plan_round_and_move_vms(&mut world));
     }
     let vm = "vm-of-w1".to_owned();
     let down = VmOrder::Maintain { vm, wave: 1 };
-    assert!(orders.contains(&down), "it isn't maintained: {orders:?}");
+    assert!(orders.contains(&down), "the VM isn't maintained: {orders:?}");
 }
--- a/crates/dewspar/tests/schedule/pending_jobs.rs
+++ b/crates/dewspar/tests/schedule/pending_jobs.rs
@@ -1,4 +1,4 @@
-//! Which jobs count as waiting: those of which no worker has said that a
+//! Which jobs count as waiting: those for which no worker has confirmed that a
 //! task began.
 
 use {
@@ -23,7 +23,7 @@
     world
 }
 
-/// Plans, and returns the start that is ordered.
+/// Makes a scheduling pass and returns the start that is ordered.
 fn ordered(world: &mut World) -> (WorkerId, StartOrder) {
     let actions = world.scheduler.plan(at(world.now_ms));
     let start = actions.into_iter().find_map(|action| match action {
@@ -49,7 +49,8 @@
     scheduler.pending(at(0).unix_ms).values().sum()
 }
 
-/// Hands what is stored to another holder, and returns what that counts.
+/// Hands the stored progress to another lease holder. Returns the number of
+/// waiting jobs that it counts.
 fn waiting_for_successor(world: &mut World) -> u64 {
     let changes = world.scheduler.take_changes(100);
     let progress = changes.progress.iter().find(|(of, _)| *of == id(1));
@@ -95,7 +96,7 @@
     let mut world = world_with_job();
     world.fate = Fate::endless();
     world.run_for(100);
-    // Another holder, which knows nothing of the start, asks the worker.
+    // Another lease holder, which doesn't know of the start, asks the worker.
     world.take_over(9);
     world.scheduler.submit(id(1), job(vec![step(1)]), 6, None);
     assert_eq!(waiting(&world.scheduler), 1);
@@ -106,7 +107,7 @@
 
     let mut world = world_with_job();
     let (worker, order) = ordered(&mut world);
-    // Asked under a new token after the start got no answer.
+    // The hold is sent under a new token because the start got no answer.
     let now = at(world.now_ms);
     let (task, run) = (order.task, order.run);
     let lost = Err(OrderError::Unknown);
--- a/crates/dewspar/tests/schedule/placement.rs
+++ b/crates/dewspar/tests/schedule/placement.rs
@@ -1,4 +1,4 @@
-//! Where a task may start, and when.
+//! Placement of tasks on workers and the conditions for starting them.
 
 use {
     crate::world::{ROOM, World, at, id, job, listing, step},
@@ -9,8 +9,9 @@
     dewspar_standin::task_worker::{Fate, TaskWorker},
 };
 
-/// A worker on which a serving task misses its target beside a best-effort
-/// task; returns the paces that were ordered while `gauge` was reported.
+/// Lets a serving task miss its latency target beside a best-effort task.
+/// Returns the paces ordered while the serving task reports the given values
+/// of `gauge` in turn.
 fn paces_while(world: &mut World, gauges: &[u64]) -> Vec<u8> {
     let worker = WorkerId::new("w1");
     let mut paces = Vec::new();
@@ -65,7 +66,8 @@
     job
 }
 
-/// Plans once and returns the question to the adviser, if there is one.
+/// Makes one scheduling pass. Returns the question to the adviser, if there is
+/// one.
 fn question(world: &mut World) -> Option<(TaskId, Vec<WorkerId>, u64)> {
     world.now_ms += 50;
     let now = at(world.now_ms);
@@ -90,7 +92,10 @@
     let asked = question(&mut world).expect("a question");
     let (step, workers, asked_ms) = asked;
     assert_eq!(workers.len(), 3);
-    assert!(question(&mut world).is_none(), "one at a time for a step");
+    assert!(
+        question(&mut world).is_none(),
+        "one question at a time for a step"
+    );
     assert!(world.starts.is_empty());
     let allowed = WorkerId::new("w2");
     let tickets = vec![(allowed.clone(), "t-1".to_owned())];
@@ -130,7 +135,7 @@
     let gang = StepSpec { gang: true, ..step(5) };
     world.scheduler.submit(id(1), job(vec![gang]), 6, None);
     world.run_for(500);
-    assert!(world.starts.is_empty(), "four fit, but not five");
+    assert!(world.starts.is_empty(), "four members fit, but not five");
     world.listings.push(listing("w2"));
     let second = (WorkerId::new("w2"), TaskWorker::new(ROOM));
     world.workers.extend([second]);
@@ -138,7 +143,10 @@
     world.run_for(200);
     assert_eq!(world.starts.len(), 5);
     let runs: Vec<u64> = world.starts.iter().map(|(_, s)| s.run).collect();
-    assert!(runs.iter().all(|run| *run == runs[0]), "one run: {runs:?}");
+    assert!(
+        runs.iter().all(|run| *run == runs[0]),
+        "all members have the same run number: {runs:?}"
+    );
 }
 
 #[test]
@@ -146,13 +154,14 @@
     let mut world = World::new(5, &["w1", "w2"]);
     world.list();
     world.run_for(5_000);
-    // The store is back; its entries had run out and are being written anew.
+    // The store is available again. Its directory entries have expired and are
+    // being written again.
     let all = std::mem::take(&mut world.listings);
     world.list();
     world.scheduler.submit(id(1), job(vec![step(1)]), 6, None);
     world.run_for(100);
     assert_eq!(world.starts.len(), 1);
-    // One that is still missing after a while is taken as gone.
+    // A worker that stays unlisted for a while counts as gone.
     world.listings = all.into_iter().take(1).collect();
     for _ in 0..25 {
         world.run_for(100);
@@ -171,8 +180,8 @@
     world.fate = Fate::endless();
     world.scheduler.submit(id(1), job(vec![step(3)]), 6, None);
     world.run_for(200);
-    // Room for one more; a larger job and one that must run elsewhere come
-    // first.
+    // There is room for one more task. A larger task and one whose label no
+    // worker has come first in the queue.
     let large = StepSpec { cpu_millis: 2_000, ..step(1) };
     world.scheduler.submit(id(2), job(vec![large]), 7, None);
     let label = "elsewhere".to_owned();
@@ -244,7 +253,8 @@
     world.list();
     world.expect_all();
     world.round();
-    // One task on w3, the last by name of three alike, so that it is fullest.
+    // Put one task on w3, the last identifier among equal workers, so that it
+    // is the fullest.
     world.scheduler.submit(id(1), job(vec![step(1)]), 6, None);
     world.run_for(100);
     world.starts.clear();
@@ -253,7 +263,7 @@
     let on: Vec<&str> =
         world.starts.iter().map(|(worker, _)| worker.as_str()).collect();
     assert_eq!(on, ["w3", "w3", "w3", "w2", "w2", "w2"]);
-    // What is left of a step goes on where its other tasks run.
+    // Later tasks of a step are placed with the earlier ones.
     world.starts.clear();
     world.scheduler.submit(id(3), job(vec![step(9)]), 8, None);
     world.run_for(100);
--- a/crates/dewspar/tests/schedule/pool_sizing.rs
+++ b/crates/dewspar/tests/schedule/pool_sizing.rs
@@ -1,4 +1,4 @@
-//! Which pool a VM is in.
+//! Assignment of VMs to pools.
 
 use {
     crate::world::{POOL, World, at, id, job, listing, managed, step},
@@ -38,14 +38,15 @@
     world.scheduler.submit(id(1), job(vec![step(1)]), 6, None);
     world.run_for(300);
     let now = at(world.now_ms);
-    // The VM service takes the order as done, since the VM is there already.
+    // The VM service reports the order as done, since the VM is in that pool
+    // already.
     let vm = format!("vm-of-{}", world.starts[0].0);
     world.scheduler.move_answered(&vm, POOL, Ok(()), now);
     world.run_for(1_000);
     assert_eq!(world.starts.len(), 1);
 }
 
-/// A pool of two workers and one VM that is switched off.
+/// A pool of two workers, and one VM that is switched off.
 pub fn world_with_spare() -> World {
     let mut world = World::new(5, &["w1", "w2"]);
     let mut spare = listing("w3");
@@ -59,7 +60,7 @@
     world
 }
 
-/// Plans for a second and returns what was ordered of the VM service.
+/// Makes scheduling passes for a second and returns the VM orders.
 pub fn vm_orders(world: &mut World) -> Vec<VmOrder> {
     let mut orders = Vec::new();
     for _ in 0..20 {
@@ -104,7 +105,7 @@
     world.fate = Fate::done(2_000);
     let long = StepSpec { estimate_ms: 2_000, ..step(1) };
     let later = StepSpec { after: vec![0], count: 4, ..long.clone() };
-    // Two jobs a second of 10 core-seconds each keep 20 cores busy, though
+    // Two jobs a second of 10 core-seconds each keep 20 cores busy, although
     // only one core is in use so far and nothing waits.
     for number in 0..2 {
         let steps = vec![long.clone(), later.clone()];
@@ -116,7 +117,7 @@
     assert_eq!(vm_orders(&mut world), [move_of_spare()]);
 }
 
-/// A pool of five workers, and one pool that VMs are switched off in.
+/// A pool of five workers, and a pool for VMs that are switched off.
 fn world_with_idle_workers() -> World {
     let mut world = World::new(5, &["w1", "w2", "w3", "w4", "w5"]);
     world.list();
@@ -135,7 +136,11 @@
     }
     world.fate = Fate::done(100);
     world.scheduler.submit(id(1), job(vec![step(1)]), 6, None);
-    assert_eq!(vm_orders(&mut world), [], "a first job says little");
+    assert_eq!(
+        vm_orders(&mut world),
+        [],
+        "one job isn't enough to estimate demand"
+    );
     let mut orders = Vec::new();
     for _ in 0..5 {
         orders.extend(vm_orders(&mut world));
--- a/crates/dewspar/tests/schedule/reservation_cases.rs
+++ b/crates/dewspar/tests/schedule/reservation_cases.rs
@@ -1,10 +1,9 @@
-//! Tasks that are to last, for which a place is kept and isn't sure, or for
-//! which none is kept though they wait or have to leave.
+//! Reservations that become useless, and long-running tasks that get none.
 //!
-//! A kept place is only looked at again as far as its worker can be used at
-//! all, and a task that waits for one takes no other. So a task waits beside
-//! workers that are empty: those that came since, or those that it could use
-//! since its own place shrank.
+//! A reservation must be reviewed not only when its worker can no longer be
+//! used, since a task with a pending reservation starts nowhere else.
+//! Otherwise the task waits beside empty workers: workers that have been added
+//! since, or workers that it could use after its reserved one has shrunk.
 
 use {
     crate::{
@@ -24,7 +23,7 @@
     dewspar_standin::task_worker::{Fate, TaskWorker},
 };
 
-/// How long a task that is to last may wait though there is room for it, in
+/// How long a long-running task may wait although there is room for it, in
 /// milliseconds.
 pub const MAX_WAIT_MS: u64 = 6_000;
 
@@ -53,7 +52,7 @@
     starts.filter(|(_, order)| order.task.job == job).count()
 }
 
-/// Submits a job whose runs have a fate of their own, whenever they start.
+/// Submits a job whose runs have their own outcome, whenever they start.
 pub fn submit(world: &mut World, number: u64, job: AcceptedJob, fate: Fate) {
     let cpu_millis = job.spec.steps[0].cpu_millis;
     let demand = Resources { cpu_millis, ..Resources::default() };
@@ -70,8 +69,7 @@
     submit(world, number, job(vec![short]), Fate::done(work_ms));
 }
 
-/// Lets two short tasks of a quarter of a worker come, none ending together
-/// with others.
+/// Submits two short tasks of a quarter of a worker with staggered ends.
 pub fn submit_peak_round(world: &mut World, next: &mut u64) {
     for _ in 0..2 {
         *next += 1;
@@ -89,13 +87,17 @@
     world.run_for(1_000);
     add_worker(&mut world, "w3");
     world.run_for(MAX_WAIT_MS);
-    assert_eq!(starts_of(&world, id(1)), 1, "it waits beside an empty worker");
+    assert_eq!(
+        starts_of(&world, id(1)),
+        1,
+        "the task waits beside an empty worker"
+    );
 }
 
 #[test]
 fn a_task_with_a_pending_reservation_takes_the_first_free_worker() {
     let mut world = world_of(&["w1", "w2"]);
-    // The emptier one is so for long.
+    // The emptier worker stays in use for long.
     submit_short(&mut world, 100, 3, 30_000);
     world.run_for(100);
     submit_short(&mut world, 101, 5, 1_000);
@@ -103,7 +105,11 @@
     assert_eq!(world.running().len(), 8);
     submit_long_running(&mut world, 1, job(vec![large()]));
     world.run_for(MAX_WAIT_MS);
-    assert_eq!(starts_of(&world, id(1)), 1, "it waits beside a free worker");
+    assert_eq!(
+        starts_of(&world, id(1)),
+        1,
+        "the task waits beside a free worker"
+    );
 }
 
 #[test]
@@ -115,7 +121,7 @@
     world.listings.push(elsewhere);
     world.list();
     world.run_for(200);
-    // Eleven apart, in a pool of one worker: ten wait.
+    // Eleven tasks with anti-affinity in a pool of one worker: ten wait.
     let apart = StepSpec {
         max_per_worker: 1,
         max_unavailable: 1,
@@ -136,11 +142,15 @@
         submit_peak_round(&mut world, &mut next);
         world.run_for(50);
     }
-    assert_eq!(starts_of(&world, id(2)), 1, "no place was kept for it");
+    assert_eq!(
+        starts_of(&world, id(2)),
+        1,
+        "no capacity was reserved for the task"
+    );
 }
 
-/// A task that lasts on one of three workers; returns that worker and the one
-/// where it is to go on, while it is being stopped.
+/// A long-running task on one of three workers. Returns that worker and the
+/// one to which the task is to move, while it is being stopped.
 pub fn world_with_move() -> (World, WorkerId, WorkerId) {
     let mut world = world_of(&["w1", "w2", "w3"]);
     let mut moves = job(vec![large()]);
@@ -156,7 +166,7 @@
         Decision::Displaced { place, .. } => place.clone(),
         _ => None,
     });
-    (world, from, place.expect("it is to move somewhere"))
+    (world, from, place.expect("the task is to move"))
 }
 
 #[test]
@@ -170,18 +180,22 @@
         }
     }
     world.list();
-    // A peak goes on on the third worker.
+    // The load goes on on the third worker.
     for _ in 0..(STOP_MS + MAX_WAIT_MS) / 50 {
         submit_peak_round(&mut world, &mut next);
         plan_round(&mut world);
     }
-    assert_eq!(starts_of(&world, id(1)), 2, "it has no place, and waits");
+    assert_eq!(
+        starts_of(&world, id(1)),
+        2,
+        "the task waits without a reservation"
+    );
 }
 
 #[test]
 fn a_reservation_in_the_former_pool_of_a_queue_is_released() {
     let (mut world, _, place) = world_with_move();
-    // The queue is served by another pool from now on, which has no worker.
+    // From now on the queue is served by another pool, which has no worker.
     let mut terms = job(vec![]).terms;
     terms.pool = "other".to_owned();
     world.scheduler.configure([("", &terms)]);
@@ -194,9 +208,9 @@
     of_old.spec.queue = "old".to_owned();
     submit(&mut world, 200, of_old, Fate::done(30_000));
     world.run_for(500);
-    let here = world.workers.get_mut(&place).expect("it is there");
+    let here = world.workers.get_mut(&place).expect("the worker is known");
     let used = here.used().cpu_millis;
-    assert_eq!(used, 4_000, "room is kept for a task that may not come");
+    assert_eq!(used, 4_000, "capacity is reserved for a task of another pool");
 }
 
 #[test]
@@ -222,7 +236,7 @@
         submit_peak_round(&mut world, &mut next);
         plan_round(&mut world);
     }
-    assert_eq!(starts_of(&world, id(1)), 2, "it goes down with its worker");
+    assert_eq!(starts_of(&world, id(1)), 2, "the task ends with its worker");
 }
 
 #[test]
@@ -244,7 +258,7 @@
         submit_peak_round(&mut world, &mut next);
         plan_round(&mut world);
     }
-    assert_eq!(starts_of(&world, id(1)), 2, "its VM isn't maintained");
+    assert_eq!(starts_of(&world, id(1)), 2, "the VM isn't maintained");
 }
 
 #[test]
@@ -266,7 +280,7 @@
     assert_eq!(starts_of(&world, id(1)), 2);
 }
 
-/// Plans for 50 ms; the adviser allows whatever it is asked for.
+/// Runs for 50 ms with an adviser that allows every worker.
 fn advised_round(world: &mut World) {
     world.advises = true;
     world.run_for(50);
@@ -314,11 +328,12 @@
         world.scheduler.plan_vms(now);
         advised_round(&mut world);
     }
-    assert_eq!(starts_of(&world, id(1)), 2, "nobody asks the adviser");
+    assert_eq!(starts_of(&world, id(1)), 2, "the adviser isn't asked");
 }
 
-/// A task that lasts on a VM of a wave and needs a label that no other VM
-/// has, and ten VMs that are switched off. Returns how many were brought.
+/// A long-running task on a VM of a wave needs a label that no other VM has,
+/// and ten VMs are switched off. Returns how many of these move to the pool in
+/// vain.
 fn count_useless_vm_moves() -> usize {
     let mut world = World::new(5, &["w1", "w2"]);
     world.listings[0].labels.push("only".to_owned());
@@ -345,7 +360,7 @@
                 continue;
             }
             brought += 1;
-            // It comes at once, with a new life of its worker.
+            // The VM arrives immediately, with a new process of its worker.
             world.listings.retain(|listing| listing.vm != vm);
             let name = format!("new-{brought}");
             let mut new = listing(&name);
@@ -361,22 +376,26 @@
 #[test]
 fn vms_do_not_keep_moving_for_a_task_that_none_suits() {
     let brought = count_useless_vm_moves();
-    assert!(brought <= 2, "{brought} VMs were brought in vain");
+    assert!(brought <= 2, "{brought} VMs moved in vain");
 }
 
 #[test]
 fn room_stays_reserved_until_the_worker_accepts_the_start() {
     let (mut world, ..) = world_with_move();
-    // A queue that goes first has more than there is room for.
+    // A queue with a higher priority has more tasks than there is room for.
     submit_short(&mut world, 100, 40, 5_000);
     for _ in 0..(STOP_MS + 2_000) / 50 {
-        // The first order to start it again is lost, and no others before.
+        // Only the first order to restart the task is lost.
         let first = format!("{}.0.0.0", id(1));
         let is_over = !world.running().contains(&first);
         world.loses_starts = is_over && starts_of(&world, id(1)) == 1;
         plan_round(&mut world);
     }
-    assert_eq!(starts_of(&world, id(1)), 3, "its place was taken by others");
+    assert_eq!(
+        starts_of(&world, id(1)),
+        3,
+        "the reserved capacity was used by others"
+    );
 }
 
 #[test]
@@ -386,7 +405,7 @@
     for _ in 0..60 {
         plan_round(&mut world);
     }
-    // The VM service doesn't answer any more.
+    // The VM service no longer answers.
     for _ in 0..200 {
         let now = at(world.now_ms);
         world.scheduler.plan_vms(now);
@@ -403,5 +422,5 @@
         world.scheduler.plan_vms(now);
         world.run_for(50);
     }
-    assert_eq!(starts_of(&world, id(1)), 2, "it goes down with its worker");
+    assert_eq!(starts_of(&world, id(1)), 2, "the task ends with its worker");
 }
--- a/crates/dewspar/tests/schedule/reservation_priority.rs
+++ b/crates/dewspar/tests/schedule/reservation_priority.rs
@@ -1,7 +1,8 @@
-//! Room that is kept for a task that is to last ignored priority: while a task
-//! of a queue that goes last waited for one long run to end, the rest of that
-//! worker stood idle for as long, though tasks of a queue that goes first waited
-//! for it.
+//! Reservations and priorities.
+//!
+//! If reservations ignore priorities, a low-priority task that waits for one
+//! long run to end keeps the rest of that worker idle for as long, although
+//! tasks of a queue with a higher priority are waiting for it.
 
 use {
     crate::{
@@ -12,7 +13,7 @@
     dewspar_standin::task_worker::Fate,
 };
 
-/// How long room may stand idle for a task that goes last, and a little more,
+/// How long capacity may be idle for a low-priority task, with a small margin,
 /// in milliseconds.
 const MAX_IDLE_MS: u64 = 7_000;
 
@@ -31,9 +32,10 @@
     world.scheduler.submit(id(number), job, number, None);
 }
 
-/// Lets a task of this priority that takes a whole worker wait beside a run of a
-/// minute and a peak of small tasks of priority 1; returns the longest for which
-/// most of the worker was idle within 30 s, in milliseconds.
+/// Lets a task of the given priority that takes a whole worker wait beside a
+/// run of one minute and a load of small tasks of priority 1. Returns the
+/// longest time for which most of the worker was idle within 30 s, in
+/// milliseconds.
 fn longest_idle_ms(priority: u32) -> u64 {
     let mut world = World::new(5, &["w1"]);
     world.list();
@@ -59,11 +61,14 @@
 #[test]
 fn room_reserved_for_a_low_priority_task_is_not_idle_for_long() {
     let idle_ms = longest_idle_ms(9);
-    assert!(idle_ms <= MAX_IDLE_MS, "it stands idle for {idle_ms} ms");
+    assert!(idle_ms <= MAX_IDLE_MS, "capacity was idle for {idle_ms} ms");
 }
 
 #[test]
 fn room_stays_reserved_for_a_task_of_equal_priority() {
     let idle_ms = longest_idle_ms(1);
-    assert!(idle_ms > 2 * MAX_IDLE_MS, "it was given up after {idle_ms} ms");
+    assert!(
+        idle_ms > 2 * MAX_IDLE_MS,
+        "the reservation was released after {idle_ms} ms"
+    );
 }
--- a/crates/dewspar/tests/schedule/reservations.rs
+++ b/crates/dewspar/tests/schedule/reservations.rs
@@ -1,12 +1,12 @@
-//! Lines of the kept places that could be taken out without any test failing:
-//! an idle worker on which room is kept was switched off, or went to another
-//! pool, or was maintained first; runs found by a new holder counted as short,
-//! so that a place was kept behind one that doesn't end; a run was stopped
-//! before short tasks had left its place; two of a step were sent to one worker
-//! that takes one of them.
+//! Effects of reservations on other decisions of the scheduler.
 //!
-//! Each test here fails if its line is missing. What the lines are for is told
-//! with them; here it is shown what a task that lasts would lose.
+//! Each test fails if one particular check on reservations is missing. The
+//! failures guarded against are: an idle worker with reserved capacity is
+//! switched off, moves to another pool or is maintained first; runs found
+//! after a takeover count as short, so that capacity is reserved behind one
+//! that doesn't end; a run is stopped before short tasks have left its
+//! reserved capacity; two tasks of a step are sent to one worker that accepts
+//! only one of them.
 
 use {
     crate::{
@@ -26,16 +26,16 @@
     std::collections::{BTreeMap, BTreeSet},
 };
 
-/// How long a task that was moved may wait after its end was heard, in
-/// milliseconds: a plan or two.
+/// How long a moved task may wait after its end was reported, in milliseconds:
+/// one or two scheduling passes.
 const MAX_START_DELAY_MS: u64 = 100;
 
 const OTHER: &str = "other";
 const OFF: &str = "off";
 
-/// Six workers, on the second of which a task runs that may only go to the
-/// first two, and is being stopped for a long time. So room is kept on the
-/// first, which is idle and would be the first to be taken for anything else.
+/// Six workers. A task that may run only on the first two runs on the second
+/// one and takes long to stop. Capacity is reserved for it on the first
+/// worker, which is idle and would be the first choice for any other use.
 fn world_with_idle_reserved_worker() -> World {
     let mut world = World::new(5, &["w0", "w1", "w2", "w3", "w4", "w5"]);
     for listing in &mut world.listings[..2] {
@@ -44,14 +44,14 @@
     world.list();
     world.expect_all();
     world.run_for(100);
-    // What isn't asked for is only known beside a short job.
+    // Idle VMs are released only once a short job has shown the demand.
     submit_short(&mut world, 100, 1, 60_000);
     world.run_for(100);
     let only =
         StepSpec { required_label: "only".to_owned(), ..long_running() };
     submit_long_running(&mut world, 1, job(vec![only]));
     world.run_for(3_500);
-    let (from, _) = world.starts.last().expect("it runs");
+    let (from, _) = world.starts.last().expect("the task runs");
     assert_eq!(from.to_string(), "w1");
     request_wave_of(&mut world, &["vm-of-w1"]);
     world.stops_take_ms = 8_000;
@@ -71,7 +71,7 @@
     world.scheduler.configure_pools(serving, [OFF.to_owned()].into());
 }
 
-/// Returns the workers that were chosen to be emptied since the last call.
+/// Returns the workers selected for draining since the last call.
 fn emptied(world: &mut World) -> BTreeSet<String> {
     let decisions = world.scheduler.take_decisions();
     let emptied = decisions.iter().filter_map(|decision| match decision {
@@ -93,8 +93,8 @@
             }
         }
     }
-    assert!(off.contains("vm-of-w2"), "others are switched off: {off:?}");
-    assert!(!off.contains("vm-of-w0"), "the place is switched off");
+    assert!(off.contains("vm-of-w2"), "other VMs are switched off: {off:?}");
+    assert!(!off.contains("vm-of-w0"), "the reserved worker is switched off");
 }
 
 #[test]
@@ -110,8 +110,11 @@
         plan_round(&mut world);
         taken.extend(emptied(&mut world));
     }
-    assert!(!taken.is_empty(), "others go to the pool that lacks some");
-    assert!(!taken.contains("w0"), "the place goes: {taken:?}");
+    assert!(
+        !taken.is_empty(),
+        "other workers move to the pool that lacks some"
+    );
+    assert!(!taken.contains("w0"), "the reserved worker moves: {taken:?}");
 }
 
 #[test]
@@ -130,8 +133,11 @@
         plan_round(&mut world);
         taken.extend(emptied(&mut world));
     }
-    assert!(taken.contains("w2"), "the wave goes on: {taken:?}");
-    assert!(!taken.contains("w0"), "the place is taken down: {taken:?}");
+    assert!(taken.contains("w2"), "the wave makes progress: {taken:?}");
+    assert!(
+        !taken.contains("w0"),
+        "the reserved worker is taken down: {taken:?}"
+    );
 }
 
 #[test]
@@ -146,7 +152,7 @@
     let serving = [POOL.to_owned(), OTHER.to_owned()].into();
     world.scheduler.configure_pools(serving, [OFF.to_owned()].into());
     world.run_for(100);
-    // It uses less than the short ones on the other workers.
+    // It uses less than the short tasks on the other workers.
     let light = StepSpec {
         cpu_millis: 100,
         required_label: "lasting".to_owned(),
@@ -169,14 +175,18 @@
         plan_round(&mut world);
         taken.extend(emptied(&mut world));
     }
-    assert!(!taken.is_empty(), "others go to the pool that lacks some");
-    assert!(!taken.contains("w0"), "its task is in the way: {taken:?}");
+    assert!(
+        !taken.is_empty(),
+        "other workers move to the pool that lacks some"
+    );
+    assert!(!taken.contains("w0"), "a long-running task is on it: {taken:?}");
 }
 
 #[test]
 fn no_room_is_reserved_behind_a_long_running_task_found_after_a_takeover() {
     let mut world = world_of(&["w1", "w2"]);
-    // Beside it a little is always left, so its worker is the emptier one.
+    // Some capacity beside it always stays free, so its worker is the emptier
+    // one.
     let odd = || job(vec![StepSpec { cpu_millis: 2_500, ..long_running() }]);
     submit_long_running(&mut world, 1, odd());
     world.run_for(500);
@@ -199,11 +209,15 @@
         submit_peak_round(&mut world, &mut next);
         world.run_for(50);
     }
-    assert_eq!(starts_of(&world, id(2)), 1, "it waits behind one that lasts");
+    assert_eq!(
+        starts_of(&world, id(2)),
+        1,
+        "the task waits behind a long-running one"
+    );
 }
 
-/// Returns how long tasks of a job waited before their starts, in
-/// milliseconds, of those started since the last call.
+/// Returns how long the tasks of a job waited before each start since the last
+/// call, in milliseconds.
 fn waits_of(world: &mut World, number: u64) -> Vec<u64> {
     let decisions = world.scheduler.take_decisions();
     let waits = decisions.iter().filter_map(|decision| match decision {
@@ -228,7 +242,7 @@
         plan_round(&mut world);
     }
     request_wave_of(&mut world, &[&format!("vm-of-{from}")]);
-    // Sooner than the short ones end.
+    // Shorter than the short tasks take to end.
     world.stops_take_ms = 50;
     let _ = world.scheduler.take_decisions();
     let mut waits = Vec::new();
@@ -238,10 +252,10 @@
         plan_round(&mut world);
         waits.extend(waits_of(&mut world, 1));
     }
-    assert_eq!(waits.len(), 1, "it has moved");
+    assert_eq!(waits.len(), 1, "the task has moved");
     assert!(
         waits[0] <= MAX_START_DELAY_MS,
-        "it was without work for {waits:?} ms"
+        "the task was down for {waits:?} ms"
     );
 }
 
@@ -249,7 +263,7 @@
 fn a_lost_reservation_is_replaced_at_once() {
     let (mut world, _, place) = world_with_move();
     let mut next = 100;
-    // A peak has begun on the third worker.
+    // A load begins on the third worker.
     for _ in 0..2 {
         submit_peak_round(&mut world, &mut next);
         submit_peak_round(&mut world, &mut next);
@@ -265,10 +279,10 @@
         plan_round(&mut world);
         waits.extend(waits_of(&mut world, 1));
     }
-    assert_eq!(waits.len(), 1, "it has moved");
+    assert_eq!(waits.len(), 1, "the task has moved");
     assert!(
         waits[0] <= MAX_START_DELAY_MS,
-        "it was without work for {waits:?} ms"
+        "the task was down for {waits:?} ms"
     );
 }
 
@@ -304,8 +318,12 @@
             }
         }
     }
-    assert_eq!(places.len(), 2, "both were told of one place: {places:?}");
-    assert_eq!(world.running().len(), 2, "one was left without work");
+    assert_eq!(
+        places.len(),
+        2,
+        "both tasks were sent to one worker: {places:?}"
+    );
+    assert_eq!(world.running().len(), 2, "one task is down");
 }
 
 #[test]
@@ -326,9 +344,12 @@
     world.stops_take_ms = STOP_MS;
     for _ in 0..60 {
         plan_round(&mut world);
-        assert!(!world.running().is_empty(), "both were stopped at once");
+        assert!(
+            !world.running().is_empty(),
+            "both tasks were stopped at once"
+        );
     }
-    assert_eq!(starts_of(&world, id(1)), 4, "both have moved");
+    assert_eq!(starts_of(&world, id(1)), 4, "both tasks have moved");
 }
 
 #[test]
@@ -347,11 +368,11 @@
     for _ in 0..8_500 / 50 {
         plan_round(&mut world);
     }
-    assert_eq!(starts_of(&world, id(100)), 1, "it was stopped");
+    assert_eq!(starts_of(&world, id(100)), 1, "the short task was stopped");
 }
 
-/// What is told of tasks that wait: the job's number, for how long, why, and
-/// what the workers lack.
+/// Returns the reported long waits: the task, how long it has waited, the
+/// reason, and the counts of unfit workers.
 fn long_waits(
     world: &mut World,
 ) -> Vec<(TaskId, u64, &'static str, UnfitWorkers)> {
@@ -368,7 +389,8 @@
 #[test]
 fn a_long_wait_counts_unfit_workers_by_cause() {
     let mut world = world_of(&["w1", "w2", "w3", "w4"]);
-    // One of its step on one, one short of processors, one of memory.
+    // One worker has a task of the same step, one lacks processor, one lacks
+    // memory.
     let waits = StepSpec {
         count: 2,
         max_per_worker: 1,
@@ -384,7 +406,7 @@
     world.run_for(200);
     let used: BTreeSet<WorkerId> =
         world.starts.iter().map(|(worker, _)| worker.clone()).collect();
-    assert_eq!(used.len(), 2, "they stand apart");
+    assert_eq!(used.len(), 2, "the tasks run on different workers");
     let idle = world.listings.iter_mut().find(|l| !used.contains(&l.id));
     if let Some(idle) = idle {
         idle.draining = true;
@@ -393,7 +415,7 @@
     submit_long_running(&mut world, 3, job(vec![waits]));
     world.run_for(450);
     assert_eq!(starts_of(&world, id(3)), 1);
-    assert_eq!(long_waits(&mut world), [], "it may start soon");
+    assert_eq!(long_waits(&mut world), [], "the wait is still short");
     world.run_for(600);
     let first = long_waits(&mut world);
     let lack = UnfitWorkers {
@@ -411,9 +433,9 @@
     assert_eq!(*reason, "no worker of its pool can take it");
     assert_eq!(*lacks, lack);
     world.run_for(1_400);
-    assert_eq!(long_waits(&mut world), [], "it was told of late");
+    assert_eq!(long_waits(&mut world), [], "the wait was reported recently");
     world.run_for(1_000);
-    assert_eq!(long_waits(&mut world).len(), 1, "it still waits");
+    assert_eq!(long_waits(&mut world).len(), 1, "the task still waits");
 }
 
 #[test]
@@ -431,7 +453,7 @@
         assert!(told.len() <= 4, "{} in half a second", told.len());
         steps.extend(told.iter().map(|(task, ..)| task.step));
     }
-    assert!(steps.len() >= 12, "each look tells of others: {steps:?}");
+    assert!(steps.len() >= 12, "each check reports other steps: {steps:?}");
 }
 
 #[test]
@@ -448,8 +470,8 @@
     assert_eq!(reasons, ["a worker that may run it wasn't asked yet"]);
 }
 
-/// Asks for the maintenance of all VMs of a world within so long, one at a
-/// time, and returns the workers that are chosen within two seconds.
+/// Requests the maintenance of all VMs of a world within the given duration,
+/// one at a time. Returns the workers selected within two seconds.
 fn chosen_of_all(world: &mut World, duration_ms: u64) -> BTreeSet<String> {
     let vms = world.listings.iter().map(|listing| listing.vm.clone());
     let request =
--- a/crates/dewspar/tests/schedule/task_moves.rs
+++ b/crates/dewspar/tests/schedule/task_moves.rs
@@ -1,17 +1,19 @@
-//! Two tasks that are to last stood on a VM that was to be maintained. Each was
-//! told of the same free place on another worker, so both were stopped; one of
-//! them took the place and the other was left without any, for 12 s in the
-//! worst case, since another queue's peak got every VM that came. Where only
-//! one had to move, tasks of a peak took its place while its worker was still
-//! stopping it, which takes 0.5 to 0.9 s.
+//! Moves of long-running tasks off VMs that are needed for something else.
 //!
-//! The log of such a day: `task: to be stopped` for two tasks of one worker at
-//! 13.80 s, their ends at 14.69 and 14.62 s, `task: start ordered` at 15.50 and
-//! 14.94 s; and `task: waits`, "no worker of its pool can take it", with 28
-//! workers, 25 of them short of processors and 3 closed.
+//! Without reservations, two tasks on a VM to be maintained can be moved to
+//! the same free capacity on another worker. Both are stopped, one takes the
+//! capacity, and the other was down for up to 12 s, since the pool of another
+//! queue under load got every VM that arrived. Even a single moving task can
+//! lose its target: a worker takes 0.5 to 0.9 s to stop a run, and meanwhile
+//! other tasks take the capacity.
 //!
-//! So a place is kept for each run from before it is stopped until its task is
-//! started there.
+//! In the log this shows as `task: to be stopped` for two tasks of one worker
+//! at 13.80 s, their ends at 14.69 and 14.62 s, and `task: start ordered` at
+//! 15.50 and 14.94 s; then as `task: waits`, "no worker of its pool can take
+//! it", with 28 workers, 25 of them short of processors and 3 closed.
+//!
+//! Capacity is therefore reserved for each task before its run is stopped,
+//! until the task has started there.
 
 use {
     crate::{
@@ -26,14 +28,14 @@
     dewspar_standin::task_worker::{Fate, TaskWorker},
 };
 
-/// How long a worker takes to stop a run in these tests, in milliseconds.
+/// How long a worker takes to stop a run, in milliseconds.
 pub const STOP_MS: u64 = 900;
 
-/// How long a task that was moved may wait after its end was heard, in
-/// milliseconds: a plan or two.
+/// How long a moved task may wait after its end was reported, in milliseconds:
+/// one or two scheduling passes.
 const MAX_START_DELAY_MS: u64 = 100;
 
-/// A step of one task that lasts and takes half a worker.
+/// A step of one long-running task that takes half a worker.
 pub fn long_running() -> StepSpec {
     StepSpec {
         long_running: true,
@@ -43,8 +45,8 @@
     }
 }
 
-/// Three tasks that last, two of them on one worker and one on another, which
-/// has room for one more. Returns the fuller worker too.
+/// Three long-running tasks, two on one worker and one on another, which has
+/// room for one more. Returns the fuller worker too.
 fn world_with_room_for_one_move() -> (World, WorkerId) {
     let mut world = World::new(5, &["w1", "w2"]);
     world.list();
@@ -56,7 +58,7 @@
         world.scheduler.submit(id(number), job, 5 + number, None);
         world.run_for(100);
     }
-    // Later than any stop that a former holder may have ordered.
+    // By now no stop ordered by a former lease holder can take effect.
     world.run_for(3_000);
     let on = |worker: &WorkerId| {
         world.starts.iter().filter(|(to, _)| to == worker).count()
@@ -68,8 +70,8 @@
     (world, fuller)
 }
 
-/// Plans VMs and tasks for 50 ms, without carrying out what is ordered of VMs;
-/// returns those orders.
+/// Plans VM operations and tasks for 50 ms without carrying out the VM orders.
+/// Returns these orders.
 pub fn plan_round(world: &mut World) -> Vec<VmOrder> {
     let vms: Vec<ManagedVm> = world.listings.iter().map(managed).collect();
     let now = at(world.now_ms);
@@ -79,8 +81,8 @@
     orders
 }
 
-/// Returns the longest that a task waited of those started since the last
-/// call, in milliseconds.
+/// Returns the longest wait of the tasks started since the last call, in
+/// milliseconds.
 fn longest_wait_ms(world: &mut World) -> Option<u64> {
     let decisions = world.scheduler.take_decisions();
     let waits = decisions.iter().filter_map(|decision| match decision {
@@ -99,9 +101,16 @@
     for _ in 0..100 {
         plan_round(&mut world);
         let running = world.running().len();
-        assert!(running >= 2, "{running} of 3 run: two had to leave at once");
+        assert!(
+            running >= 2,
+            "{running} of 3 run: two tasks were stopped at once"
+        );
     }
-    assert_eq!(world.running().len(), 3, "one has moved, one stays");
+    assert_eq!(
+        world.running().len(),
+        3,
+        "one task has moved, the other stays"
+    );
 }
 
 #[test]
@@ -113,7 +122,7 @@
     plan_round(&mut world);
     plan_round(&mut world);
     let _ = world.scheduler.take_decisions();
-    // A peak begins, of tasks that take longer than a stop.
+    // A load begins, of tasks that take longer than a stop.
     world.fate = Fate::done(3_000);
     for number in 10..20 {
         let short = StepSpec { estimate_ms: 3_000, ..step(2) };
@@ -128,7 +137,7 @@
         .iter()
         .filter(|(_, order)| order.task.job <= id(3))
         .count();
-    assert_eq!(moved, 1, "its place was taken");
+    assert_eq!(moved, 1, "the reserved capacity was used by another task");
 }
 
 #[test]
@@ -152,8 +161,12 @@
         _ => false,
     };
     assert!(orders.iter().any(of_spare), "{orders:?}");
-    assert_eq!(world.running().len(), 3, "no one waits for the VM");
-    // It comes.
+    assert_eq!(
+        world.running().len(),
+        3,
+        "no task is stopped before the VM arrives"
+    );
+    // The VM arrives.
     let mut orders = Vec::new();
     let mut come = listing("w3-again");
     come.vm = "vm-of-w3".to_owned();
@@ -192,19 +205,19 @@
         Decision::Displaced { place, .. } => place.clone(),
         _ => None,
     });
-    let place = place.expect("it is to move somewhere");
+    let place = place.expect("the task is to move");
     world.scheduler.worker_gone(&place, "test", at(world.now_ms));
     world.listings.retain(|listing| listing.id != place);
     for _ in 0..(STOP_MS / 50 + 4) {
         plan_round(&mut world);
     }
     assert_eq!(world.running().len(), 1);
-    let (to, _) = world.starts.last().expect("it was started again");
+    let (to, _) = world.starts.last().expect("the task was restarted");
     assert!(*to != place && *to != from);
 }
 
-/// Lets a peak of short tasks go on for 50 ms, each of a quarter of a worker
-/// and none ending together with others.
+/// Continues a load of short tasks for 50 ms. Each takes a quarter of a
+/// worker, and their ends are staggered.
 fn continue_peak(world: &mut World, next: &mut u64) {
     for _ in 0..2 {
         *next += 1;
@@ -225,7 +238,7 @@
     for _ in 0..40 {
         continue_peak(&mut world, &mut next);
     }
-    // Three quarters of a worker are never free at once.
+    // Three quarters of a worker are never free at the same time.
     let large = StepSpec { cpu_millis: 3_000, ..long_running() };
     world.scheduler.submit(id(1), job(vec![large]), 50, None);
     let submitted_ms = world.now_ms;
@@ -235,9 +248,9 @@
     while !is_large(&world) && world.now_ms < submitted_ms + 6_000 {
         continue_peak(&mut world, &mut next);
     }
-    // The longest of the short ones takes 0.75 s.
+    // The longest of the short tasks takes 0.75 s.
     let waited_ms = world.now_ms - submitted_ms;
-    assert!(waited_ms <= 1_500, "it waited for {waited_ms} ms");
+    assert!(waited_ms <= 1_500, "the task waited for {waited_ms} ms");
 }
 
 #[test]
@@ -251,7 +264,7 @@
     world.run_for(3_000);
     let from = world.starts[0].0.clone();
     let _ = world.scheduler.take_decisions();
-    // It says that it ends in 6 s.
+    // The worker announces that it will end in 6 s.
     if let Some(leaving) = world.listings.iter_mut().find(|l| l.id == from) {
         leaving.draining = true;
         leaving.remaining_ms = Some(6_000);
@@ -261,8 +274,8 @@
     for _ in 0..(STOP_MS / 50 + 4) {
         plan_round(&mut world);
     }
-    let (to, _) = world.starts.last().expect("it was started");
-    assert!(*to != from, "it was left to go down with its worker");
+    let (to, _) = world.starts.last().expect("the task was started");
+    assert!(*to != from, "the task stayed on the terminating worker");
     assert!(
         longest_wait_ms(&mut world).is_some_and(|ms| ms <= MAX_START_DELAY_MS)
     );
--- a/crates/dewspar/tests/schedule/task_moves_random.rs
+++ b/crates/dewspar/tests/schedule/task_moves_random.rs
@@ -1,9 +1,9 @@
-//! Random waves over workers on which tasks that last stand beside peaks of
-//! short ones, with cancelled jobs and lost workers between.
+//! Random maintenance waves over workers with long-running tasks and loads of
+//! short ones, with cancelled jobs and lost workers.
 //!
-//! What is reserved: a task for which a place was kept starts there as soon as
-//! its run has ended, unless that place was lost; and nothing stays kept that
-//! nobody needs any more.
+//! Two properties are checked: a task with a reservation starts there as soon
+//! as its run has ended, unless the reservation is lost; and no reservation
+//! outlives its need.
 
 use {
     crate::{
@@ -19,14 +19,14 @@
     std::collections::BTreeMap,
 };
 
-/// How many random runs are made.
+/// The number of random runs.
 const RUNS: u64 = 150;
 
-/// How long a task may wait once its end was heard, in milliseconds: two plans
-/// and a half.
+/// How long a task may wait after its end was reported, in milliseconds: two
+/// and a half scheduling passes.
 const MAX_START_DELAY_MS: u64 = 125;
 
-/// For how long each run goes on with its faults, in milliseconds.
+/// How long the faults go on in each run, in milliseconds.
 const RUN_MS: u64 = 12_000;
 
 struct Moves {
@@ -34,9 +34,9 @@
     random: StdRng,
     next_job: u64,
     long_running: Vec<JobId>,
-    /// The tasks that have a place kept, with the worker that keeps it.
+    /// The tasks with a reservation, and the worker on which it is.
     reserved: BTreeMap<TaskId, String>,
-    /// How many tasks moved as reserved.
+    /// How many tasks moved to their reserved worker.
     moved: u32,
 }
 
@@ -97,7 +97,7 @@
         self.submit(spec, Fate::done(work_ms));
     }
 
-    /// Lets one thing random_event, or nothing.
+    /// Triggers one random event, or none.
     fn random_event(&mut self) {
         match self.random.random_range(0..100) {
             0..30 => self.submit_short(),
@@ -124,7 +124,7 @@
         self.world.crash_vm(&vm);
     }
 
-    /// Notes what was reserved and checks what was started.
+    /// Records reservations and checks the starts.
     fn check(&mut self) {
         for decision in self.world.scheduler.take_decisions() {
             match decision {
@@ -142,7 +142,7 @@
                     );
                     assert_eq!(worker.to_string(), place, "{task}");
                 }
-                // Whose place was there has to look for another.
+                // A reservation on a lost worker has to be replaced.
                 Decision::WorkerGone { worker, .. } => {
                     let gone = worker.to_string();
                     self.reserved.retain(|_, place| *place != gone);
@@ -157,7 +157,7 @@
         self.check();
     }
 
-    /// Ends every job, and checks that every worker can be filled again.
+    /// Ends all jobs, and checks that every worker can be filled again.
     fn finish(mut self) -> u32 {
         for number in 101..=self.next_job {
             let now = at(self.world.now_ms);
@@ -173,12 +173,12 @@
         self.submit(step(4 * workers), Fate::endless());
         self.world.run_for(1_000);
         let running = self.world.running().len() as u32;
-        assert_eq!(running, 4 * workers, "some room is still kept");
+        assert_eq!(running, 4 * workers, "some capacity is still reserved");
         self.moved
     }
 }
 
-/// Makes a random run; returns how many tasks moved as reserved.
+/// Makes a random run. Returns how many tasks moved as reserved.
 fn run(seed: u64) -> u32 {
     let mut moves = Moves::new(seed);
     for _ in 0..3 {
@@ -200,10 +200,10 @@
     assert!(moved > RUNS as u32, "only {moved} moves were seen");
 }
 
-/// Workers were lost beside the move, and a task that may have crashed them
-/// waited for a worker that is kept free for it. That was one on which room was
-/// kept for a task that lasts. So this was stopped for a place which it couldn't
-/// have any more, and was without work for 1.65 s in this run.
+/// Workers are lost during the move, and a task that may have crashed them
+/// waits for a worker to be reserved for it alone. If a worker with reserved
+/// capacity is chosen, the moving task is stopped for a reservation that it
+/// can't use any more. It was down for 1.65 s in this run.
 #[test]
 fn a_worker_with_reserved_room_is_not_reserved_for_a_suspect() {
     run(269);
--- a/crates/dewspar/tests/schedule/worker_answers.rs
+++ b/crates/dewspar/tests/schedule/worker_answers.rs
@@ -1,5 +1,5 @@
-//! What was ordered of a worker isn't what is so: only its answers say what
-//! began.
+//! The state of runs follows from the answers of workers, not from the orders
+//! sent to them.
 
 use {
     crate::world::{ROOM, World, at, id, job, listing, step},
@@ -13,7 +13,7 @@
     dewspar_standin::task_worker::{Fate, TaskWorker},
 };
 
-/// A world whose first start reaches its worker, and no other order, later.
+/// A world whose first start isn't delivered yet; all other orders are.
 fn world_with_late_start(fate: Fate) -> (World, WorkerId, StartOrder) {
     let mut world = World::new(5, &["w1"]);
     world.list();
@@ -31,7 +31,7 @@
             other => world.carry_out(other, now),
         }
     }
-    let (worker, order) = start.expect("a start is owed");
+    let (worker, order) = start.expect("a start is ordered");
     (world, worker, order)
 }
 
@@ -55,7 +55,8 @@
     world.scheduler.start_answered(&worker, &task, order.run, lost, now);
     world.cut.push(worker.clone());
     world.run_for(3_000);
-    // Only now does the order arrive, just before the worker is in touch.
+    // Only now is the order delivered, shortly before the worker can be
+    // reached again.
     world.cut.clear();
     start_late(&mut world, &worker, &order);
     world.run_for(2_000);
@@ -63,7 +64,7 @@
     let stops = world.scheduler.take_decisions().into_iter();
     let stops =
         stops.filter(|d| matches!(d, Decision::Stopped { .. })).count();
-    assert_eq!(stops, 0, "it has run for 2 s");
+    assert_eq!(stops, 0, "the run began only 2 s ago");
 }
 
 #[test]
@@ -71,7 +72,7 @@
     let (mut world, worker, order) = world_with_late_start(Fate::endless());
     world.scheduler.cancel(id(1), at(world.now_ms));
     world.now_ms += 20;
-    // The order to stop it is lost, and the worker answers a hold before
+    // The order to stop the run is lost, and the worker answers a hold before
     // the start arrives.
     let now = at(world.now_ms);
     for action in world.scheduler.plan(now) {
@@ -105,10 +106,10 @@
     let starts = world.scheduler.take_decisions().into_iter();
     let starts =
         starts.filter(|d| matches!(d, Decision::Started { .. })).count();
-    assert_eq!(starts, 0, "nothing was sent");
+    assert_eq!(starts, 0, "no order was sent");
     let waiting = world.scheduler.pending(at(world.now_ms).unix_ms);
     assert_eq!(waiting.get(""), Some(&1));
-    // Once there is room it starts, under the first number.
+    // Once there is room the gang starts, under the first run number.
     world.listings.push(listing("w2"));
     let second = (WorkerId::new("w2"), TaskWorker::new(ROOM));
     world.workers.extend([second]);
@@ -119,7 +120,7 @@
     assert_eq!(runs, [1, 1]);
 }
 
-/// A worker with a best-effort task beside one that serves.
+/// A worker with a best-effort task beside a serving task.
 fn world_with_best_effort() -> World {
     let mut world = World::new(5, &["w1"]);
     world.list();
@@ -134,9 +135,9 @@
     world
 }
 
-/// Lets workers answer for so long while the task that serves takes so many
-/// milliseconds; returns the orders to pace, none of which has a result for
-/// the first `lost` of them.
+/// Lets workers answer for a while, with the serving task reporting the given
+/// latency in milliseconds. Returns the pace orders, of which the first `lost`
+/// have no result.
 fn pace_for(
     world: &mut World,
     for_ms: u64,
@@ -184,9 +185,9 @@
         paces.iter().map(|pace| pace.percent).collect()
     };
     let slowed = pace_for(&mut world, 4_000, 200, 3);
-    assert_eq!(percents(&slowed), [25, 0, 0, 0], "it still disturbs");
+    assert_eq!(percents(&slowed), [25, 0, 0, 0], "the task still interferes");
     let fences: Vec<u64> = slowed.iter().map(|pace| pace.fence).collect();
-    assert!(fences.is_sorted_by(|a, b| a < b), "a late one is void");
+    assert!(fences.is_sorted_by(|a, b| a < b), "a delayed order is void");
     let eased = pace_for(&mut world, 4_000, 10, 0);
     assert_eq!(percents(&eased), [25, 50, 75, 100]);
     let again = pace_for(&mut world, 400, 200, 0);
@@ -194,11 +195,11 @@
     let eased = pace_for(&mut world, 2_200, 10, 3);
     assert_eq!(percents(&eased), [50, 75, 100]);
     let last = pace_for(&mut world, 2_000, 10, 0);
-    assert_eq!(percents(&last), [100], "it may work in full again");
+    assert_eq!(percents(&last), [100], "the task may run at full pace again");
 }
 
-/// Has a worker refuse the first start of a task; returns when the task came
-/// to wait.
+/// Lets a worker refuse the first start of a task. Returns since when the task
+/// has waited.
 fn refuse_first_start(world: &mut World) -> u64 {
     world.list();
     world.expect_all();
@@ -208,7 +209,7 @@
     for action in world.scheduler.plan(at(since_ms)) {
         match action {
             Action::Start { worker, order, .. } => {
-                // The answer takes its time.
+                // The answer is delayed.
                 world.now_ms += 500;
                 let refused = Err(OrderError::Refused(Refusal::Unhealthy));
                 let (task, run, now) =
@@ -227,7 +228,7 @@
     let mut world = World::new(5, &["w1"]);
     let since_ms = refuse_first_start(&mut world);
     world.scheduler.take_decisions();
-    // The worker gets nothing for a second.
+    // The worker is suspended for a second.
     world.run_for(1_500);
     let waited = world.scheduler.take_decisions().into_iter();
     let waited = waited.filter_map(|decision| match decision {
@@ -266,7 +267,7 @@
     world.expect_all();
     world.run_for(100);
     world.scheduler.submit(id(1), job(vec![step(1)]), 6, None);
-    // Something is there that its lists don't show.
+    // Something uses the worker that its reports don't show.
     let mut starts = 0;
     for _ in 0..200 {
         world.now_ms += 50;
@@ -282,7 +283,7 @@
             world.scheduler.start_answered(&worker, &task, run, refused, now);
         }
     }
-    // At once after the first, then 1, 2, 4 s later.
+    // Immediately after the first refusal, then after 1, 2 and 4 s.
     assert_eq!(starts, 5);
 }
 
@@ -297,7 +298,7 @@
     while !world.scheduler.is_out_of_tokens() {
         rounds += 1;
         assert!(rounds < 100_000, "tokens never run out");
-        // Long enough for any pause.
+        // Longer than any suspension.
         world.now_ms += 10_000;
         world.list();
         let now = at(world.now_ms);
@@ -314,9 +315,9 @@
     assert!(rounds > 1_000);
 }
 
-/// A worker that refuses whatever it is sent costs a token each time. With one
-/// of many at fault the lease went from hand to hand, each time with all jobs to
-/// be loaded again.
+/// A worker that refuses every start uses up a token each time. A single
+/// faulty worker among many must not make the lease move from node to node,
+/// each time with all jobs to be loaded again.
 #[test]
 fn one_worker_of_many_with_exhausted_tokens_is_skipped() {
     let names: Vec<String> = (0..20).map(|n| format!("w{n}")).collect();
@@ -326,7 +327,7 @@
     world.list();
     world.expect_all();
     world.run_for(100);
-    // Only the first takes orders.
+    // Only the first worker accepts starts.
     for listing in &mut world.listings[1..] {
         listing.draining = true;
     }
@@ -334,7 +335,7 @@
     let mut starts = 0;
     for _ in 0..3_000 {
         assert!(!world.scheduler.is_out_of_tokens(), "after {starts} starts");
-        // Long enough for any pause.
+        // Longer than any suspension.
         world.now_ms += 10_000;
         world.list();
         let now = at(world.now_ms);
@@ -358,12 +359,13 @@
     assert_eq!(world.phases.get(&id(1)), Some(&"completed"));
 }
 
-/// How long an order to start waits for its answer, in milliseconds.
+/// How long a start waits for its answer, in milliseconds.
 const NO_ANSWER_MS: u64 = 200;
 
-/// A worker that answers questions and no order to start costs a token with each
-/// of these. One of ten used its up in 231 s, and the lease went to another node
-/// for it: again and again, since new tokens went the same way.
+/// A worker that answers holds but no starts uses up a token for each start.
+/// One worker of ten had used up its tokens after 231 s, and the lease moved
+/// to another node again and again, since new tokens were used up in the same
+/// way.
 #[test]
 fn a_tenth_of_the_workers_not_answering_starts_costs_no_lease() {
     let names: Vec<String> = (0..10).map(|n| format!("w{n}")).collect();
@@ -372,7 +374,7 @@
     world.list();
     world.expect_all();
     world.run_for(100);
-    // Only the first takes orders.
+    // Only the first worker accepts starts.
     for listing in &mut world.listings[1..] {
         listing.draining = true;
     }
@@ -402,13 +404,13 @@
         }
         assert!(!world.scheduler.is_out_of_tokens(), "{} ms", world.now_ms);
     }
-    // It still gets a chance now and then, and takes it.
+    // The worker still gets a start now and then, and accepts it.
     world.run_for(10_000);
     assert_eq!(world.phases.get(&id(1)), Some(&"completed"));
 }
 
-/// What a worker says of a later token counts until the lease was renewed in
-/// answer to a call that was sent after it; and says nothing more then.
+/// A worker's claim of a later token holds until the lease is renewed in
+/// response to a call sent after the claim. After that it has no effect.
 #[test]
 fn a_claim_of_a_later_token_holds_until_the_lease_is_renewed() {
     let mut world = World::new(5, &["w1", "w2"]);
@@ -431,7 +433,10 @@
     world.run_for(2_000);
     let starts = world.starts.len();
     world.scheduler.lease_renewed(heard_ms);
-    assert!(world.scheduler.may_be_superseded(), "sent before it was heard");
+    assert!(
+        world.scheduler.may_be_superseded(),
+        "the call was sent before the claim"
+    );
     world.run_for(500);
     assert_eq!(world.starts.len(), starts, "nothing is ordered");
     world.scheduler.lease_renewed(heard_ms + 1);
@@ -440,8 +445,8 @@
     assert_eq!(world.phases.get(&id(1)), Some(&"completed"));
 }
 
-/// Lets a worker refuse every start of one burst; returns how long it then
-/// gets none, in milliseconds.
+/// Lets a worker refuse every start of one burst. Returns the pause until its
+/// next start, in milliseconds.
 fn pause_after_burst_ms(starts: u32, refusal: Refusal) -> u64 {
     let mut world = World::new(5, &["w1"]);
     world.list();
--- a/crates/dewspar/tests/schedule/worker_capacity.rs
+++ b/crates/dewspar/tests/schedule/worker_capacity.rs
@@ -1,8 +1,9 @@
-//! A worker's room may shrink and grow while it runs. Some workers guard it
-//! and refuse what doesn't fit; others start whatever they are told, and only
-//! the scheduler can keep them within their room. It started tasks there by
-//! what such a worker had said of itself long before, and beside runs of which
-//! it didn't know what they take.
+//! Changes of a worker's capacity at run time.
+//!
+//! Some workers enforce their capacity and refuse what doesn't fit. Others
+//! start whatever they are ordered to, so that only the scheduler can keep
+//! them within their capacity. It must not start tasks on such a worker by an
+//! outdated report, nor beside runs whose resource usage is unknown.
 
 use {
     crate::world::{POOL, ROOM, World, at, id, job, step},
@@ -39,9 +40,13 @@
     shrink_to(&mut world, HALF);
     world.scheduler.submit(id(2), job(vec![step(4)]), 7, None);
     world.run_for(1_000);
-    assert_eq!(world.starts.len(), 4, "it has more than its room already");
+    assert_eq!(
+        world.starts.len(),
+        4,
+        "the worker is over its capacity already"
+    );
     world.run_for(1_500);
-    assert_eq!(world.starts.len(), 6, "what ran has ended");
+    assert_eq!(world.starts.len(), 6, "the first runs have ended");
     shrink_to(&mut world, ROOM);
     world.run_for(100);
     assert_eq!(world.starts.len(), 8);
@@ -67,7 +72,7 @@
         if !guarded {
             world.scheduler.enforce_capacity([POOL.to_owned()].into());
         }
-        // The directory can't be read any more.
+        // The directory can no longer be read.
         world.run_for(4_000);
         world.scheduler.submit(id(1), job(vec![step(1)]), 6, None);
         world.run_for(500);
@@ -83,7 +88,7 @@
     for guarded in [true, false] {
         let mut world = World::new(5, &["w1"]);
         world.list();
-        // A former holder's job, which is over: nothing of it is known.
+        // A finished job of a former lease holder, of which nothing is known.
         let order = StartOrder {
             task: TaskId { job: id(9), round: 0, step: 0, index: 0 },
             run: 1,
@@ -108,7 +113,7 @@
         for action in actions {
             world.carry_out(action, now);
         }
-        // It is to be stopped; its end isn't listed yet.
+        // The run is to be stopped, and its end isn't reported yet.
         let _ = world.scheduler.plan(now);
         let started = world.scheduler.window().under_way() > 0;
         assert_eq!(started, guarded);
