--- a/crates/dewspard/tests/jobs_records.rs
+++ b/crates/dewspard/tests/jobs_records.rs
@@ -1,20 +1,21 @@
-//! What the holder makes of records of jobs that aren't as it expects.
+//! Job records that differ from what the holder expects.
 //!
-//! One refused write once ended holder after holder. A new holder schedules
-//! while it still reads what former ones stored. It had written a job's record
-//! by the time a reading of it from before that write was taken in, believed
-//! the older version, and its next write was refused: `holder: write refused`
-//! with the lease at its own revision, 9094, and one record `"expected":8663,
-//! "found":9362,"source":"loaded"`. Any refusal counted as the loss of the
-//! lease, so the holder left, and the next one met the same: eight of them in
-//! 12 s, while 4,212 open jobs waited.
+//! Two failures are guarded against:
 //!
-//! A job whose record can't be read isn't gone on with, and the holder has
-//! nothing to store for it. An end of one of its runs was therefore
-//! acknowledged at once, and nobody knew of it any more: a later holder that
-//! could read the record started the task again, though it was done.
+//! - A new holder schedules while it still loads the state of former ones. If
+//!   it writes a job's record, and then processes a read of that record from
+//!   before the write, it may take the older version for the current one. Its
+//!   next write conflicts (`holder: write refused` with the lease at its own
+//!   revision and a record with
+//!   `"expected":8663,"found":9362,"source":"loaded"`). When every conflict
+//!   counted as the loss of the lease, the holder stepped down, and its
+//!   successors ran into the same conflict: eight holders in 12 s, while 4,212
+//!   open jobs waited.
+//! - A job whose record is unreadable isn't scheduled, and nothing is written
+//!   for it. If ends of its runs are acknowledged at once, they are lost: a
+//!   later holder that can read the record starts the finished tasks again.
 //!
-//! The clock is paused: nothing here depends on the machine.
+//! The clock is paused, so the tests don't depend on the machine's speed.
 
 use {
     dewspar::{
@@ -37,15 +38,15 @@
     },
 };
 
-/// How long anything may take before a test gives up on it.
+/// The timeout of every wait.
 const LIMIT: Duration = Duration::from_secs(60);
 
 const POOL: &str = "registry";
 
-/// How long each task takes, in milliseconds.
+/// The duration of each task, in milliseconds.
 const WORK_MS: u64 = 60;
 
-/// A node over a store and a fleet, and no callers.
+/// A node with a store and a fleet, and without callers.
 struct Fixture {
     store: Store,
     store_faults: Faults,
@@ -61,11 +62,11 @@
 }
 
 impl Fixture {
-    /// Starts a node on a store that holds this much, where the answers of
-    /// lists are under way for so long, and waits until it holds the lease.
+    /// Starts a node on a store with this content, whose answers to lists take
+    /// this long, and waits until the node holds the lease.
     async fn start(stored: &Batch, list_delay_us: u64) -> Fixture {
-        // All tests share one start of the clock: it must not be that of a
-        // test whose paused clock has run ahead.
+        // All tests share the start of the clock: it must not be set by a test
+        // whose paused clock has already advanced.
         clock::now_ms();
         let store_faults = Faults::new(1);
         store_faults.set_list_delay_us(list_delay_us);
@@ -112,14 +113,14 @@
         wait_until(async || self.lease_revision().await > 0).await;
     }
 
-    /// Stops the node, and waits until nobody holds the lease.
+    /// Stops the node, and waits until the lease is free.
     async fn stop_node(&mut self) {
         let node = self.node.take().expect("a node");
         node.stop().await;
         wait_until(async || self.lease_revision().await == 0).await;
     }
 
-    /// Returns the revision of the lease's key; 0 while nobody holds it.
+    /// Returns the revision of the lease's key; 0 while the lease is free.
     async fn lease_revision(&self) -> u64 {
         self.store.version("q/owner").await.expect("a store")
     }
@@ -142,7 +143,7 @@
         wait_until(async || self.phase(id).await == Some(phase)).await;
     }
 
-    /// Writes a job's record again as it is, as no holder would.
+    /// Rewrites a job's record unchanged, which no holder does.
     async fn rewrite_record(&self, id: JobId) {
         let key = record_key(id);
         let found = self.store.get(&key).await.expect("a store");
@@ -157,7 +158,7 @@
         self.store.version(&key).await.expect("a store") > 0
     }
 
-    /// Returns how often a step of a job was started.
+    /// Returns the number of starts of a step of a job.
     fn starts(&self, id: JobId, step: u32) -> usize {
         let started = self.fleet.started();
         let of_step = |task: &TaskId| task.job == id && task.step == step;
@@ -165,7 +166,7 @@
     }
 }
 
-/// Waits until something holds.
+/// Waits until a condition holds.
 async fn wait_until<F: Future<Output = bool>>(mut holds: impl FnMut() -> F) {
     let waiting = async {
         while !holds().await {
@@ -192,13 +193,13 @@
     format!("run/{id}")
 }
 
-/// The write that accepts a job.
+/// Returns the write that accepts a job.
 fn accepted(id: JobId, job: &AcceptedJob) -> Batch {
     let job = serde_json::to_vec(job).expect("plain JSON");
     Batch::default().put(&format!("q/in/{id}"), job)
 }
 
-/// A job of so many steps of one task each, one after the other.
+/// Returns a job with this many consecutive steps of one task each.
 fn chain(steps: u32) -> AcceptedJob {
     let step = |number: u32| StepSpec {
         count: 1,
@@ -218,12 +219,12 @@
     AcceptedJob { spec, terms: terms(), accepted_at_ms: clock::unix_ms() }
 }
 
-/// How long the answers of lists are under way, in microseconds: the first two
-/// readings take 800 ms; the third is of what was there then, and is taken in
-/// 400 ms later.
+/// The delay of answers to lists, in microseconds: the first two reads take
+/// 800 ms; the third one shows the state at that time, and its answer is
+/// processed 400 ms later.
 const SLOW_LIST_DELAY_US: u64 = 400_000;
 
-/// More steps than end before that: a record is written with each end.
+/// More steps than end before that: the record is written with each end.
 const STEPS: u32 = 30;
 
 #[tokio::test(start_paused = true)]
@@ -244,7 +245,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_job_loaded_twice_keeps_the_newer_known_version() {
-    // Its identifier begins with the digit that is read alone at first.
+    // Its identifier begins with the digit of the slice that is read first.
     let progress = br#"{"phase":"running","done":["0.0:0-0"]}"#;
     let stored = accepted(id(1), &chain(STEPS))
         .put(&record_key(id(1)), progress.to_vec());
@@ -285,13 +286,14 @@
     );
 }
 
-/// How often a record is rewritten by someone else, and how many times: for
-/// ten seconds, between any two writes of the holder.
+/// The interval and the number of foreign writes of a record: for ten seconds,
+/// so frequent that one falls between any two writes of the holder.
 const REWRITE_INTERVAL: Duration = Duration::from_millis(5);
 const REWRITES: u64 = 2_000;
 
-/// More than the lease, the counts of waiting jobs and the other job take of
-/// writes in that time, and a tenth of what one every 20 ms would come to.
+/// The maximum number of writes in that time: more than the lease, the counts
+/// of waiting jobs and the other job need, and a fifth of what one write every
+/// 20 ms would amount to.
 const MAX_WRITES: u64 = 100;
 
 #[tokio::test(start_paused = true)]
@@ -326,7 +328,7 @@
 async fn tasks_done_in_an_unexpected_record_are_not_run_again() {
     let fixture = Fixture::start(&Batch::default(), 0).await;
     let lease = fixture.lease_revision().await;
-    // As if a former holder had stored it and this one had overlooked it.
+    // As if a former holder had stored it and this one had missed it.
     let progress = br#"{"phase":"running","done":["0.0:0-0","0.1:0-0"]}"#;
     let job =
         accepted(id(1), &chain(4)).put(&record_key(id(1)), progress.to_vec());
@@ -338,7 +340,7 @@
         "the lease has changed hands"
     );
     let starts = [0, 1, 2, 3].map(|step| fixture.starts(id(1), step));
-    // The first was started before the first write of the record.
+    // The first step was started before the first write of the record.
     assert_eq!(starts, [1, 0, 1, 1]);
 }
 
@@ -351,7 +353,7 @@
     fixture.wait_for_phase(id(1), Phase::Running).await;
     let over = br#"{"phase":"completed","finished_at_ms":5}"#.to_vec();
     fixture.commit(&Batch::default().put(&record_key(id(1)), over)).await;
-    // The holder looks at the record when it next writes it.
+    // The holder sees the record when it next writes it.
     let stop = format!("q/stop/{}", id(1));
     fixture.commit(&Batch::default().put(&stop, Vec::new())).await;
     wait_until(async || !fixture.is_open(id(1)).await).await;
@@ -379,22 +381,22 @@
         lease,
         "the lease has changed hands"
     );
-    // All of it may have been done: it isn't gone on with.
+    // All of its tasks may be done, so it isn't continued.
     assert_eq!(fixture.starts(id(1), 1), 0);
     let left = fixture.store.get(&record_key(id(1))).await.expect("a store");
     assert_eq!(left.map(|item| item.value), Some(b"odd".to_vec()));
 }
 
-/// How long a holder has to hear of all that has ended and to say that it
-/// needn't be told again.
+/// Enough time for a holder to receive all reported ends and to acknowledge
+/// them.
 const ACKNOWLEDGE_TIME: Duration = Duration::from_secs(5);
 
-/// A job's record as a later holder can read it.
+/// A job's record that a holder can read.
 const READABLE: &[u8] = br#"{"phase":"running"}"#;
 
 impl Fixture {
-    /// Has another holder take over that can read the job's record, and checks
-    /// that the job is completed and its tasks were started once each.
+    /// Restores a readable record, lets another holder take over, and checks
+    /// that the job is completed with one start of each task.
     async fn complete_with_readable_record(&mut self, id: JobId, steps: u32) {
         self.stop_node().await;
         self.commit(&Batch::default().put(&record_key(id), READABLE.to_vec()))
@@ -429,7 +431,10 @@
         .commit(&Batch::default().put(&record_key(id(1)), b"odd".to_vec()))
         .await;
     sleep(Duration::from_secs(2)).await;
-    assert!(fixture.fleet.running().is_empty(), "it has ended, unheard");
+    assert!(
+        fixture.fleet.running().is_empty(),
+        "it ended while no holder was there"
+    );
     fixture.start_node().await;
     sleep(ACKNOWLEDGE_TIME).await;
     fixture.complete_with_readable_record(id(1), 2).await;
@@ -447,7 +452,7 @@
     sleep(ACKNOWLEDGE_TIME).await;
     fixture.store_faults.set_delay_us(0);
     assert_eq!(fixture.starts(id(1), 0), 1);
-    // With whatever is stored, ends are acknowledged.
+    // Ends are acknowledged together with any other stored changes.
     fixture.submit(id(2), &chain(2)).await;
     sleep(ACKNOWLEDGE_TIME).await;
     fixture.complete_with_readable_record(id(1), 2).await;
@@ -477,12 +482,12 @@
     fixture.wait_until_no_deferred_ends().await;
 }
 
-/// How many tasks run of a job when its record goes bad.
+/// The number of a job's running tasks when its record becomes unreadable.
 const RUNNING_TASKS: u32 = 12;
 
-/// Nobody but a holder that reads the job deletes what was set aside of it. That
-/// is as much as ran when its record went bad, since nothing of it starts any more:
-/// no holder adds to it.
+/// Deferred ends are deleted only by a holder that can read the job. Their
+/// number stays at that of the tasks that ran when the record became
+/// unreadable, because no further tasks are started.
 #[tokio::test(start_paused = true)]
 async fn deferred_ends_do_not_grow_with_takeovers() {
     let mut fixture = Fixture::start(&Batch::default(), 0).await;
@@ -502,7 +507,7 @@
         .await;
     for holder in 0..6 {
         fixture.start_node().await;
-        // Others go on, and are forgotten as ever.
+        // Other jobs continue and are deleted as usual.
         fixture.submit(id(2 + holder), &chain(2)).await;
         fixture.wait_for_phase(id(2 + holder), Phase::Completed).await;
         sleep(ACKNOWLEDGE_TIME).await;
@@ -519,10 +524,10 @@
     fixture.wait_until_no_deferred_ends().await;
 }
 
-/// Holders that can read a job's record and holders that can't follow each other,
-/// as while a version of the program is replaced and taken back. What one set aside
-/// and the next took in stayed in the store until the job was over, and a job whose
-/// task lasts had one more end there each time.
+/// Holders that can and can't read a job's record alternate, as during an
+/// upgrade and its rollback. If ends that a holder has applied stay in the
+/// store until the job is finished, a job with a long-running task accumulates
+/// one more each time.
 #[tokio::test(start_paused = true)]
 async fn applied_deferred_ends_of_a_running_job_are_deleted() {
     let mut fixture = Fixture::start(&Batch::default(), 0).await;
@@ -558,7 +563,8 @@
     }
 }
 
-/// Where its record is gone as well, nobody will ever read the job.
+/// If the job's entry and its record are both deleted, no holder will ever
+/// read the job.
 #[tokio::test(start_paused = true)]
 async fn deferred_ends_of_a_deleted_job_are_deleted() {
     let mut fixture = Fixture::start(&Batch::default(), 0).await;
@@ -585,15 +591,16 @@
     fixture.submit(id(1), &chain(3)).await;
     fixture.wait_for_phase(id(1), Phase::Running).await;
     let owner = br#"{"node":"other","incarnation":1}"#.to_vec();
-    // At once, so that only the refused write can tell of the new holder.
+    // Watches stop reporting first, so that only the conflicting write shows
+    // the new holder.
     fixture.store_faults.set_silent(true);
     fixture.commit(&Batch::default().put("q/owner", owner)).await;
     sleep(Duration::from_secs(5)).await;
     assert_eq!(fixture.phase(id(1)).await, Some(Phase::Running));
 }
 
-/// How many jobs end at once: four more than the eight writes carry that may be
-/// under way.
+/// The number of jobs that end at once: four more than fit into the eight
+/// writes that may be in flight.
 const ENDING_JOBS: u64 = 60;
 
 #[tokio::test(start_paused = true)]
@@ -608,7 +615,7 @@
     }
     fixture.commit(&jobs).await;
     sleep(Duration::from_secs(1)).await;
-    // One of the four whose end waits to be written.
+    // This is one of the four jobs whose end isn't being written yet.
     let changed = br#"{"phase":"queued"}"#.to_vec();
     fixture
         .commit(
@@ -616,7 +623,7 @@
         )
         .await;
     fixture.commit(&stops).await;
-    // So that the holder leaves while the others are being written.
+    // Slow, so that the holder stops while the other writes are in flight.
     fixture.store_faults.set_delay_us(300_000);
     sleep(Duration::from_millis(50)).await;
     let node = fixture.node.take().expect("a node");
@@ -626,7 +633,7 @@
         let phase = fixture.phase(id(job)).await;
         assert_eq!(phase, Some(Phase::Cancelled), "{job}");
     }
-    // Left to the next holder.
+    // Its conflict is left to the next holder.
     assert_eq!(fixture.phase(id(ENDING_JOBS - 1)).await, Some(Phase::Queued));
 }
 
@@ -640,7 +647,7 @@
     for job in jobs.clone() {
         batch.puts.extend(accepted(id(job), &chain(5)).puts);
     }
-    // Done in any case, whether or not that is answered.
+    // Takes effect even if its answer is lost.
     let _ = fixture.store.commit(&batch).await;
     let all_over = async || {
         let (_, records) = match fixture.store.list("run/").await {
@@ -667,11 +674,11 @@
     }
 }
 
-/// Has the first write of a record be done after all of a wave is, and returns
-/// what the record was before and after that.
+/// Delays the first write of a record until a wave is completed, and returns
+/// the record's value before and after that write takes effect.
 async fn record_around_delayed_write(key: &str) -> [Option<Vec<u8>>; 2] {
     let fixture = Fixture::start(&Batch::default(), 0).await;
-    // All is loaded by then.
+    // Loading is finished by then.
     sleep(Duration::from_secs(3)).await;
     fixture.store.delay_next_write(key, Duration::from_secs(90));
     fixture.fleet.request_wave(WaveRequest {
@@ -681,7 +688,7 @@
         max_down: 2,
     });
     wait_until(async || fixture.fleet.maintained().len() == 4).await;
-    // What follows from the last of them is written.
+    // Writes that follow from the last of them are finished.
     sleep(Duration::from_secs(5)).await;
     let read = async || {
         let found = fixture.store.get(key).await.expect("a store");
@@ -710,8 +717,8 @@
     assert_eq!(before, after, "an older record replaced a newer one");
 }
 
-/// How many jobs have been over for long: at 15 each 5 s their records would
-/// take two minutes and more.
+/// The number of expired jobs: with 15 deleted every 5 s, their records would
+/// take more than two minutes.
 const EXPIRED_JOBS: u64 = 400;
 
 #[tokio::test(start_paused = true)]
@@ -727,19 +734,19 @@
     assert_eq!(fixture.store.count("run/"), 0);
 }
 
-/// How long the answer of each list is under way for a holder that takes over.
+/// The delay of answers to lists for a holder that takes over.
 const SLOW_LIST_DELAY: Duration = Duration::from_millis(600);
 
-/// A job that fails while another of its tasks runs, under a holder whose orders
-/// to stop that come to nothing. The next holder left the run alone, and renewed
-/// its lease, until it had loaded all jobs.
+/// A job fails while another of its tasks runs, and the holder's orders to
+/// stop that task are lost. The next holder must not let the run continue, and
+/// renew its lease, until all jobs are loaded.
 #[tokio::test(start_paused = true)]
 async fn runs_of_a_failed_job_are_stopped_before_all_jobs_are_loaded() {
     let mut fixture = Fixture::start(&Batch::default(), 0).await;
     fixture.fleet.set_work_ms(600_000);
     fixture.fleet.set_stops_lost(true);
     fixture.fleet.fail_step(1);
-    // It is loaded last.
+    // Its slice is loaded last.
     let last = id(0xf << 60);
     let mut both = chain(2);
     both.spec.steps[1].after.clear();
@@ -751,22 +758,23 @@
     fixture.store_faults.set_list_delay_us(SLOW_LIST_DELAY.as_micros() as u64);
     fixture.start_node().await;
     assert_eq!(fixture.fleet.running().len(), 1);
-    // The first lists have come, and those of the last jobs haven't.
+    // The first lists are answered, but not yet those of the last jobs.
     sleep(SLOW_LIST_DELAY * 5 / 2).await;
-    assert!(fixture.fleet.running().is_empty(), "it goes on");
+    assert!(fixture.fleet.running().is_empty(), "the run still continues");
     assert_eq!(fixture.phase(last).await, Some(Phase::Failed));
-    // What told the next holder isn't kept for good.
+    // The key by which the next holder knew of it is deleted eventually.
     fixture.store_faults.set_list_delay_us(0);
     sleep(Duration::from_secs(30)).await;
     assert_eq!(fixture.store.count("q/stop/"), 0);
 }
 
-// A VM that was ordered long ago counted as ordered of late for each new holder, which
-// counted no crash there in its first seconds: 6 crashes of one task, 5 allowed.
+/// If old orders stay in the record, each new holder regards their VMs as
+/// recently ordered, and doesn't count crashes there in its first seconds. A
+/// task then crashed 6 workers, with 5 allowed.
 #[tokio::test(start_paused = true)]
 async fn old_vm_orders_are_removed_from_the_record() {
     let fixture = Fixture::start(&Batch::default(), 0).await;
-    // All is loaded by then.
+    // Loading is finished by then.
     sleep(Duration::from_secs(3)).await;
     fixture.fleet.request_wave(WaveRequest {
         wave: 1,
--- a/crates/dewspard/tests/late_orders.rs
+++ b/crates/dewspard/tests/late_orders.rs
@@ -1,13 +1,16 @@
-//! A VM is suspended just when it has planned: its orders are made and not yet
-//! sent. Whether the lease was renewed since the last suspension had been looked
-//! at before, so they went out after waking, by a lease that another node may
-//! hold by then. Workers and the VM service refuse them by their token, but only
-//! where they have heard of the other node. An order that was made before a
-//! suspension isn't sent after it, and whoever made it is told so.
+//! Orders that were planned before a suspension of the VM must not be sent
+//! after it.
 //!
-//! Here the line that says what was decided is when the VM sleeps: it is written
-//! between the decision and the order. In a file of its own: the suspension holds
-//! for the whole process.
+//! If the VM is suspended between planning and sending, the check that the
+//! lease was renewed since the last suspension has already passed. Without
+//! another check the orders are sent after the VM resumes, under a lease that
+//! another node may hold by then. Workers and the VM service refuse such
+//! orders by their token only if they have already seen that node's token. The
+//! order must not be sent, and its result must report that.
+//!
+//! The tests suspend the VM at a log line that is written between planning and
+//! sending. They have a file of their own because the simulated suspension
+//! affects the whole process.
 
 use {
     dewspar::{
@@ -29,21 +32,23 @@
     tokio::time::{sleep, timeout},
 };
 
-/// How long anything may take before the test gives up on it.
+/// The timeout of every wait.
 const LIMIT: Duration = Duration::from_secs(60);
 
-/// How long the suspension is: less than the lease, which no other node takes.
+/// The length of the suspension: shorter than the lease, which no other node
+/// takes.
 const SUSPENDED_MS: u64 = 1_000;
 
-/// How long an order that goes out takes to be carried out, many times over.
+/// Many times longer than an order that is sent takes to be carried out.
 const DELIVERY_TIME: Duration = Duration::from_millis(500);
 
 const POOL: &str = "registry";
 
-/// Held by the test that is under way: both suspend the same process.
+/// Serializes the tests, because both suspend the same process.
 static SERIAL: tokio::sync::Mutex<()> = tokio::sync::Mutex::const_new(());
 
-/// A line that the VM falls asleep at, once, and with it the store's outage.
+/// A log drain that suspends the VM once, at a given line, and begins an
+/// outage of the store at the same time.
 #[derive(Clone)]
 struct SuspendAtLine {
     line: Arc<Mutex<Option<&'static str>>>,
@@ -111,7 +116,7 @@
     store.commit(&batch).await.expect("a store");
 }
 
-/// A node that schedules, and what it reaches.
+/// A node that schedules, with its store and fleet.
 struct Fixture {
     _node: JobNode,
     store: Store,
@@ -153,8 +158,8 @@
         Fixture { _node, store, store_faults, fleet, suspension }
     }
 
-    /// Waits until the VM has slept, and until orders that went out after it
-    /// are carried out.
+    /// Waits until the node has noticed the suspension, and until any orders
+    /// sent after it would be carried out.
     async fn wait_for_resume(&self) {
         wait_until(async || {
             self.suspension.has_logged("holder: was suspended")
@@ -176,14 +181,14 @@
     fixture.suspension.suspend_at("task: start ordered");
     submit(&fixture.store, id).await;
     fixture.wait_for_resume().await;
-    assert_eq!(starts(), 0, "by an order of before");
+    assert_eq!(starts(), 0, "started by an order from before the suspension");
 
-    // Once the store has renewed the lease the task starts.
+    // The task starts once the lease is renewed.
     fixture.store_faults.set_outage(false);
     wait_until(async || starts() == 1).await;
     assert!(
         fixture.suspension.has_logged("worker: order gave no result"),
-        "it is told"
+        "no result was reported"
     );
 }
 
@@ -192,7 +197,7 @@
     let _serial = SERIAL.lock().await;
     let fixture = Fixture::start().await;
     let vms = vec!["vm-0".to_owned(), "vm-1".to_owned()];
-    // Both are ordered at once, and the VM sleeps when one of them is.
+    // Both are ordered in one plan, and the VM is suspended at the first one.
     fixture.suspension.suspend_at("vm: ordered");
     fixture.fleet.request_wave(WaveRequest {
         wave: 7,
@@ -202,12 +207,12 @@
     });
     fixture.wait_for_resume().await;
     let ordered = fixture.fleet.maintained().len();
-    assert_eq!(ordered, 1, "the other by an order of before");
+    assert_eq!(ordered, 1, "the other was planned before the suspension");
 
     fixture.store_faults.set_outage(false);
     wait_until(async || fixture.fleet.maintained().len() == 2).await;
     assert!(
         fixture.suspension.has_logged("vm: order gave no result"),
-        "it is told"
+        "no result was reported"
     );
 }
--- a/crates/dewspard/tests/later_tokens.rs
+++ b/crates/dewspard/tests/later_tokens.rs
@@ -1,11 +1,12 @@
-//! A holder that hears of a later token while it can't reach the store.
+//! A worker reports a later fencing token while the holder can't reach the
+//! store.
 //!
-//! One worker may be wrong, and then the store says so. A holder that can't ask
-//! it doesn't leave at once, since most such workers are wrong and the lease may
-//! be renewed a moment later; it orders nothing until then, and leaves as soon as
-//! its lease may be over.
+//! A single worker may be wrong, which the store would show. Without the
+//! store, the holder doesn't step down at once, because most such workers are
+//! wrong and the lease may be renewed shortly. It sends no orders until then,
+//! and steps down as soon as its lease may have expired.
 //!
-//! The clock is paused: nothing here depends on the machine.
+//! The clock is paused, so the tests don't depend on the machine's speed.
 
 use {
     dewspar::{
@@ -30,23 +31,23 @@
     tokio::time::{Instant, sleep, timeout},
 };
 
-/// How long anything may take before a test gives up on it.
+/// The timeout of every wait.
 const LIMIT: Duration = Duration::from_secs(60);
 
 const POOL: &str = "registry";
 
 const WORKERS: usize = 4;
 
-/// What one worker has of its processor, in thousandths of a core.
+/// The CPU capacity of a worker, in thousandths of a core.
 const WORKER_CPU_MILLIS: u64 = 4_000;
 
-/// How long the lease lasts without renewal.
+/// The duration of the lease without renewal.
 const LEASE_TTL: Duration = Duration::from_millis(1_500);
 
-/// How often a holder plans and looks at its lease, at least.
+/// The maximum interval at which a holder plans and checks its lease.
 const PLAN_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Keeps what was logged of elections, each line with its reason.
+/// Collects the logged reasons for which the node stopped scheduling.
 #[derive(Clone, Default)]
 struct StepDownReasons(Arc<Mutex<Vec<String>>>);
 
@@ -82,7 +83,7 @@
     }
 }
 
-/// A node over a store and a fleet, and no callers.
+/// A node with a store and a fleet, and without callers.
 struct Fixture {
     store: Store,
     faults: Faults,
@@ -131,8 +132,8 @@
         fixture
     }
 
-    /// Hands in a job for each worker, of two tasks one after the other that
-    /// take all of its room; returns once the first ones run.
+    /// Submits a job for each worker, with two consecutive tasks that each
+    /// take the worker's whole CPU; returns once the first tasks run.
     async fn start_jobs(&self) {
         let first = StepSpec {
             count: 1,
@@ -166,7 +167,7 @@
         progress.is_some_and(|p| p.phase == Phase::Completed)
     }
 
-    /// Gives one worker a token that is no holder's.
+    /// Sends one worker a token that belongs to no holder.
     async fn send_later_token(&self) {
         let claim = HoldOrder {
             fence: 1 << 50,
@@ -179,8 +180,9 @@
         held.expect("an answer");
     }
 
-    /// Waits until all jobs are done; what the worker did that can't be asked
-    /// any more is done again, and nothing else.
+    /// Waits until all jobs are completed, and checks that at most one task
+    /// ran twice: that of the worker with the later token, which no longer
+    /// answers the holder.
     async fn wait_for_jobs(&self) {
         for number in 0..WORKERS {
             wait_until(async || self.is_completed(number).await).await;
@@ -203,7 +205,7 @@
     format!("{number:016x}").parse().expect("an identifier")
 }
 
-/// Waits until something holds.
+/// Waits until a condition holds.
 async fn wait_until<F: Future<Output = bool>>(mut holds: impl FnMut() -> F) {
     let waiting = async {
         while !holds().await {
--- a/crates/dewspard/tests/newer_records.rs
+++ b/crates/dewspard/tests/newer_records.rs
@@ -1,11 +1,13 @@
-//! During an upgrade, and after one was taken back, nodes read records that a
-//! newer version of the program wrote, or that somebody else put under our
-//! keys. A field that isn't known must change nothing; a record that can't be
-//! read costs what it is about and nothing else. Each was told of in a line of
-//! its own at each reading: 300 jobs, their progress and the states of 300 waves
-//! made 1,500 lines when a node began to schedule ("holder: job can't be read",
-//! "wave: stored state can't be read"). And a node stopped with "attempt to
-//! multiply with overflow" when a holder said that it was as strong as can be.
+//! Records written by a newer version of the program, or by something else.
+//!
+//! During an upgrade, and after a rollback, nodes read records of a newer
+//! version. Unknown fields must have no effect, and an unreadable record must
+//! affect only the item that it describes. Two failures are guarded against:
+//!
+//! - Each unreadable record was logged on each read: 300 jobs, their progress
+//!   and the states of 300 waves made 1,500 log lines at a takeover.
+//! - A node panicked with "attempt to multiply with overflow" when the
+//!   holder's record had the maximum strength.
 
 use {
     dewspar::{
@@ -25,12 +27,12 @@
     tokio::time::{Instant, sleep, timeout},
 };
 
-/// How long anything may take before a test gives up on it.
+/// The timeout of every wait.
 const LIMIT: Duration = Duration::from_secs(60);
 
 const POOL: &str = "registry";
 
-/// Keeps the messages of all lines.
+/// Collects the messages of all log lines.
 #[derive(Clone, Default)]
 struct LogLines(Arc<Mutex<Vec<String>>>);
 
@@ -46,7 +48,7 @@
 }
 
 impl LogLines {
-    /// Returns how many lines tell of what can't be read.
+    /// Returns the number of lines about unreadable records.
     fn count_unreadable(&self) -> usize {
         let lines = self.0.lock().expect("lines");
         let is_about_unreadable = |line: &&String| {
@@ -120,7 +122,7 @@
         progress.map_or(Phase::Queued, |progress| progress.phase)
     }
 
-    /// Waits until a job is completed; returns whether it ever is.
+    /// Waits until a job is completed; returns `false` on a timeout.
     async fn completes(&self, id: JobId) -> bool {
         let waiting = async {
             while self.phase(id).await != Phase::Completed {
@@ -159,7 +161,7 @@
     serde_json::to_value(job).expect("plain JSON")
 }
 
-/// Adds a field that nobody knows to each object of a document.
+/// Adds an unknown field to each object of a document.
 fn with_unknown_fields(value: Value) -> Value {
     match value {
         Value::Object(fields) => {
@@ -181,7 +183,8 @@
 async fn records_with_fields_more_are_read() {
     let fixture = Fixture::new();
     let newer = |value: Value| with_unknown_fields(value).to_string();
-    // Its fields but one are names of VMs.
+    // Unknown fields are added by hand here: all fields but one are names of
+    // VMs.
     let by = json!({ "node": "node-9", "incarnation": 1, "newer": 1 });
     let orders = json!([{ "by": by, "ages_ms": { "vm-0": 5 }, "newer": 1 }]);
     fixture.put("vm-orders", orders.to_string().as_bytes()).await;
@@ -205,15 +208,16 @@
     assert!(!fixture.has_started(id(2)), "it was completed before");
 }
 
-/// An older version goes on with a wave, and hands in a claim of its own: what
-/// it doesn't know of these records must be there when a newer one reads them.
+/// An older version continues a wave, and tries to claim the lease itself.
+/// Unknown fields of these records must be kept for a newer version.
 #[tokio::test]
 async fn what_is_not_known_of_a_wave_and_a_claim_stays_on_record() {
     let fixture = Fixture::new();
     let wave = json!({ "since_unix_ms": 5, "done": ["vm-0"], "newer": [1] });
     fixture.put("wave/7", wave.to_string().as_bytes()).await;
     let vms = vec!["vm-0".to_owned(), "vm-1".to_owned()];
-    // It began long ago by the record, and isn't to end.
+    // By its record the wave began long ago, and it must not end during the
+    // test.
     let duration_ms = u64::MAX / 2;
     fixture.fleet.request_wave(WaveRequest {
         wave: 7,
@@ -223,7 +227,7 @@
     });
     let claim = json!({ "node": "node-9", "strength": 1, "newer": [1] });
     fixture.put("q/claim", claim.to_string().as_bytes()).await;
-    // Weak beside the one that starts, which claims its lease.
+    // The holder is weaker than the started node, which claims its lease.
     let lease = fixture.store.grant(1_000).await.expect("a lease");
     let owner = json!({ "node": "node-8", "incarnation": 1, "strength": 1 });
     let owner = Batch::default().put_leased(
@@ -273,12 +277,12 @@
         fixture
             .put(&format!("q/in/{}", id(1)), job().to_string().as_bytes())
             .await;
-        assert!(fixture.completes(id(1)).await, "beside {key}");
-        assert!(!fixture.has_started(id(7)), "by {key}");
+        assert!(fixture.completes(id(1)).await, "unreadable: {key}");
+        assert!(!fixture.has_started(id(7)), "unreadable: {key}");
     }
 }
 
-// One start that can't be read hid all that its holder had logged.
+/// One unreadable start must not hide the others in its holder's log.
 #[tokio::test]
 async fn a_logged_start_that_cant_be_read_hides_itself_alone() {
     let fixture = Fixture::new();
@@ -292,7 +296,7 @@
     fixture.put("starts/1/1", rows.to_string().as_bytes()).await;
     let _node = fixture.start().await;
     assert!(fixture.completes(id(1)).await);
-    // Once its job's record holds what it says, the log isn't needed any more.
+    // The log is deleted once the job's record includes its starts.
     let began = Instant::now();
     while fixture.store.get("starts/1/1").await.expect("a store").is_some() {
         assert!(began.elapsed() < LIMIT, "the log is still there");
@@ -300,8 +304,8 @@
     }
 }
 
-/// The lease may be held by a newer version: it is left alone until the store
-/// ends it.
+/// An unreadable lease may be held by a newer version, so it is respected
+/// until the store ends it.
 #[tokio::test]
 async fn a_lease_that_cant_be_read_is_anothers_until_it_lapses() {
     let fixture = Fixture::new();
@@ -314,10 +318,11 @@
     let began = Instant::now();
     assert!(fixture.completes(id(1)).await);
     let until = Duration::from_millis(2_500);
-    assert!(began.elapsed() > until, "taken from its holder");
+    assert!(began.elapsed() > until, "the lease was taken before it expired");
 }
 
-/// What another node says of its strength is multiplied and compared.
+/// The strength in a holder's record is multiplied and compared, so extreme
+/// values must not overflow.
 #[tokio::test]
 async fn a_holder_of_any_strength_is_waited_for() {
     for strength in [0, u64::MAX] {
@@ -335,7 +340,7 @@
     }
 }
 
-/// A job in which some field holds something else.
+/// Returns a job with one field replaced by a value of another type.
 fn malformed_job(random: &mut Gen) -> Value {
     let values = [json!(null), json!([]), json!({}), json!("x"), json!(-1)];
     let mut job = job();
@@ -371,15 +376,15 @@
         .await;
     let _node = fixture.start().await;
     assert!(fixture.completes(id(1)).await);
-    // And those that are handed in later.
+    // Jobs that are submitted later run as well.
     fixture
         .put(&format!("q/in/{}", id(2)), job().to_string().as_bytes())
         .await;
     assert!(fixture.completes(id(2)).await);
 }
 
-/// Not more than a hundred lines and one for each second, however many
-/// records can't be read and however often they are.
+/// The limit is about a hundred lines, and a few for each second, however many
+/// records are unreadable and however often they are read.
 #[tokio::test]
 async fn lines_do_not_grow_with_the_number_of_records_that_cant_be_read() {
     let fixture = Fixture::new();
@@ -396,14 +401,14 @@
         .put(&format!("q/in/{}", id(1)), job().to_string().as_bytes())
         .await;
     assert!(fixture.completes(id(1)).await);
-    // Other tests of this process may have told much, so that these are told
-    // with the next look, in one line.
+    // Other tests of this process may have used up the limit, so that these
+    // records appear only in the next summary line.
     let logged = async {
         while fixture.lines.count_unreadable() == 0 {
             sleep(Duration::from_millis(20)).await;
         }
     };
-    timeout(LIMIT, logged).await.expect("not in silence");
+    timeout(LIMIT, logged).await.expect("a line about unreadable records");
     drop(node);
     let seconds = began.elapsed().as_secs() as usize;
     let lines = fixture.lines.count_unreadable();
--- a/crates/dewspard/tests/suspension.rs
+++ b/crates/dewspard/tests/suspension.rs
@@ -1,11 +1,16 @@
-//! A VM that is suspended for seconds wakes with a monotonic clock that has
-//! stood still, and so with a lease that looks young. Another node may hold it
-//! by now. So the node that schedules orders nothing before the store has
-//! renewed its lease; without a suspension it goes on while the store is out.
-//! What it answers callers from memory is as old as the suspension was long: a
-//! count of waiting jobs that was read just before isn't given after it.
+//! Behavior after a suspension of the VM.
 //!
-//! In a file of its own: the suspension holds for the whole process.
+//! The monotonic clock stops during a suspension, so afterwards the lease
+//! looks recent although another node may hold it. The node that schedules
+//! must not send orders before the store has renewed its lease. Without a
+//! suspension it continues during an outage of the store.
+//!
+//! Cached counts of waiting jobs are also older than the monotonic clock
+//! shows, so counts that were read before a suspension must not be served
+//! after it.
+//!
+//! The test has a file of its own because the simulated suspension affects the
+//! whole process.
 
 use {
     dewspar::{
@@ -27,7 +32,7 @@
     tokio::time::{sleep, timeout},
 };
 
-/// How long anything may take before the test gives up on it.
+/// The timeout of every wait.
 const LIMIT: Duration = Duration::from_secs(60);
 
 const POOL: &str = "registry";
@@ -68,7 +73,7 @@
     store.commit(&batch).await.expect("a store");
 }
 
-/// Asks how many jobs wait; returns the answer's status.
+/// Requests the number of waiting jobs; returns the status of the answer.
 async fn request_count(address: SocketAddr) -> StatusCode {
     let url = format!("http://{address}/v1/queues/extracts");
     let request = empty_request("test", Method::GET, &url);
@@ -118,7 +123,7 @@
         if suspended {
             clock::suppose_suspension(1_000);
         }
-        // The first step ends meanwhile.
+        // The first step ends in the meantime.
         sleep(Duration::from_millis(2_500)).await;
         let expected = if suspended { 1 } else { 2 };
         assert_eq!(starts(), expected, "suspended: {suspended}");
@@ -127,7 +132,7 @@
         wait_until(async || fleet.running().is_empty()).await;
     }
 
-    // Counts that were read just now are answered from memory for 0.5 s.
+    // Counts are cached for 0.5 s after a read.
     let address = node.caller_address();
     wait_until(async || request_count(address).await == StatusCode::OK).await;
     store_faults.set_outage(true);
--- a/crates/dewspard/tests/worker_lookups.rs
+++ b/crates/dewspard/tests/worker_lookups.rs
@@ -1,11 +1,12 @@
-//! A queue's demand turned, and 408 VMs were moved to its pool within 1.5 s.
-//! The list of VMs named them as up 1.5 s later, but their workers answered
-//! only 2 s after that, when the directory was read as a whole: they were
-//! looked up one after the other, 40 to 80 a second, from the beginning again
-//! with each reading of the list. 13,836 cores' worth of tasks waited meanwhile
-//! beside 439 VMs of which 3,755 cores were in use.
+//! Many new workers must be found quickly.
 //!
-//! The clock is paused: what is counted are ways to the store and back.
+//! With sequential lookups, restarted at each read of the list of VMs, only 40
+//! to 80 workers were found per second. After a move of 408 VMs within 1.5 s,
+//! which were listed 1.5 s later, their workers were used only 2 s after that,
+//! with the next full read of the directory. Meanwhile tasks for 13,836 cores
+//! waited, although 439 VMs were there with only 3,755 cores in use.
+//!
+//! The clock is paused, so times are numbers of round trips to the store.
 
 use {
     dewspar::schedule::WorkerId,
@@ -18,7 +19,7 @@
     tokio::time::{Instant, sleep},
 };
 
-/// How long the store takes to answer.
+/// The time of a round trip to the store.
 const STORE_LATENCY: Duration = Duration::from_millis(20);
 
 type Attempts = Arc<Mutex<BTreeMap<WorkerId, u32>>>;
@@ -27,7 +28,7 @@
     WorkerId::new(&format!("life-{number}"))
 }
 
-/// Looks a life up that is there at its `found_at`th look-up.
+/// Starts a lookup of a worker that is found at the `found_at`th attempt.
 fn start(
     lookups: &WorkerLookups,
     id: WorkerId,
@@ -76,14 +77,14 @@
     }
     sleep(Duration::from_secs(5)).await;
     assert_eq!(attempt_counts(&attempts), [1]);
-    // Once that is over it may be looked up anew.
+    // After the lookup has ended, another one may be started.
     start(&lookups, worker(1), 1, &attempts);
     sleep(Duration::from_secs(5)).await;
     assert_eq!(attempt_counts(&attempts), [2]);
 }
 
-/// The list of VMs names every life each time it is read. One that never
-/// enters itself was looked up 5 times a second, without end.
+/// Every read of the list of VMs includes all workers. Without backoff, one
+/// that never registers was looked up 5 times a second indefinitely.
 #[tokio::test(start_paused = true)]
 async fn a_worker_that_never_registers_is_looked_up_less_and_less_often() {
     let (lookups, attempts) = (WorkerLookups::default(), Attempts::default());
@@ -95,7 +96,7 @@
         }
         attempts_by_minute.push(attempt_counts(&attempts)[0]);
     }
-    // Each minute has fewer than the first.
+    // Later minutes have fewer attempts than the first.
     assert!(
         (5..50).contains(&attempts_by_minute[0]),
         "{attempts_by_minute:?}"
