--- a/crates/dewspar/src/schedule/forecast.rs
+++ b/crates/dewspar/src/schedule/forecast.rs
@@ -1,12 +1,13 @@
 /*!
-How much room a pool's arriving jobs will take.
+The forecast of the resources that a pool's arriving jobs will use.
 
-What runs and waits now says too little at the start of a peak: a job's later
-steps aren't there yet, and a VM takes a few seconds to come. By Little's law
-the processors that a steady flow of jobs keeps busy are its jobs a second
-times the core-seconds of each, and so with memory and GPUs. So the first work of the jobs that came of
-late, over the time in which they came, is what those to come will use. What
-the jobs that are there will use is projected, job by job.
+Current usage and waiting tasks underestimate demand at the start of a peak: a
+job's later steps aren't ready yet, and a VM takes a few seconds to become
+available. By Little's law, the number of processors that a steady flow of jobs
+keeps busy is the arrival rate times the core-seconds of each job; the same
+holds for memory and GPUs. So the initial work of recent arrivals, divided by
+the time over which they came, forecasts the usage of those to come. The usage
+of jobs that are present is projected job by job; see `projection`.
 */
 
 use {
@@ -17,20 +18,21 @@
     std::collections::VecDeque,
 };
 
-/// One job that came.
+/// The arrival of a job.
 #[derive(Clone, Copy, Debug)]
 struct Arrival {
     at_ms: u64,
-    /// What it takes, times milliseconds.
+    /// Its resources, multiplied by milliseconds.
     work: Resources,
 }
 
-/// The jobs that came to a pool of late.
+/// The recent arrivals of a pool.
 #[derive(Debug, Default)]
 pub(super) struct Arrivals {
     recent: VecDeque<Arrival>,
     work: Resources,
-    /// Since when jobs come without a longer gap.
+    /// The start of the current series of arrivals, without a gap of a whole
+    /// window.
     since_ms: u64,
 }
 
@@ -54,7 +56,7 @@
         }
     }
 
-    /// Returns what jobs that keep coming like this will use.
+    /// Returns the usage if jobs keep arriving at this rate.
     fn expected_usage(&mut self, now_ms: u64, policy: &Forecast) -> Resources {
         self.drop_expired(now_ms, policy);
         let window_ms = now_ms
@@ -65,7 +67,7 @@
 }
 
 impl Scheduler {
-    /// Counts the jobs that came since the last call.
+    /// Records the jobs that arrived since the last call.
     pub(super) fn record_arrivals(&mut self, now: Now) {
         for id in std::mem::take(&mut self.new_jobs) {
             let Some(job) = self.jobs.get(&id) else { continue };
@@ -77,14 +79,14 @@
         }
     }
 
-    /// Returns whether a job is known that isn't there for long: from then on
-    /// it shows what will be asked of the pools.
+    /// Returns whether a job with short tasks is known: from then on, the
+    /// demand on the pools can be observed.
     pub(super) fn has_short_jobs(&self) -> bool {
         let whole = |spec: &JobSpec| self.initial_work(spec, u64::MAX);
         self.jobs.values().any(|job| whole(&job.spec) != Resources::default())
     }
 
-    /// Returns what each pool's arriving jobs will use.
+    /// Returns the expected usage of each pool's arriving jobs.
     pub(super) fn forecast_usage(
         &mut self,
         now: Now,
--- a/crates/dewspar/src/schedule/maintenance.rs
+++ b/crates/dewspar/src/schedule/maintenance.rs
@@ -1,12 +1,12 @@
 /*!
-Maintenance waves: every VM of a wave taken down once, its tasks moved first.
+Maintenance waves: each VM of a wave is taken down once, after its tasks moved.
 
-A VM is *emptied* before it goes down: its worker gets nothing new, short
+A VM is *drained* before it goes down: its worker gets no new tasks, short
 tasks run to their end, and long-running ones are stopped one at a time, each
 only while its step can spare another. Then the VM service is ordered to take
-it down, which it does at once.
+the VM down, which it does at once.
 
-Which VMs are emptied next, and how many at a time, is for `wave_choice`.
+`wave_selection` decides which VMs are drained next, and how many at a time.
 */
 
 use {
@@ -23,29 +23,29 @@
     std::collections::{BTreeMap, BTreeSet, HashMap},
 };
 
-/// How long short tasks may run on a worker that is being emptied before
-/// those with a checkpoint are stopped, in milliseconds: most end by then.
+/// How long short tasks with a checkpoint may run on a worker that is being
+/// drained before they are stopped, in milliseconds: most end by then.
 const CHECKPOINTED_DRAIN_TIMEOUT_MS: u64 = 2_500;
 
-/// How long before all short tasks are stopped, in milliseconds: longer than
-/// nearly any of them takes.
+/// How long other short tasks may run on a worker that is being drained before
+/// they are stopped, in milliseconds: longer than nearly any of them takes.
 const DRAIN_TIMEOUT_MS: u64 = 6_000;
 
-/// Whether a task is to leave a worker that is being emptied.
+/// Whether and when a task is evicted from a worker that is being drained.
 enum Eviction {
-    /// It goes on for now.
+    /// It continues for now.
     Defer,
-    /// It is stopped, and waits for its turn like any other.
+    /// It is stopped, and queued again like any other.
     Immediate,
-    /// It is stopped once it has a place elsewhere.
+    /// It is stopped once a worker elsewhere is reserved for it.
     OncePlaced,
 }
 
 impl Scheduler {
-    /// Takes over the waves that are asked for, each with what was kept of it
-    /// before this node took over.
+    /// Adds the requested waves, each with the record that a former holder
+    /// kept of it.
     ///
-    /// Returns the waves that nobody has seen before, to be recorded.
+    /// Returns the waves without a record, which are to be recorded.
     pub fn request_waves(
         &mut self,
         now: Now,
@@ -66,7 +66,7 @@
                 since_unix_ms: now.unix_ms,
                 done: BTreeSet::new(),
             });
-            // The nodes' times of day differ a little.
+            // The wall clocks of the nodes differ a little.
             let passed_ms = now.unix_ms.saturating_sub(record.since_unix_ms);
             let left_ms = request.duration_ms.saturating_sub(passed_ms);
             let state = WaveState {
@@ -87,12 +87,12 @@
         unseen
     }
 
-    /// Returns what a later holder must know of a wave.
+    /// Returns the part of a wave's state that a later holder must know.
     pub fn wave_record(&self, wave: u64) -> Option<&WaveRecord> {
         self.waves.get(&wave).map(|state| &state.record)
     }
 
-    /// Takes over the list of VMs, as it was asked for at `asked_ms`.
+    /// Applies the list of VMs that was requested at `asked_ms`.
     pub fn list_vms(&mut self, now: Now, asked_ms: u64, vms: &[ManagedVm]) {
         self.vms = vms.iter().map(|vm| (vm.vm.clone(), vm.clone())).collect();
         let lives = vms.iter().filter(|vm| vm.status == VmStatus::Up);
@@ -101,8 +101,8 @@
                 vm.worker.clone().map(|worker| (worker, vm.pool.clone()))
             })
             .collect();
-        // What the list doesn't have has ended, if it was there before the
-        // list was asked for.
+        // A worker that isn't in the list has ended, if it was known before
+        // the list was requested.
         let listed: BTreeSet<&WorkerId> =
             lives.iter().map(|(life, _)| life).collect();
         let ended: Vec<WorkerId> = self
@@ -126,7 +126,8 @@
         self.return_to_service();
     }
 
-    /// Uses workers again whose VMs were maintained before their turn came.
+    /// Returns workers to service whose VMs were maintained while they waited
+    /// to be taken down.
     fn return_to_service(&mut self) {
         for worker in self.workers.values_mut() {
             let Some(DrainReason::Maintenance(wave)) = &worker.drain_reason
@@ -135,7 +136,7 @@
             };
             let state = self.waves.get(wave);
             let vm = &worker.listing.vm;
-            // One that is down is back only once a later list shows it.
+            // A VM that went down is back only once a later list shows it.
             let back = state.is_some_and(|state| {
                 state.record.done.contains(vm) && !state.down.contains_key(vm)
             });
@@ -145,7 +146,7 @@
         }
     }
 
-    /// Returns the next orders for VMs under maintenance.
+    /// Appends the next orders for maintenance.
     pub(super) fn plan_maintenance(
         &mut self,
         now: Now,
@@ -165,7 +166,7 @@
         }
     }
 
-    /// Orders the maintenance of what is empty, as far as the wave allows.
+    /// Orders the maintenance of drained VMs, as far as the wave allows.
     fn order_drained_vms(
         &mut self,
         wave: u64,
@@ -178,7 +179,7 @@
         let mut ready = Vec::new();
         for vm in state.remaining() {
             let worker = workers.get(vm.as_str()).copied();
-            // One that was ordered before counts as down already.
+            // A VM that was ordered before counts as down already.
             let again = state.is_ordered(vm);
             if room == 0 && !again {
                 continue;
@@ -200,15 +201,16 @@
         }
     }
 
-    /// Returns whether a VM may be down by an order of a former holder: it
-    /// is, or it was ordered of late and the order may yet be carried out.
+    /// Returns whether a VM may be down by an order of a former holder: it is
+    /// in maintenance, or it was ordered recently and the order may still be
+    /// carried out.
     pub(super) fn may_be_down(&self, vm: &str, now: Now) -> bool {
         let known = self.vms.get(vm);
         known.is_some_and(|vm| vm.status == VmStatus::Maintenance)
             || self.was_ordered_by_former(vm, now)
     }
 
-    /// Returns whether a VM may go down now.
+    /// Returns whether a VM is ready to go down for a wave.
     fn is_drained_for(
         &self,
         vm: &str,
@@ -233,8 +235,8 @@
         self.workers.values().find(|worker| worker.listing.vm == vm)
     }
 
-    /// Returns the worker on each VM, the first of two lives: looking for one
-    /// VM after the other goes over all workers each time.
+    /// Returns the worker on each VM, or the first of two. Looking up single
+    /// VMs would iterate over all workers each time.
     pub(super) fn workers_by_vm(&self) -> HashMap<&str, &Worker> {
         let mut workers = HashMap::with_capacity(self.workers.len());
         for worker in self.workers.values() {
@@ -243,13 +245,13 @@
         workers
     }
 
-    /// Returns how much of a pool would be in use if it had so many fewer
-    /// workers, in hundredths.
+    /// Returns the utilization of a pool if it had `less` fewer workers, in
+    /// percent.
     pub(super) fn pool_percent_without(&self, pool: &str, less: u64) -> u64 {
         self.pool_load(pool).percent_without(less)
     }
 
-    /// Lets a worker run dry.
+    /// Starts to drain a worker.
     pub(super) fn start_drain(
         &mut self,
         id: &WorkerId,
@@ -267,7 +269,7 @@
         self.note(Decision::DrainStarted { worker: id.clone(), vm, reason });
     }
 
-    /// Stops what has to leave workers that are being emptied or end soon.
+    /// Evicts tasks from workers that are being drained or end soon.
     pub(super) fn drain_workers(&mut self, now: Now) {
         self.clear_unplaced();
         let emptying: Vec<WorkerId> = self
@@ -283,12 +285,12 @@
         }
     }
 
-    /// Stops what has to leave one worker.
+    /// Evicts tasks from one worker.
     pub(super) fn drain_worker(&mut self, id: &WorkerId, now: Now) {
         let Some(worker) = self.workers.get(id) else { return };
         let emptied = worker.drain_reason.is_some();
-        // Short tasks end by themselves before a worker that drains does, or
-        // go down with it.
+        // Short tasks end by themselves before a draining worker ends, or end
+        // with it.
         let waited_ms = match emptied {
             true => now.steady_ms.saturating_sub(worker.drain_since_ms),
             false => 0,
@@ -314,7 +316,8 @@
         }
     }
 
-    /// Returns whether a task is to leave a worker that is being emptied.
+    /// Returns whether and when a task is evicted from a worker that is being
+    /// drained.
     fn eviction_timing(
         &self,
         task: &TaskId,
@@ -341,14 +344,14 @@
                 Eviction::Immediate
             };
         }
-        // A stop that a former holder ordered may still be under way, and the
-        // task still be listed as at work.
+        // A stop that a former holder ordered may still be in progress, while
+        // the task is still listed as at work.
         let settled = self.taken_over_ms + self.options.stop_settle_ms;
         if now.steady_ms < settled {
             return Eviction::Defer;
         }
-        // A worker that wasn't asked yet may have the task already: until that
-        // is known it starts nowhere, and was without work for 13 s.
+        // A worker that wasn't asked yet may already run the task. Until that
+        // is known, the task starts nowhere; one was without a run for 13 s.
         if self.may_run_from_former_lease(job, spec, now) {
             return Eviction::Defer;
         }
@@ -356,8 +359,8 @@
         if at_limit { Eviction::Defer } else { Eviction::OncePlaced }
     }
 
-    /// Returns whether too many others of a task's step are away for it to
-    /// leave a worker.
+    /// Returns whether so many other tasks of the step are unavailable that
+    /// this one must stay on its worker.
     pub(super) fn is_step_at_limit(
         &self,
         task: &TaskId,
@@ -408,7 +411,7 @@
         self.best_worker_for(task, now).is_some_and(|worker| worker != id)
     }
 
-    /// Reports a wave once, as soon as it is known.
+    /// Reports a wave as running, once.
     fn report_running(&mut self, wave: u64, orders: &mut Vec<VmOrder>) {
         let Some(state) = self.waves.get_mut(&wave) else { return };
         if !state.reported {
@@ -417,7 +420,7 @@
         }
     }
 
-    /// Reports a wave whose every VM is done.
+    /// Reports a wave as completed if all of its VMs are done.
     fn complete(&mut self, wave: u64, orders: &mut Vec<VmOrder>) {
         let Some(state) = self.waves.get_mut(&wave) else { return };
         if state.remaining().next().is_none() && state.down.is_empty() {
@@ -426,7 +429,7 @@
         }
     }
 
-    /// Takes in the result of an order to maintain a VM.
+    /// Handles the result of an order to maintain a VM.
     pub fn maintenance_answered(
         &mut self,
         vm: &str,
@@ -440,24 +443,26 @@
             Ok(()) => {
                 state.ordered.remove(vm);
                 state.record.done.insert(vm.to_owned());
-                // It may have been done before, by a former holder's order:
-                // which life ended, if any, the list of VMs tells.
+                // The maintenance may have been carried out earlier, by a
+                // former holder's order; the list of VMs shows which worker
+                // ended, if any.
                 state.down.insert(vm.to_owned(), now.steady_ms);
             }
-            // It is gone for good, so there is nothing to maintain.
+            // The VM is gone for good, so there is nothing to maintain.
             Err(VmOrderError::Invalid | VmOrderError::NotInWave)
                 if !listed =>
             {
                 state.ordered.remove(vm);
                 state.record.done.insert(vm.to_owned());
             }
-            // Sent again later; until then it counts as down only if it may
-            // have been done.
+            // The order is repeated later; until then the VM counts as down
+            // only if the order may have been carried out.
             Err(error) => state.order_failed(vm, error),
         }
     }
 
-    /// Notes that a wave's completion couldn't be reported.
+    /// Handles a failure to report the completion of a wave: it is reported
+    /// again.
     pub fn wave_report_failed(&mut self, wave: u64) {
         if let Some(state) = self.waves.get_mut(&wave) {
             state.completed = false;
--- a/crates/dewspar/src/schedule/projection.rs
+++ b/crates/dewspar/src/schedule/projection.rs
@@ -1,13 +1,13 @@
 /*!
-What the tasks that are known will use a while ahead.
+The projected usage of known jobs a while ahead.
 
-A VM that is ordered now comes in some 2 s. What a pool needs then is not what
-runs now: much of that is over by then, and steps that wait for others will
-have begun. Both follow from the jobs that are there. Each task is taken to
-last as long as its estimate says, and each step to begin when the last step
-that it waits for is over.
+A VM that is ordered now becomes available in some 2 s. What a pool needs then
+differs from what runs now: many runs will have ended, and steps that wait for
+others will have begun. Both follow from the known jobs. Each task is assumed
+to last as long as its estimate, and each step to begin when the last step that
+it depends on ends.
 
-Tasks that wait for room are left out here: they count as waiting, in full.
+Tasks that wait for room are not included: they count in full as waiting.
 */
 
 use {
@@ -20,12 +20,12 @@
     std::collections::{BTreeMap, HashMap},
 };
 
-/// What is left of one step's runs.
+/// The remaining runs of one step.
 #[derive(Clone, Copy, Debug, Default)]
 struct RemainingRuns {
-    /// Until when the longest of them goes on, in milliseconds from now.
+    /// The remaining time of the longest, in milliseconds.
     remaining_ms: u64,
-    /// What those use that still go on at the time looked at.
+    /// The usage of those that will still run at the projected time.
     room: Resources,
 }
 
@@ -33,8 +33,8 @@
 type StepKey = (JobId, u32, u32);
 
 impl Scheduler {
-    /// Returns what each pool's known jobs will use `ahead_ms` from now; what
-    /// runs for long isn't counted.
+    /// Returns the usage of each pool's known jobs `ahead_ms` from now,
+    /// without long-running tasks.
     pub(super) fn project_usage(
         &self,
         now: Now,
@@ -42,8 +42,8 @@
     ) -> BTreeMap<String, Resources> {
         let runs = self.remaining_runs(now, ahead_ms);
         let mut pools: HashMap<&str, Resources> = HashMap::new();
-        // One for all jobs: a list each was two fifths of the allocations of a
-        // look at the VMs.
+        // Reused for all jobs: a list for each made two fifths of the
+        // allocations of a sizing pass.
         let mut ends = Vec::new();
         for (id, job) in self.jobs.iter() {
             if job.phase.is_final() {
@@ -59,7 +59,7 @@
         pools.map(|(pool, used)| (pool.to_owned(), used)).collect()
     }
 
-    /// Returns what is left of the runs of each step.
+    /// Returns the remaining runs of each step.
     fn remaining_runs(
         &self,
         now: Now,
@@ -133,9 +133,9 @@
         used
     }
 
-    /// Returns what a job will use within `ahead_ms` of its coming, times
-    /// milliseconds; what runs for long, falls due later or fits nowhere isn't
-    /// counted.
+    /// Returns the resources that a job will use within `ahead_ms` of its
+    /// arrival, multiplied by milliseconds. Long-running steps, repeated jobs
+    /// and steps that fit no VM aren't counted.
     pub(super) fn initial_work(
         &self,
         spec: &JobSpec,
@@ -161,7 +161,7 @@
     }
 }
 
-/// Returns when a step begins if the steps before end as given.
+/// Returns when a step begins if the earlier steps end at the given times.
 fn start_ms(spec: &JobSpec, step: usize, ends: &[u64]) -> u64 {
     let before = spec.steps[step].after.iter();
     before.filter_map(|earlier| ends.get(*earlier)).max().copied().unwrap_or(0)
--- a/crates/dewspar/src/schedule/sizing.rs
+++ b/crates/dewspar/src/schedule/sizing.rs
@@ -1,14 +1,15 @@
 /*!
-Which pool a VM is in: room that one pool leaves is what another needs.
+Pool sizing: which pool each VM belongs to.
 
-Pools peak in turns. A pool that is nearly full, or whose tasks wait, gets
-VMs that are switched off, or idle ones of a pool with room to spare; a pool
-that has more than it needs switches idle VMs off, where the operator has a
-pool for that. A VM only moves while nothing runs on it.
+Pools peak at different times. A pool that is nearly full, or whose tasks wait,
+gets VMs that are switched off, or idle ones of a pool with spare capacity. A
+pool that has more than it needs switches idle VMs off, if the operator has
+configured a pool for that. A VM only moves while nothing runs on it.
 
-Tasks that are to last are missed from the moment at which they don't run, and
-they need few VMs beside a queue's peak. So a VM that they lack comes before all
-others, also from a pool that has too few for its short tasks.
+Long-running tasks are missed from the moment at which they don't run, and they
+need few VMs compared with a queue's peak. So a VM that they lack takes
+precedence over all others, and may also come from a pool that has too few for
+its short tasks.
 */
 
 use {
@@ -24,67 +25,71 @@
     std::collections::{BTreeMap, BTreeSet, HashMap},
 };
 
-/// How long a VM is left alone whose move was refused, in milliseconds.
+/// How long no move of a VM is ordered after one was refused, in milliseconds.
 const REFUSED_MOVE_DELAY_MS: u64 = 1_000;
 
-/// How long a holder waits for a first job before it switches VMs off all
-/// the same, in milliseconds.
+/// How long a holder waits for a first job before it starts to switch VMs off
+/// anyway, in milliseconds.
 const MAX_OBSERVATION_MS: u64 = 30_000;
 
-/// How long a VM that was ordered to move counts as coming, in milliseconds.
+/// How long a VM that was ordered to move counts as part of its new pool
+/// before it arrives, in milliseconds.
 const MOVE_TIMEOUT_MS: u64 = 4_000;
 
-/// How many VMs go to the pool that lacks most before one goes to the pool that
-/// lacks fewest. With one each, the days on which a peak begins beside a trouble
-/// were worth 0.04 less on a site of 48 workers; with seven as much as with none
-/// (trials).
+/// The number of VMs that are assigned to the pool with the largest deficit
+/// for each one that is assigned to the pool with the smallest. With one, the
+/// days on which a peak begins during a fault achieved 0.04 less of their
+/// value on a site of 48 workers; with seven, as much as without any for the
+/// smallest (trials).
 const VMS_TO_NEEDIEST: u32 = 7;
 
-/// What a pool has and what is asked of it.
+/// The capacity of a pool and the demand on it.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct PoolLoad {
     capacity: Resources,
     used: Resources,
     waiting: Resources,
-    /// What will be used soon, by the jobs that came of late and by all tasks
-    /// that are to last.
+    /// The usage expected soon, by arriving jobs and by all long-running
+    /// tasks.
     forecast: Resources,
-    /// What all tasks take that are to last.
+    /// The demand of all long-running tasks.
     long_running: Resources,
-    /// What those of them take that wait.
+    /// The demand of the long-running tasks that wait.
     long_running_waiting: Resources,
     workers: u64,
 }
 
 impl PoolLoad {
-    /// Returns what is asked of the pool, now or soon.
+    /// Returns the demand on the pool, now or soon.
     fn total_demand(&self) -> Resources {
         let now = self.used.plus(&self.long_running_waiting);
         now.component_max(&self.forecast).plus(&self.waiting)
     }
 
-    /// Returns the same without what is to last, which neither grows in a
-    /// peak nor shrinks after it.
+    /// Returns the demand without that of long-running tasks, which neither
+    /// grows in a peak nor shrinks after it.
     fn short_task_demand(&self) -> Resources {
         self.total_demand().minus(&self.long_running)
     }
 
-    /// Returns how many workers the pool has that aren't about to leave.
+    /// Returns the number of workers of the pool that aren't about to leave
+    /// it.
     pub(super) fn workers(&self) -> u64 {
         self.workers
     }
 
-    /// Returns what one VM of the pool has.
+    /// Returns the average capacity of the pool's VMs.
     fn vm(&self) -> Resources {
         self.capacity.divided_by(self.workers)
     }
 
-    /// Returns how much of the pool would be in use if it had so many fewer
-    /// workers, in hundredths.
+    /// Returns the utilization of the pool if it had `less` fewer workers, in
+    /// percent.
     ///
-    /// Of all processors, or of what tasks that are to last leave of some kind
-    /// of room, whichever is more: those tasks may take all memory, and what
-    /// they take of processors keeps VMs here for the next peak.
+    /// This is the utilization of all processors, or that of what long-running
+    /// tasks leave of any kind of resource, whichever is higher: those tasks
+    /// may take all memory, and the processors that they request keep VMs here
+    /// for the next peak.
     pub(super) fn percent_without(&self, less: u64) -> u64 {
         let capacity = self.capacity.minus(&self.vm().times(less));
         let demand_cpu = self.total_demand().cpu_millis;
@@ -95,11 +100,11 @@
         of_all.max(of_left)
     }
 
-    /// Returns how many VMs like this one the pool needs, by the kind of room
-    /// that it needs most VMs for.
+    /// Returns how many VMs like `vm` the pool needs, by the kind of resource
+    /// that requires most.
     ///
-    /// No more than `full_percent` of all processors are to be filled, nor of
-    /// what tasks that are to last leave of the other kinds of room.
+    /// At most `full_percent` of all processors are to be used, and of what
+    /// long-running tasks leave of the other kinds of resources.
     fn vms_needed(&self, vm: &Resources, full_percent: u64) -> u64 {
         let filled =
             |room: Resources| room.times(100).divided_by(full_percent);
@@ -110,7 +115,7 @@
         Resources { cpu_millis, ..of_left }.units_of(vm)
     }
 
-    /// Notes that a worker is to leave.
+    /// Removes a worker that is to leave.
     fn remove_worker(&mut self, capacity: &Resources) {
         self.capacity.subtract(capacity);
         self.workers = self.workers.saturating_sub(1);
@@ -122,12 +127,13 @@
 pub(super) struct PendingMove {
     pub(super) to: String,
     pub(super) since_ms: u64,
-    /// The life of its worker when that was ordered.
+    /// The worker of the VM when the move was ordered.
     pub(super) worker: Option<WorkerId>,
 }
 
 impl Scheduler {
-    /// Takes over which pools have queues, and which are switched off.
+    /// Sets the pools that have queues, and those for VMs that are switched
+    /// off.
     pub fn configure_pools(
         &mut self,
         serving: BTreeSet<String>,
@@ -137,8 +143,8 @@
         self.free_pools = free;
     }
 
-    /// Takes over in which pools workers start whatever they are told: their
-    /// rooms are to be guarded here.
+    /// Sets the pools whose workers don't enforce their capacity, so that the
+    /// scheduler must.
     pub fn enforce_capacity(&mut self, pools: BTreeSet<String>) {
         self.unenforced_pools = pools;
     }
@@ -147,15 +153,15 @@
         &self.options.policy.sizing
     }
 
-    /// Returns what a pool has and what is asked of it.
+    /// Returns the capacity of a pool and the demand on it.
     pub(super) fn pool_load(&self, pool: &str) -> PoolLoad {
         self.pool_loads.get(pool).copied().unwrap_or_default()
     }
 
-    /// Adds up what each pool has and what is asked of it.
+    /// Computes the capacity of each pool and the demand on it.
     pub(super) fn measure_pools(&mut self, now: Now) {
-        // By borrowed names in no order: this looks a pool up for each of
-        // thousands of workers and jobs, twenty times a second.
+        // Uses a hash map with borrowed names: this looks up a pool for each
+        // of thousands of workers and jobs, 20 times a second.
         let mut loads: HashMap<&str, PoolLoad> = HashMap::new();
         for worker in self.workers.values() {
             let load = loads.entry(&worker.listing.pool).or_default();
@@ -234,7 +240,7 @@
         self.pool_loads = loads;
     }
 
-    /// Returns the next orders that move VMs between pools.
+    /// Appends the next orders that move VMs between pools.
     pub(super) fn size_pools(&mut self, now: Now, orders: &mut Vec<VmOrder>) {
         self.finish_moves(now);
         if now.steady_ms >= self.last_sizing_ms + self.sizing().interval_ms {
@@ -253,7 +259,7 @@
         self.order_moves(now, orders);
     }
 
-    /// Looks at what the pools will be asked for.
+    /// Projects the demand on the pools.
     fn project_pools(&mut self, now: Now) {
         let Forecast { enabled, ahead_ms, .. } = self.options.policy.forecast;
         if enabled {
@@ -262,7 +268,8 @@
         }
     }
 
-    /// Returns whether enough was seen to tell which VMs aren't needed.
+    /// Returns whether demand was observed for long enough to tell which VMs
+    /// aren't needed.
     fn has_observed_demand(&mut self, now: Now) -> bool {
         if self.first_job_ms == 0 && self.has_short_jobs() {
             self.first_job_ms = now.steady_ms;
@@ -292,13 +299,13 @@
         self.targets.clone_from(targets);
     }
 
-    /// Returns how many VMs each pool should have.
+    /// Returns the target number of VMs of each pool.
     ///
-    /// While there are too few for all, each first gets what its tasks that
-    /// are to last need, and then none gets more than its equal share as long
-    /// as another wants for one.
+    /// While there are too few for all, each pool first gets what its
+    /// long-running tasks need, and then none gets more than its equal share
+    /// while another needs one.
     fn targets(&self, now: Now) -> BTreeMap<String, u64> {
-        // A move that was ordered needn't show in the list yet.
+        // A move that was ordered may not show in the list yet.
         let usable = self.vms.values().filter(|vm| {
             vm.status == VmStatus::Up
                 && !self.pending_moves.contains_key(&vm.vm)
@@ -322,7 +329,7 @@
         targets
     }
 
-    /// Gives pools VMs of those that are left, as many as each needs.
+    /// Assigns the remaining VMs to pools, up to the need of each.
     fn allocate(
         &self,
         needs: &BTreeMap<&String, u64>,
@@ -350,17 +357,17 @@
         }
     }
 
-    /// Returns how many VMs a pool needs so that it is no fuller than it may
-    /// be, by the kind of room that it needs most VMs for.
+    /// Returns how many VMs a pool needs to stay below its maximum
+    /// utilization, by the kind of resource that requires most.
     fn vms_for_load(&self, pool: &str, largest: &Resources) -> u64 {
         let load = self.pool_load(pool);
         let vm = load.vm().component_max(largest);
         load.vms_needed(&vm, self.sizing().full_percent)
     }
 
-    /// Returns how many VMs a pool needs that has no place for some task: as
-    /// many more as its tasks that are to last lack, or one more than it has
-    /// if others lack something for long.
+    /// Returns how many VMs a pool needs that can't place some task: as many
+    /// more as its long-running tasks lack, or one more than it has if other
+    /// tasks couldn't be placed for long.
     fn vms_for_unplaced_tasks(&self, pool: &str, now: Now) -> u64 {
         let lacking = self.long_running_need(pool).lacking_vms;
         if lacking > 0 {
@@ -373,7 +380,7 @@
         if long { self.pool_load(pool).workers + 1 } else { 0 }
     }
 
-    /// Returns the most that a VM has of each kind of room.
+    /// Returns the largest amount of each kind of resource that a VM has.
     fn largest_vm(&self) -> Resources {
         let rooms = self.vms.values().map(|vm| vm.capacity);
         rooms
@@ -392,8 +399,8 @@
         load.workers + (coming + leaving.count()) as u64
     }
 
-    /// Brings VMs to pools that have fewer than they should, those first that
-    /// tasks to last need.
+    /// Moves VMs to pools that are below their target, first to those whose
+    /// long-running tasks need them.
     fn grow_pools(
         &mut self,
         targets: &BTreeMap<String, u64>,
@@ -404,8 +411,8 @@
         self.grow_to_targets(targets, now, orders);
     }
 
-    /// Brings the VMs that tasks to last lack, to the pool that lacks fewest
-    /// first.
+    /// Moves the VMs that long-running tasks lack, first to the pool that
+    /// lacks fewest.
     fn grow_for_long_running(
         &mut self,
         targets: &BTreeMap<String, u64>,
@@ -427,7 +434,7 @@
         }
     }
 
-    /// Returns how many VMs a pool lacks for tasks that are to last.
+    /// Returns how many VMs a pool lacks for long-running tasks.
     fn long_running_deficit(&self, pool: &str) -> u64 {
         self.long_running_need(pool).lacking_vms.max(self.floor_deficit(pool))
     }
@@ -437,8 +444,8 @@
         floor.saturating_sub(self.pool_size(pool))
     }
 
-    /// Brings a VM to a pool whose tasks that are to last need more than it
-    /// has, from one that has more than those there need.
+    /// Moves a VM to a pool whose long-running tasks need more than it has,
+    /// from a pool that has more than its long-running tasks need.
     fn take_vm_from_short_tasks(&mut self, pool: &str, now: Now) -> bool {
         if self.floor_deficit(pool) == 0 {
             return false;
@@ -450,8 +457,8 @@
         true
     }
 
-    /// Returns the least used worker that serves only short tasks, of a pool
-    /// that has more VMs than its tasks need that are to last.
+    /// Returns the least used worker without long-running tasks, of a pool
+    /// that has more VMs than its long-running tasks need.
     fn spare_short_task_worker(
         &self,
         pool: &str,
@@ -465,8 +472,8 @@
         self.least_used_elsewhere(pool, over, now)
     }
 
-    /// Brings VMs to pools that have fewer than they should: to the one that
-    /// lacks most, and now and then to the one that lacks fewest, so that a
+    /// Moves VMs to pools that are below their target: to the one with the
+    /// largest deficit, and regularly to the one with the smallest, so that a
     /// small need doesn't wait until a large one is met.
     fn grow_to_targets(
         &mut self,
@@ -499,7 +506,7 @@
         }
     }
 
-    /// Brings a VM to a pool that is switched off or that another has to
+    /// Moves a VM to a pool that is switched off or that another pool can
     /// spare; returns whether there was one.
     fn add_vm(
         &mut self,
@@ -519,7 +526,7 @@
         true
     }
 
-    /// Lets a worker run dry whose VM is to move.
+    /// Drains a worker whose VM is to move.
     fn drain_to_move(&mut self, id: &WorkerId, to: &str, now: Now) {
         self.start_drain(id, DrainReason::Move(to.to_owned()), now);
         let Some(worker) = self.workers.get(id) else { return };
@@ -557,8 +564,8 @@
             .next()
     }
 
-    /// Returns the least used worker of a pool that has more VMs than it
-    /// should; none that long-running tasks would have to leave.
+    /// Returns the least used worker of a pool above its target, without
+    /// long-running tasks.
     fn spare_worker(
         &self,
         pool: &str,
@@ -572,8 +579,8 @@
         self.least_used_elsewhere(pool, over, now)
     }
 
-    /// Returns the least used worker of the other pools that may give one;
-    /// none that long-running tasks would have to leave.
+    /// Returns the least used worker of the other pools that may give one,
+    /// without long-running tasks.
     fn least_used_elsewhere(
         &self,
         pool: &str,
@@ -608,7 +615,7 @@
         })
     }
 
-    /// Returns the fewest VMs that a pool can do with.
+    /// Returns the minimum number of VMs of a pool.
     fn least_vms(&self, pool: &str) -> u64 {
         self.long_running_need(pool).floor_vms.max(self.sizing().least_vms)
     }
@@ -635,7 +642,7 @@
         }
     }
 
-    /// Switches one idle VM of a pool off; returns whether there was one.
+    /// Switches off one idle VM of a pool; returns whether there was one.
     fn switch_off_one(&mut self, pool: &str, now: Now) -> bool {
         let Some(free) = self.free_pools.first().cloned() else {
             return false;
@@ -653,7 +660,7 @@
         true
     }
 
-    /// Orders the moves of workers that were emptied for them.
+    /// Orders the moves of workers that were drained for them.
     fn order_moves(&mut self, now: Now, orders: &mut Vec<VmOrder>) {
         let ready: Vec<(String, String)> = self
             .workers
@@ -693,13 +700,13 @@
         self.refused_moves.contains(&(vm.to_owned(), pool.to_owned()))
     }
 
-    /// Leaves a VM alone for a moment.
+    /// Orders no changes of a VM for a moment.
     fn postpone_vm_orders(&mut self, vm: &str, now: Now) {
         let until_ms = now.steady_ms + REFUSED_MOVE_DELAY_MS;
         self.vm_orders_from_ms.insert(vm.to_owned(), until_ms);
     }
 
-    /// Takes in the result of an order to move a VM.
+    /// Handles the result of an order to move a VM.
     pub fn move_answered(
         &mut self,
         vm: &str,
@@ -707,13 +714,14 @@
         result: Result<(), VmOrderError>,
         now: Now,
     ) {
-        // It may have been done before, by a former holder's order: which
-        // life ended, if any, the list of VMs tells.
+        // The move may have been carried out earlier, by a former holder's
+        // order; the list of VMs shows which worker ended, if any.
         let Err(error) = result else { return };
         if error == VmOrderError::Invalid {
             self.refused_moves.insert((vm.to_owned(), pool.to_owned()));
         }
-        // It may have been done: then the list shows that, too.
+        // The move may have been carried out, which the list will show as
+        // well.
         if error == VmOrderError::Unknown {
             return;
         }
@@ -722,7 +730,7 @@
         self.postpone_vm_orders(vm, now);
     }
 
-    /// Uses a worker again that was to leave.
+    /// Cancels the drain of a worker that was to leave.
     fn keep(&mut self, life: Option<WorkerId>) {
         let worker = life.and_then(|life| self.workers.get_mut(&life));
         if let Some(worker) = worker {
--- a/crates/dewspar/src/schedule/vm.rs
+++ b/crates/dewspar/src/schedule/vm.rs
@@ -5,7 +5,7 @@
     std::collections::BTreeSet,
 };
 
-/// Maintenance that is asked for.
+/// A requested maintenance wave.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct WaveRequest {
     /// The wave's number.
@@ -14,25 +14,25 @@
     pub vms: Vec<String>,
     /// How long the wave may take, in milliseconds.
     pub duration_ms: u64,
-    /// The most VMs that may be down for it at once.
+    /// The maximum number of VMs that may be down for it at once.
     pub max_down: usize,
 }
 
-/// What a VM is doing.
+/// The status of a VM.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum VmStatus {
-    /// Its worker runs.
+    /// It is up, and its worker runs.
     Up,
-    /// It is on its way to another pool.
+    /// It is moving to another pool.
     Moving,
-    /// It is being maintained.
+    /// It is under maintenance.
     Maintenance,
     /// It is down.
     Down,
 }
 
 impl VmStatus {
-    /// Returns the name of what it is doing, for logs.
+    /// Returns the name of the status, for logs.
     pub fn name(self) -> &'static str {
         match self {
             VmStatus::Up => "up",
@@ -50,27 +50,27 @@
     pub vm: String,
     /// The pool that it is in.
     pub pool: String,
-    /// What it is doing.
+    /// Its status.
     pub status: VmStatus,
-    /// The data hall that it stands in.
+    /// The data hall that it is in.
     pub hall: String,
-    /// What it has room for.
+    /// Its capacity.
     pub capacity: Resources,
-    /// The life of its worker; `None` while there is none.
+    /// Its worker; `None` while there is none.
     pub worker: Option<WorkerId>,
 }
 
-/// What a later holder must know of a wave.
+/// The part of a wave's state that a later holder must know.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct WaveRecord {
-    /// When a holder first saw the request, in milliseconds of the Unix
-    /// epoch: its time counts from then.
+    /// The time at which a holder first saw the request, in milliseconds of
+    /// the Unix epoch: the wave's duration starts then.
     pub since_unix_ms: u64,
     /// The VMs whose maintenance has begun or that are gone for good.
     pub done: BTreeSet<String>,
 }
 
-/// Why a change to a VM has no result.
+/// The reason why a change to a VM has no result.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
 pub enum VmOrderError {
     /// another holder's token is higher
@@ -89,7 +89,7 @@
 
 impl std::error::Error for VmOrderError {}
 
-/// Something to order of the VM service, or to tell the operator.
+/// An order to the VM service, or a report to the operator.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum VmOrder {
     /// Take a VM down for its maintenance.
@@ -106,12 +106,12 @@
         /// The pool.
         pool: String,
     },
-    /// Tell the operator that a wave has begun.
+    /// Report to the operator that a wave is running.
     ReportRunning {
         /// The wave's number.
         wave: u64,
     },
-    /// Tell the operator that a wave is completed.
+    /// Report to the operator that a wave is completed.
     ReportCompleted {
         /// The wave's number.
         wave: u64,
--- a/crates/dewspar/src/schedule/vm_orders.rs
+++ b/crates/dewspar/src/schedule/vm_orders.rs
@@ -1,15 +1,15 @@
 /*!
-Orders to the VM service, and which VMs may be ordered at all.
+Orders to the VM service, and which VMs may be ordered to change.
 
-These orders aren't fenced where they are carried out. So a holder records of
-which VMs it orders changes before it does, and its successor leaves those
-alone until two holders can't be taken to quarrel over one.
+The VM service doesn't fence these orders. So a holder records which VMs it
+orders to change before it sends the orders, and its successor doesn't touch
+those until orders of the two holders can no longer conflict.
 
-The record names the process that ordered each, and how long before the record
-was written. The order is at least that old when another node takes over, so
-that much less is to be waited. What an earlier process of
-the holder's own node ordered needn't wait: that process is gone, and orders
-of one node are no quarrel.
+The record names the process that sent each order, and the order's age when the
+record was written. The order is at least that old when another node takes
+over, which shortens the wait by that much. Orders of an earlier process on the
+holder's own node need no wait: that process is gone, and orders of one node
+don't conflict.
 */
 
 use {
@@ -21,64 +21,65 @@
     std::collections::BTreeMap,
 };
 
-/// A process of a node.
+/// The process of a node that issued an order.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct OrderIssuer {
     /// The node's name.
     pub node: String,
-    /// The process; a restarted one has another number.
+    /// The number of the process; it changes with each restart.
     pub incarnation: u64,
 }
 
 impl OrderIssuer {
-    /// Returns whether this is an earlier process of the same node.
+    /// Returns whether this is another process of the same node, and so an
+    /// earlier one.
     fn is_former_process_of(&self, other: &OrderIssuer) -> bool {
         self.node == other.node && self.incarnation != other.incarnation
     }
 }
 
-/// A change of a VM that was ordered of late.
+/// A recently ordered change of a VM.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct RecentVmOrder {
-    /// Who ordered it, and what else a newer version has said of that process.
+    /// The process that ordered it, with fields of a newer version.
     pub by: WithOthers<OrderIssuer>,
-    /// How long before this was written, in milliseconds.
+    /// The age of the order when this was written, in milliseconds.
     pub age_ms: u64,
-    /// What else a newer version has said of it.
+    /// The fields of a newer version.
     pub other: OtherFields,
 }
 
-/// A change that a former holder ordered of late.
+/// A change that a former holder ordered recently.
 #[derive(Clone, Debug)]
 pub(super) struct InheritedOrder {
     by: WithOthers<OrderIssuer>,
-    /// Until when the VM is left alone.
+    /// The time until which no change of the VM is ordered.
     until_ms: u64,
     other: OtherFields,
 }
 
-/// The VMs of which changes were ordered of late, and by whom.
+/// The VMs with recently ordered changes, and the processes that ordered them.
 ///
-/// It is written with each burst of orders, and hundreds of VMs may be in it,
-/// nearly all ordered by one process. So that is named once for all of them,
-/// which takes some 20 bytes a VM instead of 85: at 20 writes a second of 500
-/// VMs the record took 1.2 MB/s of the holder's link.
+/// It is written with each burst of orders and may hold hundreds of VMs,
+/// nearly all ordered by one process. So each process is named once for all of
+/// its VMs, which takes some 20 bytes per VM instead of 85: with 20 writes a
+/// second of 500 VMs, the record took 1.2 MB/s of the holder's link.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(from = "Vec<OrdersByIssuer>", into = "Vec<OrdersByIssuer>")]
 pub struct OrderedVms(BTreeMap<String, RecentVmOrder>);
 
-/// The written form of what one process ordered.
+/// The serialized form of the orders of one process.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 struct OrdersByIssuer {
     by: WithOthers<OrderIssuer>,
-    /// How long ago each VM was ordered, in milliseconds.
+    /// The age of the order for each VM, in milliseconds.
     ages_ms: BTreeMap<String, u64>,
     #[serde(flatten)]
     other: OtherFields,
 }
 
 impl OrdersByIssuer {
-    /// Returns whether an order is of these.
+    /// Returns whether an order belongs to this group.
     fn includes(&self, order: &RecentVmOrder) -> bool {
         self.by == order.by && self.other == order.other
     }
@@ -117,7 +118,7 @@
 }
 
 impl OrderedVms {
-    /// Returns the VMs' names.
+    /// Returns the names of the VMs.
     pub fn names(&self) -> impl Iterator<Item = &str> {
         self.0.keys().map(String::as_str)
     }
@@ -129,7 +130,7 @@
 }
 
 impl Scheduler {
-    /// Returns what is to be ordered of the VM service now.
+    /// Returns the orders to send to the VM service now.
     ///
     /// Call it only while the lease is certainly held: these orders are
     /// carried out whoever sends them.
@@ -138,8 +139,8 @@
         let vm_order_blocker = self.vm_order_blocker(now);
         self.report_waves(vm_order_blocker, now);
         if vm_order_blocker.is_some() {
-            // What leaves workers that are about to end needs no order to the
-            // VM service.
+            // Evicting tasks from workers that are about to end requires no
+            // order to the VM service.
             if self.knows_all_runs() && !self.may_be_superseded() {
                 self.drain_workers(now);
             }
@@ -159,13 +160,13 @@
         orders
     }
 
-    /// Returns why nothing is ordered of the VM service, if so.
+    /// Returns why no orders are sent to the VM service, if there is a reason.
     fn vm_order_blocker(&self, now: Now) -> Option<&'static str> {
         let newest = self.vms_asked_ms + self.options.vm_list_age_ms;
         if self.may_be_superseded() {
             return Some("a worker has seen a newer holder");
         }
-        // What the list said long ago isn't so any more.
+        // An outdated list may be wrong.
         if now.steady_ms > newest {
             return Some("the list of VMs is outdated");
         }
@@ -175,8 +176,8 @@
         None
     }
 
-    /// Returns the VMs of which changes were ordered a short while ago, by
-    /// `holder` or before it; the next holder must leave them alone at first.
+    /// Returns the VMs with changes that were ordered recently, by `holder` or
+    /// before it; the next holder must not touch them at first.
     pub fn ordered_vms(
         &mut self,
         now: Now,
@@ -201,10 +202,11 @@
         OrderedVms(inherited.chain(own).collect())
     }
 
-    /// Orders nothing of these VMs for a while, because a former holder
-    /// just has; `None` stands for all.
+    /// Orders no changes of these VMs for a while, because a former holder
+    /// ordered some recently; `None` stands for all VMs.
     ///
-    /// Those that an earlier process of `holder`'s node ordered are free.
+    /// VMs that an earlier process of `holder`'s node ordered aren't
+    /// restricted.
     pub fn hold_off_vm_orders(
         &mut self,
         now: Now,
@@ -227,7 +229,7 @@
         }
     }
 
-    /// Returns whether a former holder ordered a change of a VM of late.
+    /// Returns whether a former holder recently ordered a change of a VM.
     pub(super) fn was_ordered_by_former(&self, vm: &str, now: Now) -> bool {
         let inherited = self.inherited_orders.get(vm);
         inherited.is_some_and(|order| now.steady_ms < order.until_ms)
--- a/crates/dewspar/src/schedule/wave_progress.rs
+++ b/crates/dewspar/src/schedule/wave_progress.rs
@@ -1,10 +1,11 @@
 /*!
-What keeps the VMs of a wave that are left, by count.
+The progress of maintenance waves, and what blocks their remaining VMs.
 
-A wave is late for one reason or another: too few VMs are taken at a time, a
-task has nowhere else to go, a worker is silent. From outside they look alike.
-So while a wave goes on, each of its VMs that is left is counted under the one
-thing that it waits for next, beside the figures by which VMs are chosen.
+A wave can be late for many reasons: too few VMs are taken at a time, a task
+can't be placed elsewhere, a worker doesn't respond. From outside they look
+alike. So while a wave is in progress, each of its remaining VMs is counted
+under the one condition that it waits for next, beside the figures by which VMs
+are selected.
 */
 
 use crate::{
@@ -17,89 +18,94 @@
     },
 };
 
-/// How often a wave is told of while it goes on, in milliseconds: often
-/// enough to see each VM, which takes some seconds.
+/// The interval between reports on a wave in progress, in milliseconds: short
+/// enough to catch each VM, which takes some seconds.
 const REPORT_INTERVAL_MS: u64 = 1_000;
 
-/// How often a wave is told of whose time is over, in milliseconds.
+/// The interval between reports on a wave that is past its deadline, in
+/// milliseconds.
 const LATE_REPORT_INTERVAL_MS: u64 = 10_000;
 
-/// How many waves a look tells of, so that many at once don't fill the log;
-/// the next looks go on with the others.
+/// The maximum number of waves reported in one pass, so that many at once
+/// don't fill the log; the next passes report the others.
 const REPORTS_PER_PASS: usize = 2;
 
-/// Whether the time of a wave is over.
+/// The state of a wave's deadline.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum WaveDeadline {
-    /// There is time left.
+    /// The deadline is ahead.
     Ahead,
-    /// It is just over.
+    /// The deadline has just passed.
     Passed,
-    /// It has been over for a while.
+    /// The deadline passed a while ago.
     LongPassed,
 }
 
-/// How far a wave has come, and what keeps its VMs.
+/// The progress of a wave, and what blocks its remaining VMs.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct WaveProgress {
-    /// Whether its time is over.
+    /// The state of its deadline.
     pub time: WaveDeadline,
-    /// All of its VMs.
+    /// The number of its VMs.
     pub vms: usize,
-    /// Those whose maintenance has begun, or that are gone for good.
+    /// The number of VMs whose maintenance has begun, or that are gone for
+    /// good.
     pub begun: usize,
-    /// Those of them that aren't back.
+    /// The number of those that aren't back.
     pub down: usize,
-    /// How many more may go down at once.
+    /// How many more may go down now.
     pub room: usize,
-    /// How often it was looked at since it was told of last.
+    /// The number of planning passes since the last report.
     pub passes: u32,
-    /// Why nothing is ordered of the VM service now, if so.
+    /// The reason why no orders are sent to the VM service now, if any.
     pub blocker: Option<&'static str>,
-    /// By what VMs are chosen.
+    /// The figures by which VMs are selected.
     pub pace: WavePace,
-    /// What keeps those that are left.
+    /// The remaining VMs, by what blocks them.
     pub left: RemainingVms,
 }
 
-/// The VMs of a wave that are left, each counted once under what it waits
-/// for next.
+/// The remaining VMs of a wave, each counted once, under what it waits for
+/// next.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct RemainingVms {
-    /// As many as planned are under way.
+    /// It isn't selected: as many as planned are in progress.
     pub parallel: usize,
-    /// There is time to wait for a calmer pool.
+    /// It isn't selected: its pool is busy, and there is time to wait.
     pub calm: usize,
-    /// It is to be chosen at the next looks.
+    /// It is to be selected in one of the next passes.
     pub next: usize,
-    /// It is emptied, and a run that is to last has no other place.
+    /// It is being drained, and a long-running task can't be placed elsewhere.
     pub place: usize,
-    /// It is emptied, and too many others of such a run's step are away.
+    /// It is being drained, and too many other tasks of a long-running task's
+    /// step are unavailable.
     pub step: usize,
-    /// It is emptied, and a former holder's stops may be under way.
+    /// It is being drained, and stops of a former holder may be in progress.
     pub settling: usize,
-    /// It is emptied, and short runs go on.
+    /// It is being drained, and short tasks are running.
     pub short: usize,
-    /// It is emptied, and a stop is under way or a start may be.
+    /// It is being drained, and a stop is in progress, or a start may be.
     pub stopping: usize,
-    /// It is emptied but for ends that aren't stored yet.
+    /// It is drained except for ends that aren't stored yet.
     pub unstored: usize,
-    /// It is emptied, but its worker isn't told yet that its ends are stored,
-    /// or what was ordered of it isn't void yet.
+    /// It is drained, but the worker hasn't yet received the acknowledgement
+    /// of its ends, or orders sent to it aren't void yet.
     pub untold: usize,
-    /// It is ready, and as many are down as may be.
+    /// It is ready, and the maximum number of VMs is down.
     pub max_down: usize,
-    /// It is ready, and is to be ordered at the next look.
+    /// It is ready, and is to be ordered in the next pass.
     pub ready: usize,
-    /// It is ordered, and there is no answer, or none that is sure.
+    /// It is ordered, without an answer, or without a conclusive one.
     pub ordered: usize,
-    /// A former holder ordered a change of it of late, or it was refused.
+    /// A former holder recently ordered a change of it, or an order was
+    /// refused.
     pub left_alone: usize,
-    /// Its worker is silent, or what runs there isn't known.
+    /// Its worker is unresponsive, or its runs aren't known.
     pub silent: usize,
     /// The VM service names a worker that isn't known.
     pub unknown: usize,
-    /// It moves to another pool, or is emptied for that or another wave.
+    /// It moves to another pool, or is being drained for that or for another
+    /// wave.
     pub moving: usize,
     /// It is down, or under maintenance.
     pub down: usize,
@@ -133,24 +139,24 @@
         ]
     }
 
-    /// Returns how many are left.
+    /// Returns the number of remaining VMs.
     pub fn total(&self) -> usize {
         self.by_reason().iter().map(|(_, count)| count).sum()
     }
 }
 
-/// When a wave was last told of.
+/// The state of the reports on a wave.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct WaveReports {
     last_ms: u64,
-    /// Whether it was told that its time is over.
+    /// Whether it was reported that the deadline has passed.
     reported_late: bool,
-    /// How often the wave was looked at since.
+    /// The number of planning passes since the last report.
     passes: u32,
 }
 
 impl WaveReports {
-    /// Returns what of the wave's time is to be told now, if anything.
+    /// Returns the state of the deadline to report now, if a report is due.
     fn due(&self, end_ms: u64, now_ms: u64) -> Option<WaveDeadline> {
         let time = match (now_ms >= end_ms, self.reported_late) {
             (false, _) => WaveDeadline::Ahead,
@@ -166,7 +172,7 @@
 }
 
 impl Scheduler {
-    /// Tells what keeps the VMs of waves, where that is due.
+    /// Reports the progress of waves for which a report is due.
     pub(super) fn report_waves(
         &mut self,
         blocker: Option<&'static str>,
@@ -235,7 +241,7 @@
         }
     }
 
-    /// Returns under what a VM that is left is counted.
+    /// Returns the counter for a remaining VM.
     fn counter_for<'a>(
         &self,
         view: &WaveView,
@@ -332,7 +338,7 @@
         }
     }
 
-    /// Returns why a run at work hasn't left its worker.
+    /// Returns why a running task hasn't left its worker.
     fn run_blocker(
         &self,
         task: &TaskId,
@@ -359,8 +365,8 @@
     }
 }
 
-/// Why a run is still on a worker that is emptied; of several on one worker,
-/// the first in this order counts.
+/// The reason why a run is still on a worker that is being drained. Of several
+/// on one worker, the first in this order counts.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 enum RunBlocker {
     Place,
@@ -370,7 +376,7 @@
     Stopping,
 }
 
-/// One look at a wave.
+/// The state of a wave in one planning pass.
 struct WaveView<'a> {
     wave: u64,
     state: &'a WaveState,
--- a/crates/dewspar/src/schedule/wave_selection.rs
+++ b/crates/dewspar/src/schedule/wave_selection.rs
@@ -1,20 +1,22 @@
 /*!
-Which VMs of a wave are emptied next, and how many at a time.
+The selection of the VMs of a wave that are drained next, and how many at a
+time.
 
-A wave has an end, and a most that may be down. Between them lies a *pace*: as
-many VMs a second as are left for each second that is left. Faster would take
-more from the pools at once than need be; slower ends late. What is due by the
-pace is chosen at each look, however long ago the last look was: a node that is
-busy looks seldom.
+A wave has a deadline, and a maximum number of VMs that may be down. Its *pace*
+is the number of remaining VMs divided by the remaining time. A faster pace
+would take more from the pools at once than necessary; a slower one would end
+late. Each pass selects what is due by the pace since the last pass, since a
+busy node runs fewer passes.
 
-Which ones follows from how busy their pools are, so that a pool at its peak
-keeps its workers; of one pool, those with the least in use come first.
+Which VMs are selected depends on how busy their pools are, so that a pool at
+its peak keeps its workers; within a pool, those with the least usage come
+first.
 
-Tasks that are to last leave one after the other, and only while there is
-another place for them. Left for the end, all of them want one at once, perhaps
-in a peak of their queue. So workers that hold some are spread over the whole
-time, each pool's by themselves, and are taken while their tasks can go to a VM
-that the wave won't take from them again.
+Long-running tasks leave one after the other, and only while another worker can
+take them. If they were left for the end, all of them would need another worker
+at once, perhaps during a peak of their queue. So workers that hold some are
+spread over the whole time, separately for each pool, and are selected when
+their tasks can go to a VM that the wave won't take from them again.
 */
 
 use {
@@ -29,71 +31,75 @@
     std::collections::BTreeMap,
 };
 
-/// How long a VM takes from being chosen to being back, in milliseconds:
-/// short tasks to their end, the maintenance itself, and the directory.
+/// The time that a VM takes from its selection until it is back, in
+/// milliseconds: short tasks to their end, the maintenance itself, and the
+/// directory.
 const VM_CYCLE_MS: u64 = 6_000;
 
-/// How much of a pool may be in use for its VMs to be taken while there is
-/// time to wait, in hundredths.
+/// The utilization of a pool up to which its VMs are selected while there is
+/// time to wait, in percent.
 pub(super) const QUIET_POOL_PERCENT: u64 = 70;
 
-/// How much more time than needed there must be to wait for a calm pool.
+/// The ratio of the available to the needed time above which there is time to
+/// wait for a quiet pool.
 const SLACK_FACTOR: u64 = 2;
 
-/// The longest time between two looks that is made up for, in milliseconds:
-/// what is due after a longer one would leave the pools all at once.
+/// The longest gap between two passes that is caught up, in milliseconds: what
+/// is due after a longer one would leave the pools all at once.
 const MAX_CATCH_UP_MS: u64 = 1_000;
 
-/// How long a VM with tasks that are to last takes to be emptied, in
-/// milliseconds: some six of them stop within a second each, some at a time.
+/// The time that it takes to drain a VM with long-running tasks, in
+/// milliseconds: some six of them stop within a second each, several at a
+/// time.
 const LONG_RUNNING_DRAIN_MS: u64 = 4_000;
 
-/// How many such VMs of a pool are looked at for one that can be emptied, at
-/// each look: what each of its tasks could go to is looked for among all
-/// workers of the pool.
+/// The maximum number of such VMs per pool that are examined in each pass:
+/// each of their tasks requires a search among all workers of the pool.
 const MAX_CANDIDATES: usize = 4;
 
-/// By what the VMs of a wave are chosen.
+/// The figures by which the VMs of a wave are selected.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct WavePace {
-    /// The time left for choosing VMs, in milliseconds.
+    /// The time left for selecting VMs, in milliseconds.
     pub left_ms: u64,
-    /// What those that are left take one after the other, in milliseconds.
+    /// The time that the remaining VMs take one after the other, in
+    /// milliseconds.
     pub needed_ms: u64,
-    /// How many may be under way at once.
+    /// How many may be in progress at once.
     pub parallel: usize,
-    /// How many are: being emptied, or down.
+    /// How many are in progress: being drained, or down.
     pub under_way: usize,
-    /// How many are due to be chosen at this look.
+    /// How many are due to be selected in this pass.
     pub due: usize,
-    /// Whether there is time to wait for a calm pool.
+    /// Whether there is time to wait for a quiet pool.
     pub may_wait: bool,
 }
 
-/// The workers of one pool that may be chosen.
+/// The workers of one pool that may be selected.
 #[derive(Default)]
 struct PoolCandidates<'a> {
-    /// Those that are left, the next one last.
+    /// The remaining workers, the next one last.
     workers: Vec<&'a Worker>,
-    /// Those of them that hold tasks that are to last, the next one first.
+    /// Those with long-running tasks, the next one first.
     long_running: Vec<&'a Worker>,
-    /// How many such workers are being emptied.
+    /// The number of workers with long-running tasks that are being drained.
     long_running_under_way: u64,
-    /// How many were chosen at this look.
+    /// The number of workers selected in this pass.
     selected: u64,
 }
 
 impl Scheduler {
-    /// Begins to empty more workers, as many as the time left asks for.
+    /// Starts to drain more workers, as many as the remaining time requires.
     pub(super) fn drain_more(&mut self, wave: u64, now: Now) {
         let Some(state) = self.waves.get(&wave) else { return };
         let selected = self.select_workers(wave, state, now);
         for id in &selected {
             self.start_drain(id, DrainReason::Maintenance(wave), now);
         }
-        // Once all are chosen, so that no place is kept on one of them, and before
-        // the pools are sized: the place for which a VM was chosen went to another
-        // pool in the same look, and the VM was emptied all through the wave.
+        // After all are selected, so that no task is reserved a place on one
+        // of them, and before the pools are sized: otherwise the place for
+        // which a VM was selected could go to another pool in the same pass,
+        // and the VM would be draining for the whole wave.
         for id in &selected {
             self.drain_worker(id, now);
         }
@@ -102,7 +108,7 @@
         }
     }
 
-    /// Returns by what the VMs of a wave are chosen now.
+    /// Returns the figures by which VMs of a wave are selected now.
     pub(super) fn wave_pace(
         &self,
         wave: u64,
@@ -130,7 +136,7 @@
         }
     }
 
-    /// Counts the workers that are being emptied and aren't down yet.
+    /// Counts the workers that are being drained and aren't down yet.
     fn draining_count(&self, wave: u64, state: &WaveState) -> usize {
         let purpose = Some(DrainReason::Maintenance(wave));
         let emptying = self.workers.values().filter(|worker| {
@@ -140,7 +146,7 @@
         emptying.count()
     }
 
-    /// Chooses the workers that are emptied now.
+    /// Selects the workers to drain now.
     fn select_workers(
         &self,
         wave: u64,
@@ -165,8 +171,8 @@
             if !eligible {
                 continue;
             }
-            // One that was ordered takes the room of others until another
-            // order shows whether the first was carried out.
+            // A VM that was ordered counts as down until another order shows
+            // whether the first was carried out, so it goes first.
             if state.is_ordered(vm) {
                 selected.push(worker.id().clone());
                 continue;
@@ -201,7 +207,8 @@
         selected
     }
 
-    /// Takes the next worker out of the pool that misses one least.
+    /// Takes the next worker from the pool that would be least utilized
+    /// without it.
     fn next_worker<'a>(
         &self,
         pools: &mut BTreeMap<&'a str, PoolCandidates<'a>>,
@@ -220,8 +227,8 @@
         choice.workers.pop()
     }
 
-    /// Takes a worker with tasks that are to last out of its pool, if one is
-    /// due and its tasks can leave now.
+    /// Takes a worker with long-running tasks from a pool, if one is due and
+    /// its tasks can leave now.
     fn next_long_running<'a>(
         &self,
         pool: &mut PoolCandidates<'a>,
@@ -243,7 +250,7 @@
         Some(worker)
     }
 
-    /// Returns whether a worker holds a task that is to last.
+    /// Returns whether a worker holds a long-running task.
     fn has_long_running_task(&self, worker: &Worker) -> bool {
         worker.runs.keys().any(|task| self.is_long_running(task))
     }
@@ -254,8 +261,8 @@
         spec.is_some_and(|spec| spec.long_running)
     }
 
-    /// Returns whether each task that is to last can leave a worker now, for a
-    /// VM that it won't have to leave again.
+    /// Returns whether each long-running task can leave a worker now, for a VM
+    /// that it won't have to leave again.
     fn can_move_for_good(&self, worker: &Worker, now: Now) -> bool {
         let stays = |id: &WorkerId| {
             let place = self.workers.get(id);
--- a/crates/dewspar/src/schedule/wave_state.rs
+++ b/crates/dewspar/src/schedule/wave_state.rs
@@ -1,5 +1,5 @@
 /*!
-How far one wave has come: which VMs are done, down, ordered, or gone.
+The state of one wave: which VMs are done, down, ordered, or gone.
 */
 
 use {
@@ -10,8 +10,7 @@
     std::collections::{BTreeMap, HashSet},
 };
 
-/// What is kept of a wave's time for what doesn't go as planned, in
-/// milliseconds.
+/// The part of a wave's time that is reserved for delays, in milliseconds.
 const DEADLINE_MARGIN_MS: u64 = 4_000;
 
 /// How long an order to the VM service waits before it is sent again, in
@@ -19,30 +18,30 @@
 const ORDER_RETRY_MS: u64 = 1_000;
 
 /// How long a VM must be missing from the list of VMs to count as gone for
-/// good, in milliseconds: several readings of the list.
+/// good, in milliseconds: several reads of the list.
 const GONE_AFTER_MS: u64 = 3_000;
 
-/// How far a wave has come.
+/// The state of a wave.
 #[derive(Debug)]
 pub(super) struct WaveState {
     pub(super) request: WaveRequest,
-    /// What is kept of it in the store.
+    /// Its record in the store.
     pub(super) record: WaveRecord,
     /// All of its VMs.
     pub(super) members: HashSet<String>,
-    /// When it ends, on the steady clock.
+    /// Its deadline, on the steady clock.
     pub(super) end_ms: u64,
-    /// When VMs were chosen last.
+    /// The time at which VMs were last selected.
     pub(super) selected_ms: u64,
-    /// The VMs that are down for it, each with since when.
+    /// The VMs that are down for it, each with the time since when.
     pub(super) down: BTreeMap<String, u64>,
-    /// The VMs with an order that isn't known to be done.
+    /// The VMs with an order that isn't known to be carried out.
     pub(super) ordered: BTreeMap<String, MaintenanceOrder>,
-    /// The VMs that aren't in the list of VMs, each with since when.
+    /// The VMs that aren't in the list of VMs, each with the time since when.
     pub(super) missing: BTreeMap<String, u64>,
-    /// Whether this holder has told the operator that it runs.
+    /// Whether this holder has reported it to the operator as running.
     pub(super) reported: bool,
-    /// When it was last told of.
+    /// The state of the reports on it.
     pub(super) reports: WaveReports,
     pub(super) completed: bool,
 }
@@ -50,16 +49,16 @@
 /// An order to take a VM down.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct MaintenanceOrder {
-    /// When it was sent last.
+    /// The time at which it was last sent.
     pub(super) sent_ms: u64,
-    /// Whether the last one has no answer yet.
+    /// Whether the last attempt has no answer yet.
     pub(super) under_way: bool,
-    /// Whether an earlier one got no answer, and may be carried out yet.
+    /// Whether an earlier attempt got no answer, and may still be carried out.
     pub(super) maybe_done: bool,
 }
 
 impl MaintenanceOrder {
-    /// Returns whether the VM may be down, or go down, by such an order.
+    /// Returns whether the VM may be down, or go down, by this order.
     pub(super) fn may_take_effect(&self) -> bool {
         self.under_way || self.maybe_done
     }
@@ -75,7 +74,7 @@
         self.members.contains(vm) && !self.record.done.contains(vm)
     }
 
-    /// Returns the time left for choosing VMs.
+    /// Returns the time left for selecting VMs, in milliseconds.
     pub(super) fn remaining_ms(&self, now: Now) -> u64 {
         self.end_ms.saturating_sub(now.steady_ms + DEADLINE_MARGIN_MS).max(1)
     }
@@ -96,12 +95,12 @@
     }
 
     /// Returns whether a VM may be down, or go down, by an order of this
-    /// holder, and so takes room already.
+    /// holder, and so counts as down already.
     pub(super) fn is_ordered(&self, vm: &str) -> bool {
         self.ordered.get(vm).is_some_and(MaintenanceOrder::may_take_effect)
     }
 
-    /// Notes that an order is sent.
+    /// Records that an order is sent.
     pub(super) fn order(&mut self, vm: &str, now: Now) {
         let before = self.ordered.get(vm);
         let maybe_done = before.is_some_and(MaintenanceOrder::may_take_effect);
@@ -111,7 +110,8 @@
         self.ordered.insert(vm.to_owned(), ordered);
     }
 
-    /// Notes that an order wasn't carried out, or that nobody knows.
+    /// Records that an order wasn't carried out, or that its outcome is
+    /// unknown.
     pub(super) fn order_failed(&mut self, vm: &str, error: VmOrderError) {
         if let Some(ordered) = self.ordered.get_mut(vm) {
             ordered.under_way = false;
@@ -119,14 +119,15 @@
         }
     }
 
-    /// Returns whether an order for the VM is under way.
+    /// Returns whether the last order for the VM was sent too recently for
+    /// another.
     pub(super) fn in_retry_delay(&self, vm: &str, now: Now) -> bool {
         self.ordered
             .get(vm)
             .is_some_and(|last| now.steady_ms < last.sent_ms + ORDER_RETRY_MS)
     }
 
-    /// Notes which VMs are back.
+    /// Updates which VMs are back or gone, from a list of VMs.
     pub(super) fn update(
         &mut self,
         asked_ms: u64,
@@ -134,15 +135,15 @@
     ) {
         self.down.retain(|name, since_ms| {
             let Some(vm) = vms.get(name) else { return false };
-            // A VM that moves has been back, though no list showed it up.
+            // A VM that moves has been back, even if no list showed it as up.
             let back = matches!(vm.status, VmStatus::Up | VmStatus::Moving);
-            // An older list may still show it as it was before.
+            // An older list may still show its state before the order.
             !(back && asked_ms > *since_ms)
         });
         self.mark_missing(asked_ms, vms);
     }
 
-    /// Takes VMs that have been missing from the list for a while as gone:
+    /// Marks VMs as done that have been missing from the list for a while:
     /// there is nothing left to maintain.
     fn mark_missing(
         &mut self,
