--- a/crates/dewspar/src/schedule/directory.rs
+++ b/crates/dewspar/src/schedule/directory.rs
@@ -23,12 +23,12 @@
 /// expired meanwhile, in milliseconds: less than the three heartbeats after
 /// which workers' entries expire, and many times the usual interval between
 /// reads.
-const UNREAD_MS: u64 = 2_000;
+const MIN_OUTAGE_MS: u64 = 2_000;
 
 /// For how long entries that expired meanwhile may be missing after the
 /// directory is readable again, in milliseconds. Workers re-enter themselves
 /// within about this time.
-const ENTERED_WITHIN_MS: u64 = 2_000;
+const REENTRY_MS: u64 = 2_000;
 
 impl Scheduler {
     /// Applies the current content of the directory of workers.
@@ -52,8 +52,8 @@
         // suffice.
         self.workers_known |= now.steady_ms >= settled;
         let unread_ms = now.steady_ms.saturating_sub(self.directory_ms);
-        if self.directory_ms > 0 && unread_ms >= UNREAD_MS {
-            self.directory_complete_ms = now.steady_ms + ENTERED_WITHIN_MS;
+        if self.directory_ms > 0 && unread_ms >= MIN_OUTAGE_MS {
+            self.directory_complete_ms = now.steady_ms + REENTRY_MS;
         }
         self.directory_ms = now.steady_ms;
         self.mark_missing_unlisted(asked_ms, &listings, now);
--- a/crates/dewspar/src/schedule/hold_answers.rs
+++ b/crates/dewspar/src/schedule/hold_answers.rs
@@ -420,7 +420,7 @@
                     worker.start_confirmed();
                 }
                 self.settle_in_doubt(&active.task, worker_id, active.run);
-                self.clear_if_sound(worker_id, &active.task);
+                self.clear_if_outlived(worker_id, &active.task);
             }
             ListedRun::Adopt(demand) => {
                 run.demand = demand;
--- a/crates/dewspar/src/schedule/job_state.rs
+++ b/crates/dewspar/src/schedule/job_state.rs
@@ -4,7 +4,7 @@
         job::{JobId, JobSpec, Phase, Progress, StepSpec, TaskId, TaskRecord},
         schedule::{
             Incarnation, QueueTerms, Resources, WorkerId,
-            in_doubt::StartsInDoubt, suspects::Crashes,
+            in_doubt::StartsInDoubt, suspects::CrashHistory,
         },
     },
     std::{collections::BTreeSet, sync::Arc},
@@ -57,7 +57,7 @@
     /// The workers on which it failed.
     pub(crate) avoid: Vec<WorkerId>,
     /// The workers that were lost under it, in a row.
-    pub(crate) crashes: Crashes,
+    pub(crate) crashes: CrashHistory,
     /// Its starts whose orders got no answer and may still be carried out.
     pub(crate) in_doubt: StartsInDoubt,
     /// What a newer version has stored of it besides.
@@ -115,7 +115,7 @@
                     continue;
                 }
                 for task in &mut step.tasks {
-                    task.crashes.may_have_begun = true;
+                    task.crashes.may_have_started = true;
                 }
             }
         }
@@ -237,7 +237,7 @@
         task.run = record.run;
         task.ended_run = record.run;
         task.checkpoint = record.checkpoint.clone();
-        task.crashes = Crashes::restored(record);
+        task.crashes = CrashHistory::restored(record);
         task.in_doubt = StartsInDoubt::restored(&record.in_doubt);
         task.other = record.other.clone();
         if record.done && !task.done {
@@ -256,7 +256,7 @@
         let known = |task: &Task| {
             task.ended_run > 0
                 || task.done
-                || task.crashes.are_on_record()
+                || task.crashes.is_on_record()
                 || !task.in_doubt.is_empty()
                 || !task.other.is_empty()
         };
@@ -300,7 +300,7 @@
     /// Returns the worker that was told to start a run of which a later holder
     /// must know, empty while none was told; `None` if there is no such run.
     fn recorded_worker(&self) -> Option<String> {
-        let wanted = !self.done && self.crashes.have_recorded_run();
+        let wanted = !self.done && self.crashes.has_recorded_run();
         let told = || self.workers.last().map_or("", WorkerId::as_str);
         wanted.then(|| told().to_owned())
     }
@@ -308,7 +308,7 @@
     /// Returns when the process of that worker was started, in milliseconds of
     /// the Unix epoch, if it says so.
     fn recorded_process(&self) -> Option<u64> {
-        let told = !self.done && self.crashes.have_recorded_run();
+        let told = !self.done && self.crashes.has_recorded_run();
         let process = self.ordered_process.started_unix_ms();
         process.filter(|_| told && !self.workers.is_empty())
     }
--- a/crates/dewspar/src/schedule/loading.rs
+++ b/crates/dewspar/src/schedule/loading.rs
@@ -46,7 +46,7 @@
 /// How long to wait before asking a worker again whose answer named unknown
 /// jobs, in milliseconds. It would answer at once each time, with the same
 /// content.
-const ASK_AGAIN_MS: u64 = 500;
+const RETRY_HOLD_MS: u64 = 500;
 
 /// The loading state of the jobs of previous holders.
 #[derive(Debug, Default)]
@@ -142,7 +142,7 @@
         let Some(worker) = self.workers.get_mut(worker_id) else { return };
         if unknown {
             worker.set_unknown_runs(true);
-            worker.set_next_hold_ms(now.steady_ms + ASK_AGAIN_MS);
+            worker.set_next_hold_ms(now.steady_ms + RETRY_HOLD_MS);
         } else if newest {
             worker.set_unknown_runs(false);
         }
--- a/crates/dewspar/src/schedule/placement.rs
+++ b/crates/dewspar/src/schedule/placement.rs
@@ -252,7 +252,7 @@
         };
         let suspected = |index: &&u32| {
             let task = &state.tasks[**index as usize];
-            task.crashes.are_on_record()
+            task.crashes.is_on_record()
                 || self.may_have_crashed_unseen(job, task)
         };
         let waiting = state.waiting.iter();
--- a/crates/dewspar/src/schedule/placement/candidates.rs
+++ b/crates/dewspar/src/schedule/placement/candidates.rs
@@ -235,7 +235,7 @@
             let suspects = state
                 .waiting
                 .iter()
-                .any(|i| state.tasks[*i as usize].crashes.are_on_record());
+                .any(|i| state.tasks[*i as usize].crashes.is_on_record());
             let spec = &job.spec.steps[step];
             // What is to run all the time is missing from the moment at which
             // it doesn't, and never too late.
--- a/crates/dewspar/src/schedule/record_merge.rs
+++ b/crates/dewspar/src/schedule/record_merge.rs
@@ -14,7 +14,7 @@
     schedule::{
         Now, Scheduler, WorkerId,
         job_state::{Job, Task},
-        suspects::Crashes,
+        suspects::CrashHistory,
     },
 };
 
@@ -131,7 +131,7 @@
         self.run = self.run.max(record.run);
         self.ended_run = self.ended_run.max(record.run);
         if record.crashes > self.crashes.count {
-            self.crashes = Crashes::restored(record);
+            self.crashes = CrashHistory::restored(record);
         }
         self.in_doubt.add(&record.in_doubt);
         self.other.add(&record.other);
--- a/crates/dewspar/src/schedule/start_log.rs
+++ b/crates/dewspar/src/schedule/start_log.rs
@@ -41,7 +41,7 @@
     crate::{
         job::{JobId, TaskId, TaskRecord},
         schedule::{
-            Incarnation, Now, Scheduler, WorkerId, suspects::Crashes,
+            Incarnation, Now, Scheduler, WorkerId, suspects::CrashHistory,
             unseen_starts::RecordedStart,
         },
     },
@@ -248,7 +248,7 @@
         }
         let Some(state) = job.task(&start.task) else { return true };
         let goes_on =
-            state.run == start.run && state.crashes.have_recorded_run();
+            state.run == start.run && state.crashes.has_recorded_run();
         state.done || !goes_on || job.stored_sequence > start.sequence
     }
 
@@ -299,8 +299,8 @@
             told: Some(start.worker.clone()),
             ..TaskRecord::default()
         };
-        state.crashes = Crashes::restored(&record);
-        state.crashes.may_have_begun = true;
+        state.crashes = CrashHistory::restored(&record);
+        state.crashes.may_have_started = true;
         let born = start.born_unix_ms;
         let process =
             born.map_or(Incarnation::UNKNOWN, Incarnation::started_at);
--- a/crates/dewspar/src/schedule/stopping.rs
+++ b/crates/dewspar/src/schedule/stopping.rs
@@ -27,7 +27,7 @@
 
 /// The progress of stopping a run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) struct Stop {
+pub(crate) struct StopProgress {
     reason: &'static str,
     /// Whether the worker has listed the run; otherwise it may still begin.
     pub(crate) begun: bool,
@@ -38,19 +38,19 @@
     ordered_ms: u64,
     orders: u32,
     answered: bool,
-    told_overdue: bool,
+    reported_overdue: bool,
 }
 
-impl Stop {
-    pub(crate) fn new(reason: &'static str, begun: bool) -> Stop {
-        Stop {
+impl StopProgress {
+    pub(crate) fn new(reason: &'static str, begun: bool) -> StopProgress {
+        StopProgress {
             reason,
             begun,
             first_ms: 0,
             ordered_ms: 0,
             orders: 0,
             answered: false,
-            told_overdue: false,
+            reported_overdue: false,
         }
     }
 
@@ -106,10 +106,10 @@
                 }
                 let account = stop.account(now_ms);
                 if account.after_ms > self.options.stop_timeout_ms
-                    && !stop.told_overdue
+                    && !stop.reported_overdue
                     && overdue.len() < MAX_OVERDUE_PER_PLAN
                 {
-                    stop.told_overdue = true;
+                    stop.reported_overdue = true;
                     overdue.push(Decision::StopOverdue {
                         task: *task,
                         run: number,
--- a/crates/dewspar/src/schedule/suspects.rs
+++ b/crates/dewspar/src/schedule/suspects.rs
@@ -66,7 +66,7 @@
 /// Margin added to twice the age at which suspected runs were lost, to get the
 /// age that clears the next run, in milliseconds. It covers the transit time
 /// of an answer and the jitter with which a worker loads what it starts.
-const CLEARED_MARGIN_MS: u64 = 100;
+const CLEAR_MARGIN_MS: u64 = 100;
 
 /// For how long a task that was suspected once avoids workers with another
 /// suspect before it accepts any worker, in milliseconds. A suspect remains
@@ -129,7 +129,7 @@
 
 /// The consecutive crashes under one task.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Crashes {
+pub(crate) struct CrashHistory {
     pub(crate) count: u32,
     /// The number of further runs whose outcome is unknown, most of them
     /// started by previous holders.
@@ -138,58 +138,58 @@
     /// milliseconds, over all crashes. It is kept when the task is cleared, so
     /// that a task whose crashes take varying times is still detected
     /// eventually.
-    most_age_ms: u64,
+    max_age_ms: u64,
     /// The same upper bound for the youngest run.
-    least_age_ms: Option<u64>,
+    min_age_ms: Option<u64>,
     /// When the last crash was noticed; 0 if under a previous holder.
     noticed_ms: u64,
     /// Whether the last run was among those that its worker started last.
     likely: bool,
     /// Whether a run was started since, or is about to be.
-    under_way: bool,
+    run_in_progress: bool,
     /// Whether a previous holder may have started the task without recording
     /// it.
-    pub(super) may_have_begun: bool,
+    pub(super) may_have_started: bool,
     /// How many of the runs with unknown outcome stand for workers that were
     /// lost before they had answered this holder.
     unsynced: u32,
     /// Whether the run in progress is the only reason for a record.
-    is_told: bool,
+    run_recorded: bool,
     /// The change that stores all of this; 0 if it isn't by this holder.
     sequence: u64,
     /// The newest change when the run in progress was recorded as ordered; 0
     /// if it wasn't by this holder.
-    told_sequence: u64,
+    run_sequence: u64,
 }
 
-impl Crashes {
+impl CrashHistory {
     /// Restores the crashes that a previous holder stored. The ages of the
     /// runs aren't stored.
-    pub(crate) fn restored(record: &TaskRecord) -> Crashes {
+    pub(crate) fn restored(record: &TaskRecord) -> CrashHistory {
         // The record alone accounts for a run that no worker was told to
         // start.
         let announced = record.told.as_deref() == Some("");
         let count = record.crashes;
         let unseen = record.unseen.saturating_sub(u32::from(announced));
-        Crashes {
+        CrashHistory {
             count,
             unseen,
-            most_age_ms: SUSPECT_AGE_MS,
-            is_told: announced && count == 0 && unseen == 0,
-            under_way: announced,
-            ..Crashes::default()
+            max_age_ms: SUSPECT_AGE_MS,
+            run_recorded: announced && count == 0 && unseen == 0,
+            run_in_progress: announced,
+            ..CrashHistory::default()
         }
     }
 
     /// Returns the crashes of a task that a previous holder may have started
     /// this many times on workers that crashed.
-    fn possible(starts: u32) -> Crashes {
-        Crashes {
+    fn possible(starts: u32) -> CrashHistory {
+        CrashHistory {
             unseen: starts,
             unsynced: starts,
-            most_age_ms: SUSPECT_AGE_MS,
-            may_have_begun: true,
-            ..Crashes::default()
+            max_age_ms: SUSPECT_AGE_MS,
+            may_have_started: true,
+            ..CrashHistory::default()
         }
     }
 
@@ -198,53 +198,53 @@
     /// task.
     pub(super) fn only_unsynced(&self) -> Option<u32> {
         let other =
-            self.count > 0 || self.unseen > self.unsynced || self.is_told;
-        (self.may_have_begun && !other).then_some(self.unsynced)
+            self.count > 0 || self.unseen > self.unsynced || self.run_recorded;
+        (self.may_have_started && !other).then_some(self.unsynced)
     }
 
     /// Returns whether a later holder must know anything of this.
-    pub(crate) fn are_on_record(&self) -> bool {
-        self.count > 0 || self.unseen > 0 || self.is_told
+    pub(crate) fn is_on_record(&self) -> bool {
+        self.count > 0 || self.unseen > 0 || self.run_recorded
     }
 
     /// Returns whether the run in progress is all that a later holder must
     /// know of.
-    fn is_only_told(&self) -> bool {
-        self.is_told && self.count == 0 && self.unseen == 0
+    fn has_only_recorded_run(&self) -> bool {
+        self.run_recorded && self.count == 0 && self.unseen == 0
     }
 
     /// Returns whether a later holder must know of the run in progress.
-    pub(crate) fn have_recorded_run(&self) -> bool {
-        self.are_on_record() && self.under_way
+    pub(crate) fn has_recorded_run(&self) -> bool {
+        self.is_on_record() && self.run_in_progress
     }
 
     /// Returns the number of runs whose end a later holder can't know. A run
     /// in progress counts, since it may have crashed its worker before that
     /// holder looks.
     pub(crate) fn unseen_on_record(&self) -> u32 {
-        self.unseen + u32::from(self.have_recorded_run())
+        self.unseen + u32::from(self.has_recorded_run())
     }
 
     /// Notes that a run is started; returns whether the record must say so.
     fn start(&mut self) -> bool {
-        self.is_told |= self.may_have_begun && !self.are_on_record();
-        self.under_way |= self.are_on_record();
-        self.under_way
+        self.run_recorded |= self.may_have_started && !self.is_on_record();
+        self.run_in_progress |= self.is_on_record();
+        self.run_in_progress
     }
 
     /// Notes that the run in progress is over and can't have crashed its
     /// worker; returns whether it was on record.
     fn end(&mut self) -> bool {
-        self.is_told = false;
-        std::mem::take(&mut self.under_way)
+        self.run_recorded = false;
+        std::mem::take(&mut self.run_in_progress)
     }
 
     /// Notes that the run that previous holders recorded was found on its
     /// worker.
     pub(super) fn found(&mut self) {
         self.unseen = self.unseen.saturating_sub(1);
-        self.is_told = !self.are_on_record();
-        self.under_way = true;
+        self.run_recorded = !self.is_on_record();
+        self.run_in_progress = true;
     }
 
     /// Notes that the run that previous holders recorded isn't on its worker,
@@ -259,14 +259,14 @@
     /// The start before the first such run left no record.
     pub(super) fn add_unseen_crash(&mut self, sequence: u64, now_ms: u64) {
         self.did_not_start();
-        if !self.are_on_record() {
+        if !self.is_on_record() {
             self.unseen = 1;
         }
         self.count += 1;
-        self.most_age_ms = SUSPECT_AGE_MS;
+        self.max_age_ms = SUSPECT_AGE_MS;
         self.noticed_ms = now_ms;
         self.likely = false;
-        self.under_way = self.count >= TEST_AFTER_CRASHES;
+        self.run_in_progress = self.count >= TEST_AFTER_CRASHES;
         self.sequence = sequence;
     }
 
@@ -279,26 +279,26 @@
     /// Returns whether the next holder must know of a start before it is
     /// ordered.
     pub(super) fn must_record_start_first(&self) -> bool {
-        self.may_have_begun || self.must_be_stored_first()
+        self.may_have_started || self.must_be_stored_first()
     }
 
     /// Adds a run that was lost. A run that had lived longer than another
     /// needed to crash its worker counts only as a start, since a bad task
     /// behaves alike each time.
     fn add(&mut self, run: &LostRun, likely: bool, now_ms: u64) {
-        let least_ms = self.least_age_ms.unwrap_or(SUSPECT_AGE_MS);
-        let alike = run.confirmed_ms <= 2 * least_ms + CLEARED_MARGIN_MS;
+        let least_ms = self.min_age_ms.unwrap_or(SUSPECT_AGE_MS);
+        let alike = run.confirmed_ms <= 2 * least_ms + CLEAR_MARGIN_MS;
         if alike {
             self.count += 1;
         } else {
             self.unseen += 1;
         }
-        self.most_age_ms = self.most_age_ms.max(run.most_age_ms);
-        self.least_age_ms = Some(least_ms.min(run.most_age_ms));
+        self.max_age_ms = self.max_age_ms.max(run.max_age_ms);
+        self.min_age_ms = Some(least_ms.min(run.max_age_ms));
         self.noticed_ms = now_ms;
         self.likely = likely;
-        self.is_told = false;
-        self.under_way = self.count >= TEST_AFTER_CRASHES;
+        self.run_recorded = false;
+        self.run_in_progress = self.count >= TEST_AFTER_CRASHES;
     }
 
     /// Returns whether the task is most likely bad.
@@ -308,18 +308,18 @@
 
     /// Returns the upper bound of a run's age when its worker crashed, in
     /// milliseconds.
-    pub(super) fn most_age_ms(&self) -> u64 {
-        self.most_age_ms
+    pub(super) fn max_age_ms(&self) -> u64 {
+        self.max_age_ms
     }
 
     /// Returns whether each run was lost right after its start, which a VM
     /// that crashes by itself doesn't cause repeatedly.
-    fn were_immediate(&self) -> bool {
-        self.most_age_ms <= IMMEDIATE_CRASH_MS
+    fn is_immediate(&self) -> bool {
+        self.max_age_ms <= IMMEDIATE_CRASH_MS
     }
 
     /// Returns whether the task has used up its starts.
-    pub(super) fn exceed_limits(&self) -> bool {
+    pub(super) fn exceeds_limits(&self) -> bool {
         self.count >= MAX_CRASHES
             || (self.count >= MAX_CERTAIN_CRASHES
                 && self.count + self.unseen >= MAX_STARTS)
@@ -330,7 +330,7 @@
         if self.count == 0 {
             return SUSPECT_AGE_MS;
         }
-        (2 * self.most_age_ms + CLEARED_MARGIN_MS).min(SUSPECT_AGE_MS)
+        (2 * self.max_age_ms + CLEAR_MARGIN_MS).min(SUSPECT_AGE_MS)
     }
 }
 
@@ -383,7 +383,7 @@
     /// How long the worker had confirmed it, in milliseconds.
     confirmed_ms: u64,
     /// The upper bound of its age, in milliseconds.
-    most_age_ms: u64,
+    max_age_ms: u64,
     suspicion: Suspicion,
 }
 
@@ -416,7 +416,7 @@
         let lost = |(task, run): (&TaskId, &Run)| LostRun {
             task: *task,
             confirmed_ms: run.confirmed_ms(answered_ms),
-            most_age_ms: over_ms.saturating_sub(run.since_ms),
+            max_age_ms: over_ms.saturating_sub(run.since_ms),
             suspicion: run.suspicion,
         };
         // The others were lost with the previous process.
@@ -448,12 +448,12 @@
 
     /// Returns the age up to which a run is a likely cause, in milliseconds.
     fn likely_age_ms(&self) -> u64 {
-        likely_age_ms(self.runs.iter().map(|run| run.most_age_ms))
+        likely_age_ms(self.runs.iter().map(|run| run.max_age_ms))
     }
 
     /// Returns whether no other run can have crashed the worker, assuming that
     /// the task needs as long for a crash as it did before.
-    fn is_only_suspect(&self, task: &TaskId, crashes: &Crashes) -> bool {
+    fn is_only_suspect(&self, task: &TaskId, crashes: &CrashHistory) -> bool {
         let enough_ms = crashes.cleared_after_ms();
         self.runs.iter().filter(|run| run.task != *task).all(|run| {
             run.suspicion.crashes == 0 && run.confirmed_ms >= enough_ms
@@ -484,21 +484,21 @@
                 self.note_suspect_ended(&run.task);
                 continue;
             }
-            let likely = run.most_age_ms <= likely_age_ms;
+            let likely = run.max_age_ms <= likely_age_ms;
             let Some(crashes) = self.count_crash(run, likely, now) else {
                 continue;
             };
-            let certain = steady || crashes.were_immediate();
+            let certain = steady || crashes.is_immediate();
             let alone = certain && lost.is_only_suspect(&run.task, &crashes);
             self.note(Decision::Suspected {
                 task: run.task,
                 worker: worker.clone(),
                 crashes: crashes.count,
-                most_age_ms: run.most_age_ms,
+                most_age_ms: run.max_age_ms,
                 alone,
             });
             let sure = alone && crashes.count >= MAX_CERTAIN_CRASHES;
-            if sure || crashes.exceed_limits() {
+            if sure || crashes.exceeds_limits() {
                 self.give_up(&run.task, crashes.count, now);
             }
         }
@@ -511,7 +511,7 @@
         run: &LostRun,
         likely: bool,
         now: Now,
-    ) -> Option<Crashes> {
+    ) -> Option<CrashHistory> {
         let job = self.jobs.get(&run.task.job)?;
         let over = job.phase.is_final();
         let done = job.task(&run.task)?.done;
@@ -533,7 +533,7 @@
 
     /// Clears a task if its run has outlived those that were lost with their
     /// workers.
-    pub(super) fn clear_if_sound(
+    pub(super) fn clear_if_outlived(
         &mut self,
         worker_id: &WorkerId,
         task: &TaskId,
@@ -541,7 +541,7 @@
         let Some(worker) = self.workers.get(worker_id) else { return };
         let Some(run) = worker.runs.get(task) else { return };
         let state = self.jobs.get(&task.job).and_then(|job| job.task(task));
-        let known = state.is_some_and(|state| state.crashes.are_on_record());
+        let known = state.is_some_and(|state| state.crashes.is_on_record());
         if run.suspicion.crashes == 0 && !known {
             return;
         }
@@ -561,23 +561,23 @@
         let job = self.jobs.get_mut(&task.job);
         let state = job.and_then(|job| job.task_mut(task));
         let Some(state) = state else { return };
-        let most_age_ms = state.crashes.most_age_ms;
-        let cleared = Crashes { most_age_ms, ..Crashes::default() };
+        let max_age_ms = state.crashes.max_age_ms;
+        let cleared = CrashHistory { max_age_ms, ..CrashHistory::default() };
         let crashes = std::mem::replace(&mut state.crashes, cleared);
-        if crashes.are_on_record() {
-            self.mark_told_changed(task.job, &crashes);
+        if crashes.is_on_record() {
+            self.mark_run_record_changed(task.job, &crashes);
         }
     }
 
     /// Marks the record of a task's run as changed, unless only a start log
     /// holds that run.
-    fn mark_told_changed(&mut self, id: JobId, crashes: &Crashes) {
+    fn mark_run_record_changed(&mut self, id: JobId, crashes: &CrashHistory) {
         let stored = self
             .jobs
             .get(&id)
-            .is_some_and(|job| job.stored_sequence >= crashes.told_sequence);
+            .is_some_and(|job| job.stored_sequence >= crashes.run_sequence);
         let only_logged = self.start_logs.are_enabled()
-            && crashes.is_only_told()
+            && crashes.has_only_recorded_run()
             && !stored
             && !self.storing.contains_key(&id);
         if !only_logged {
@@ -608,12 +608,12 @@
         let mut crashes = state.crashes;
         if crashes.start() {
             self.sequence += 1;
-            crashes.told_sequence = self.sequence;
+            crashes.run_sequence = self.sequence;
             let job = self.jobs.get_mut(&task.job);
             if let Some(state) = job.and_then(|job| job.task_mut(task)) {
                 state.crashes = crashes;
             }
-            self.mark_told_changed(task.job, &crashes);
+            self.mark_run_record_changed(task.job, &crashes);
         }
         suspicion
     }
@@ -626,7 +626,7 @@
         let Some(state) = state else { return };
         let before = state.crashes;
         if state.crashes.end() {
-            self.mark_told_changed(task.job, &before);
+            self.mark_run_record_changed(task.job, &before);
         }
     }
 
@@ -651,13 +651,13 @@
                     all_are_known = false;
                     continue;
                 }
-                crashes = Crashes::possible(starts);
+                crashes = CrashHistory::possible(starts);
                 room -= 1;
             }
-            if !crashes.must_be_stored_first() || crashes.under_way {
+            if !crashes.must_be_stored_first() || crashes.run_in_progress {
                 continue;
             }
-            crashes.under_way = true;
+            crashes.run_in_progress = true;
             crashes.sequence = self.mark_changed(task.job);
             self.await_change(task.job, crashes.sequence);
             let job = self.jobs.get_mut(&task.job);
@@ -693,7 +693,7 @@
         if !self.options.policy.placing.separates_suspects {
             return Colocation::Any;
         }
-        let Crashes { count, noticed_ms, .. } = state.crashes;
+        let CrashHistory { count, noticed_ms, .. } = state.crashes;
         let tested = self.is_tested(state, pool, now);
         let waits = now.steady_ms < noticed_ms + AVOID_SUSPECTS_MS;
         let in_burst = self.crash_bursts.is_active(pool, now);
@@ -716,7 +716,7 @@
         pool: &str,
         now: Now,
     ) -> bool {
-        let Crashes { count, likely, .. } = state.crashes;
+        let CrashHistory { count, likely, .. } = state.crashes;
         count >= TEST_AFTER_CRASHES
             || (count > 0 && likely && self.crash_bursts.is_active(pool, now))
     }
@@ -829,7 +829,7 @@
         pool: &str,
         now: Now,
     ) -> VmStability {
-        let Crashes { count, noticed_ms, .. } = state.crashes;
+        let CrashHistory { count, noticed_ms, .. } = state.crashes;
         let separates = self.options.policy.placing.separates_suspects;
         if count < TEST_AFTER_CRASHES || !separates {
             return VmStability::Flapping;
@@ -904,7 +904,7 @@
     }
 }
 
-impl Crashes {
+impl CrashHistory {
     /// Returns how a run is suspected that is found on a worker or starts
     /// together with others.
     pub(crate) fn suspicion(&self) -> Suspicion {
--- a/crates/dewspar/src/schedule/unseen_starts.rs
+++ b/crates/dewspar/src/schedule/unseen_starts.rs
@@ -35,7 +35,7 @@
         Decision, Incarnation, Now, Scheduler, VmStatus, WorkerId,
         job_state::{Job, Task},
         processes::IncarnationOrder,
-        suspects::{Crashes, LostRuns},
+        suspects::{CrashHistory, LostRuns},
         worker::Worker,
     },
 };
@@ -236,7 +236,7 @@
         &mut self,
         task: &TaskId,
         worker: &WorkerId,
-        crashes: Crashes,
+        crashes: CrashHistory,
         now: Now,
     ) {
         self.has_suspects = true;
@@ -244,10 +244,10 @@
             task: *task,
             worker: worker.clone(),
             crashes: crashes.count,
-            most_age_ms: crashes.most_age_ms(),
+            most_age_ms: crashes.max_age_ms(),
             alone: false,
         });
-        if crashes.exceed_limits() {
+        if crashes.exceeds_limits() {
             self.give_up(task, crashes.count, now);
         }
     }
--- a/crates/dewspar/src/schedule/worker.rs
+++ b/crates/dewspar/src/schedule/worker.rs
@@ -7,7 +7,7 @@
         link::Class,
         schedule::{
             Incarnation, Options, Resources, WorkerId, WorkerListing,
-            stopping::Stop,
+            stopping::StopProgress,
         },
     },
     std::collections::{BTreeMap, BTreeSet, VecDeque},
@@ -123,7 +123,7 @@
     /// The worker has said that it is there.
     Running,
     /// It is to stop; its room is taken until the end is listed.
-    Stopping(Stop),
+    Stopping(StopProgress),
 }
 
 impl Run {
@@ -205,7 +205,7 @@
 
     pub(crate) fn stop(&mut self, reason: &'static str) {
         if !self.is_stopping() {
-            let stop = Stop::new(reason, self.has_begun());
+            let stop = StopProgress::new(reason, self.has_begun());
             self.state = RunState::Stopping(stop);
         }
     }
--- a/crates/dewspar/src/schedule/write_ahead.rs
+++ b/crates/dewspar/src/schedule/write_ahead.rs
@@ -71,7 +71,7 @@
 
 /// The next step for a withheld start.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Next {
+enum WithheldAction {
     Wait,
     Order,
     Withdraw,
@@ -194,15 +194,15 @@
     ) {
         for task in self.write_ahead.take_due(now) {
             match self.decide_withheld(&task, now) {
-                Next::Wait => self.write_ahead.due.push(task),
-                Next::Order => {
+                WithheldAction::Wait => self.write_ahead.due.push(task),
+                WithheldAction::Order => {
                     let withheld = self.write_ahead.withheld.remove(&task);
                     let start = withheld.map(|withheld| withheld.start);
                     actions.extend(
                         start.and_then(|s| self.order_start(&task, s, now)),
                     );
                 }
-                Next::Withdraw => {
+                WithheldAction::Withdraw => {
                     let withheld = self.write_ahead.withheld.remove(&task);
                     if let Some(withheld) = withheld {
                         self.withdraw(&task, &withheld.start, now);
@@ -226,25 +226,29 @@
     }
 
     /// Decides what to do with a start that no longer waits for its record.
-    fn decide_withheld(&self, task: &TaskId, now: Now) -> Next {
+    fn decide_withheld(&self, task: &TaskId, now: Now) -> WithheldAction {
         let Some(withheld) = self.write_ahead.withheld.get(task) else {
-            return Next::Withdraw;
+            return WithheldAction::Withdraw;
         };
         let PlacedStart { worker, run, .. } = &withheld.start;
         let job = self.jobs.get(&task.job).filter(|j| !j.phase.is_final());
         let worker = self.workers.get(worker);
         let (Some(job), Some(worker)) = (job, worker) else {
-            return Next::Withdraw;
+            return WithheldAction::Withdraw;
         };
         // The worker's capacity may have shrunk meanwhile.
         let roomy = self.has_reliable_room(worker, &job.terms.pool, now)
             && worker.listing.capacity.contains(worker.used());
         if !roomy || !may_be_ordered(worker, task, *run, now) {
-            return Next::Withdraw;
+            return WithheldAction::Withdraw;
         }
         // The members of a gang start together.
         let gang = job.step_spec(task).is_some_and(|spec| spec.gang);
-        if gang || self.may_start() { Next::Order } else { Next::Wait }
+        if gang || self.may_start() {
+            WithheldAction::Order
+        } else {
+            WithheldAction::Wait
+        }
     }
 
     /// Withdraws a start that was never ordered.
