--- a/crates/dewspar/src/schedule/directory.rs
+++ b/crates/dewspar/src/schedule/directory.rs
@@ -316,7 +316,7 @@
             if lapsed && !idle {
                 gone.push((number, "its lease is over"));
             } else if lapsed && !worker.listed {
-                gone.push((number, "it has left"));
+                gone.push((number, "it left the directory"));
             }
         }
         for (number, reason) in gone {
--- a/crates/dewspar/src/schedule/hold_answers.rs
+++ b/crates/dewspar/src/schedule/hold_answers.rs
@@ -175,7 +175,11 @@
         let current = held.order.fence == worker.fence();
         match error {
             OrderError::Refused(Refusal::OtherLife) => {
-                self.worker_gone(worker_id, "another life answers", now);
+                self.worker_gone(
+                    worker_id,
+                    "another worker answers at its address",
+                    now,
+                );
             }
             OrderError::Refused(Refusal::Fenced) if current => {
                 self.later_token_seen(worker_id, now);
--- a/crates/dewspar/src/schedule/order_answers.rs
+++ b/crates/dewspar/src/schedule/order_answers.rs
@@ -149,7 +149,11 @@
                 self.query_under_new_token(worker_id, now);
             }
             Refusal::OtherLife => {
-                self.worker_gone(worker_id, "another life answers", now);
+                self.worker_gone(
+                    worker_id,
+                    "another worker answers at its address",
+                    now,
+                );
             }
             // The worker has something that isn't known here, or the clocks
             // disagree: ask before sending anything else.
@@ -199,7 +203,11 @@
             OrderError::Refused(Refusal::OtherLife)
                 if self.is_stopped_there(worker_id, task) =>
             {
-                self.worker_gone(worker_id, "another life answers", now);
+                self.worker_gone(
+                    worker_id,
+                    "another worker answers at its address",
+                    now,
+                );
             }
             OrderError::Refused(Refusal::Fenced) => {
                 let worker = self.workers.get(worker_id);
--- a/crates/dewspar/src/schedule/processes.rs
+++ b/crates/dewspar/src/schedule/processes.rs
@@ -201,7 +201,7 @@
         }
         self.claims.forget(&id);
         self.forget_tickets(&id);
-        let reason = "its worker has started again";
+        let reason = "its worker restarted";
         self.lose_runs(&id, ended, answered_ms, reason, now);
         if !had_lapsed {
             self.note_crash(&id, &lost, now);
