--- a/crates/dewspar/src/schedule/hold_answers.rs
+++ b/crates/dewspar/src/schedule/hold_answers.rs
@@ -175,7 +175,11 @@
         let current = held.order.fence == worker.fence();
         match error {
             OrderError::Refused(Refusal::OtherLife) => {
-                self.worker_gone(worker_id, "another life answers", now);
+                self.worker_gone(
+                    worker_id,
+                    "another worker answers at its address",
+                    now,
+                );
             }
             OrderError::Refused(Refusal::Fenced) if current => {
                 self.later_token_seen(worker_id, now);
@@ -420,7 +424,7 @@
                     worker.start_confirmed();
                 }
                 self.settle_in_doubt(&active.task, worker_id, active.run);
-                self.clear_if_sound(worker_id, &active.task);
+                self.clear_if_outlived(worker_id, &active.task);
             }
             ListedRun::Adopt(demand) => {
                 run.demand = demand;
--- a/crates/dewspar/src/schedule/worker.rs
+++ b/crates/dewspar/src/schedule/worker.rs
@@ -7,7 +7,7 @@
         link::Class,
         schedule::{
             Incarnation, Options, Resources, WorkerId, WorkerListing,
-            stopping::Stop,
+            stopping::StopProgress,
         },
     },
     std::collections::{BTreeMap, BTreeSet, VecDeque},
@@ -126,7 +126,7 @@
     Running,
     /// The run is to stop. Its resources stay in use until the worker reports
     /// its end.
-    Stopping(Stop),
+    Stopping(StopProgress),
 }
 
 impl Run {
@@ -209,7 +209,7 @@
 
     pub(crate) fn stop(&mut self, reason: &'static str) {
         if !self.is_stopping() {
-            let stop = Stop::new(reason, self.has_begun());
+            let stop = StopProgress::new(reason, self.has_begun());
             self.state = RunState::Stopping(stop);
         }
     }
