--- a/crates/dewspard/src/jobs/relay/mod.rs
+++ b/crates/dewspard/src/jobs/relay/mod.rs
@@ -1,8 +1,10 @@
 /*!
 Relays: nodes that forward the holder's orders to workers.
 
-[`dewspar::relay`] decides how many relays are wanted and which one serves
-which worker; this module holds the connections.
+Orders are the holder's calls to workers: `start`, `stop`, `pace`, and `hold`,
+which asks a worker for a report. [`dewspar::relay`] decides how many relays
+are wanted and which one serves which worker; this module holds the
+connections.
 
 | module | contents |
 |---|---|
