--- a/crates/dewspar/src/schedule/full_pools.rs
+++ b/crates/dewspar/src/schedule/full_pools.rs
@@ -1,58 +1,62 @@
 use {
-    crate::schedule::{Room, placement::PoolNumber},
+    crate::schedule::{Resources, placement::PoolNumber},
     std::collections::BTreeMap,
 };
 
-/// What the pools were found to have no room for, within one plan.
+/// The demands that the pools can't satisfy, within one scheduling pass.
 ///
-/// Room only shrinks while tasks are placed. So once a task that may go to
-/// any worker of its pool has found none, no task of that pool that asks for
-/// as much or more needs to look. Without that, every plan would look at
-/// every worker for every waiting task, and a holder with a backlog would
-/// fall ever further behind.
+/// Free capacity only shrinks while tasks are placed. Once an unconstrained
+/// task has found no worker in a pool, no task of that pool with the same or a
+/// larger demand needs to search. Without this check each pass would look at
+/// every worker for every waiting task, and a lease holder with a backlog
+/// would fall further and further behind.
 #[derive(Debug, Default)]
 pub(super) struct FullPools {
-    refused: Vec<Vec<Room>>,
+    refused: Vec<Vec<Resources>>,
 }
 
 impl FullPools {
-    pub(super) fn note(&mut self, pool: PoolNumber, demand: Room) {
+    pub(super) fn record_refusal(
+        &mut self,
+        pool: PoolNumber,
+        demand: Resources,
+    ) {
         if self.refused.len() <= pool {
             self.refused.resize_with(pool + 1, Vec::new);
         }
         let refused = &mut self.refused[pool];
-        refused.retain(|larger| !larger.holds(&demand));
+        refused.retain(|larger| !larger.contains(&demand));
         refused.push(demand);
     }
 
-    pub(super) fn has_none_for(
+    pub(super) fn is_full_for(
         &self,
         pool: PoolNumber,
-        demand: &Room,
+        demand: &Resources,
     ) -> bool {
         let refused = self.refused.get(pool);
-        refused.is_some_and(|r| r.iter().any(|least| demand.holds(least)))
+        refused.is_some_and(|r| r.iter().any(|least| demand.contains(least)))
     }
 }
 
-/// Which pools have workers that weren't asked yet what a former holder
-/// started there; each pool is looked at once within one plan.
+/// The pools with workers that haven't listed yet what a former lease holder
+/// started there. Each pool is checked once per scheduling pass.
 #[derive(Debug, Default)]
-pub(super) struct UnaskedPools {
+pub(super) struct UnsyncedPools {
     known: BTreeMap<String, bool>,
 }
 
-impl UnaskedPools {
+impl UnsyncedPools {
     pub(super) fn contains(
         &mut self,
         pool: &str,
-        look: impl FnOnce() -> bool,
+        check: impl FnOnce() -> bool,
     ) -> bool {
         if let Some(known) = self.known.get(pool) {
             return *known;
         }
-        let unasked = look();
-        self.known.insert(pool.to_owned(), unasked);
-        unasked
+        let unsynced = check();
+        self.known.insert(pool.to_owned(), unsynced);
+        unsynced
     }
 }
--- a/crates/dewspar/src/schedule/report.rs
+++ b/crates/dewspar/src/schedule/hold_answers.rs
@@ -1,73 +1,77 @@
 /*!
-What a worker's answer to a hold changes.
+Handling of workers' answers to holds.
+
+A *hold* renews a worker's lease and asks what runs there. Its answer lists the
+worker's active runs and the ends that aren't acknowledged yet.
 */
 
 use {
     crate::{
         job::{Phase, TaskId},
         schedule::{
-            ActiveRun, Decision, EndCause, EndedRun, Held, HoldReport,
-            Incarnation, Now, OrderError, Refusal, Room, Scheduler, WorkerId,
-            WorkerListing,
-            answers::call_end,
+            ActiveRun, Decision, EndCause, EndedRun, HoldReport, Incarnation,
+            Now, OrderError, Refusal, Resources, Scheduler, SentHold,
+            WorkerId, WorkerListing,
             job_state::{Job, demand},
-            processes::Succession,
-            worker::{OwedHold, Run, RunState},
+            order_answers::call_end,
+            processes::IncarnationOrder,
+            worker::{DueHold, Run, RunState},
         },
     },
     std::collections::BTreeMap,
 };
 
-/// At what share a best-effort run is taken to work that was found running,
-/// in percent: whatever it is, the next steps set it outright.
+/// The assumed pace of a best-effort run that was found running, in percent.
+/// The next pacing steps set it explicitly, whatever it is.
 const ADOPTED_PACE: u8 = 50;
 
-/// What to do about a run that a worker lists as active.
-enum Found {
-    /// It is the one that was ordered.
+/// How a run that a worker lists as active relates to the known state.
+enum ListedRun {
+    /// The run that was ordered.
     Expected,
-    /// It belongs to a task that needs it.
-    Adopt(Room),
-    /// Nobody needs it; what it takes is only known if its job is.
-    Unwanted(Option<Room>),
+    /// A run of a task that needs it.
+    Adopt(Resources),
+    /// A run that nobody needs; its resource demand is only known if its job
+    /// is.
+    Unwanted(Option<Resources>),
 }
 
-/// A run that a worker doesn't list though it would have to.
+/// A run that its worker fails to list.
 struct MissingRun {
     task: TaskId,
     run: u64,
     age_ms: u64,
     ordered_ms: u64,
     begun: bool,
-    /// Whether the process that was to start it has ended.
-    is_outlived: bool,
+    /// Whether the process that was told to start it has ended.
+    process_has_ended: bool,
 }
 
 impl Scheduler {
-    /// Takes in a worker's answer to a hold.
+    /// Applies a worker's answer to a hold.
     pub fn hold_answered(
         &mut self,
         worker_id: &WorkerId,
-        held: &Held,
+        held: &SentHold,
         report: &HoldReport,
         now: Now,
     ) {
         self.hold_ended(held, None, now);
         let told = report.incarnation;
-        match self.judge_process(worker_id, told, "an answer") {
-            Succession::Same => {}
-            Succession::Newer => {
+        match self.check_incarnation(worker_id, told, "an answer") {
+            IncarnationOrder::Same => {}
+            IncarnationOrder::Newer => {
                 self.next_process_answered(worker_id, told, now);
                 return;
             }
-            Succession::Former => {
+            IncarnationOrder::Older => {
                 self.former_process_answered(worker_id, held, now);
                 return;
             }
         }
-        let pause_ms = self.ask_pause_ms();
+        let pause_ms = self.poll_pause_ms();
         let Some(worker) = self.workers.get_mut(worker_id) else { return };
-        // It may say what was before another process began.
+        // It may describe the time before another process started.
         if held.session != worker.session {
             return;
         }
@@ -75,12 +79,12 @@
         worker.back_off(now.steady_ms + pause_ms);
         let first = !worker.synced;
         let latest_ms = worker.latest_report_ms();
-        let owed = OwedHold { order: held.order, fencing: held.fencing };
+        let owed = DueHold { order: held.order, fencing: held.fencing };
         let newest =
             worker.hold_answered(&owed, report, now.steady_ms, &self.options);
-        let passed_over = worker.passes_lists_over(newest);
+        let passed_over = worker.record_lists_passed_over(newest);
         if passed_over {
-            self.note(Decision::ListsPassedOver {
+            self.note(Decision::StaleReportIgnored {
                 worker: worker_id.clone(),
                 clock_ms: report.clock_ms,
                 latest_ms,
@@ -89,7 +93,8 @@
         self.claims.answered(worker_id);
         self.note_unknown_runs(worker_id, report, newest, now);
         for end in &report.ended {
-            // It is told again, and all after it, until it is acknowledged.
+            // This end and all later ones are reported again until they are
+            // acknowledged.
             if self.is_unknown(end.task.job) {
                 break;
             }
@@ -98,8 +103,8 @@
                 self.run_ended(worker_id, end, now);
             }
         }
-        // Answers on different connections may overtake each other; what an
-        // older one says is active may have ended since.
+        // Answers on different connections may overtake each other; a run that
+        // is active according to an older one may have ended since.
         if newest {
             for active in &report.active {
                 if self.is_unknown(active.task.job) {
@@ -108,7 +113,7 @@
                 self.run_active(worker_id, active, now);
             }
             if !report.is_partial {
-                self.drop_missing(worker_id, held, report, now);
+                self.drop_missing_runs(worker_id, held, report, now);
             }
         }
         let synced = self.workers.get(worker_id).is_some_and(|w| w.synced);
@@ -122,9 +127,9 @@
         }
     }
 
-    /// Goes on with a worker's next process, of which nothing is known but that
-    /// it answers. What it lists is taken in once it answers under a token that
-    /// makes void what was sent before.
+    /// Switches to a worker's next process, of which nothing is known but that
+    /// it answers. The runs that it lists are applied once it answers under a
+    /// token that invalidates all earlier orders.
     fn next_process_answered(
         &mut self,
         worker_id: &WorkerId,
@@ -133,29 +138,29 @@
     ) {
         let Some(worker) = self.workers.get(worker_id) else { return };
         let listing = WorkerListing { incarnation, ..worker.listing.clone() };
-        self.go_on_with_next(listing, 0, now);
+        self.replace_process(listing, 0, now);
     }
 
-    /// Passes an answer over that a worker's known process hasn't given.
+    /// Ignores an answer that wasn't given by a worker's known process.
     fn former_process_answered(
         &mut self,
         worker_id: &WorkerId,
-        held: &Held,
+        held: &SentHold,
         now: Now,
     ) {
         let Some(worker) = self.workers.get_mut(worker_id) else { return };
-        // Asked of the known one, it is as good as none.
+        // The hold was sent to the known process, so this counts as no answer.
         if held.session == worker.session {
-            let owed = OwedHold { order: held.order, fencing: held.fencing };
+            let owed = DueHold { order: held.order, fencing: held.fencing };
             worker.hold_failed(&owed, now.steady_ms, &self.options);
         }
     }
 
-    /// Takes note that a hold got no answer.
+    /// Notes that a hold got no answer.
     pub fn hold_failed(
         &mut self,
         worker_id: &WorkerId,
-        held: &Held,
+        held: &SentHold,
         error: OrderError,
         now: Now,
     ) {
@@ -164,13 +169,17 @@
         if held.session != worker.session {
             return;
         }
-        let owed = OwedHold { order: held.order, fencing: held.fencing };
+        let owed = DueHold { order: held.order, fencing: held.fencing };
         let was_silent = worker.silent_since_ms.is_some();
         worker.hold_failed(&owed, now.steady_ms, &self.options);
         let current = held.order.fence == worker.fence();
         match error {
             OrderError::Refused(Refusal::OtherLife) => {
-                self.worker_gone(worker_id, "another life answers", now);
+                self.worker_gone(
+                    worker_id,
+                    "another worker answers at its address",
+                    now,
+                );
             }
             OrderError::Refused(Refusal::Fenced) if current => {
                 self.later_token_seen(worker_id, now);
@@ -186,18 +195,19 @@
 
     fn hold_ended(
         &mut self,
-        held: &Held,
+        held: &SentHold,
         error: Option<OrderError>,
         now: Now,
     ) {
-        // What the worker was let to wait says nothing of this node.
+        // The time that the worker was allowed to wait says nothing about this
+        // node.
         let sent_ms = held.sent_ms + held.order.wait_ms;
         let end = call_end(sent_ms, error, now);
         if held.in_window {
             self.window.ended(end);
         }
         if !held.silent {
-            self.order_ended(held.sent_ms, end, now);
+            self.record_order_end(held.sent_ms, end, now);
         }
     }
 
@@ -220,13 +230,14 @@
             failures: failures.unwrap_or(0),
         });
         let Some(failures) = failures else {
-            // Of a job that is over and stored there is nothing more to store.
-            let sequence = self.set_end_aside(worker_id, end);
+            // There is nothing more to store for a job that is over and
+            // stored.
+            let sequence = self.defer_end(worker_id, end);
             self.acknowledge(worker_id, end, sequence, now);
             return;
         };
         self.settle_found_in_doubt(&task, worker_id, end.run);
-        self.note_begun(task.job, now);
+        self.mark_job_begun(task.job, now);
         match end.cause {
             EndCause::Done => self.task_done(worker_id, &task, now),
             EndCause::Failed => {
@@ -237,16 +248,16 @@
             | EndCause::LeaseOver
             | EndCause::GangBroken
             | EndCause::GangIncomplete => {
-                // Its worker has survived it; another run may be under way.
+                // Its worker has survived it; another run may be in progress.
                 if here {
-                    self.note_suspect_over(&task);
+                    self.note_suspect_ended(&task);
                 }
             }
         }
         let sequence = self.mark_changed(task.job);
         self.acknowledge(worker_id, end, sequence, now);
         if here {
-            self.free_run(&task, worker_id, now);
+            self.release_run(&task, worker_id, now);
         }
         self.finish_if_over(&task, failures, now);
     }
@@ -259,11 +270,11 @@
         sequence: u64,
         now: Now,
     ) {
-        let (jobs, set_aside) = (&self.jobs, &self.set_aside);
+        let (jobs, unreadable_jobs) = (&self.jobs, &self.unreadable_jobs);
         if let Some(worker) = self.workers.get_mut(worker_id) {
-            worker.end_changes(end.number, end.task.job, sequence);
-            worker.store_ends(now.steady_ms, |job, sequence| {
-                set_aside.is_stored(jobs, job, sequence)
+            worker.end_pending_store(end.number, end.task.job, sequence);
+            worker.advance_stored_ends(now.steady_ms, |job, sequence| {
+                unreadable_jobs.is_stored(jobs, job, sequence)
             });
         }
     }
@@ -284,7 +295,8 @@
         if long || step.is_done() {
             return;
         }
-        // The members of a gang end together, and one end stands for all.
+        // The members of a gang end together, so one end counts for all of
+        // them.
         let all = 0..step.tasks.len() as u32;
         let members = if gang { all } else { task.index..task.index + 1 };
         let mut others = Vec::new();
@@ -296,9 +308,9 @@
                 step.waiting.remove(&index);
             }
             let id = TaskId { index, ..*task };
-            others.extend(member.on.iter().map(|on| (id, on.clone())));
+            others.extend(member.workers.iter().map(|on| (id, on.clone())));
         }
-        // Copies of a task that is done are of no use.
+        // Other copies of a finished task are obsolete.
         if !gang {
             for (id, on) in others.iter().filter(|(_, on)| on != worker_id) {
                 self.stop_run(id, on, "another copy is done");
@@ -316,7 +328,7 @@
 
     fn task_failed(&mut self, worker_id: &WorkerId, task: &TaskId, now: Now) {
         let Some(job) = self.jobs.get(&task.job) else { return };
-        // A job that fails on more than one worker is at fault itself.
+        // A job that fails on more than one worker is itself the cause.
         let mut failed_on: Vec<WorkerId> = job
             .rounds
             .iter()
@@ -329,7 +341,7 @@
         if failed_on.len() > 1 {
             for id in failed_on {
                 if let Some(worker) = self.workers.get_mut(&id) {
-                    worker.forgive(task.job);
+                    worker.clear_failure(task.job);
                 }
             }
             return;
@@ -370,12 +382,13 @@
         now: Now,
     ) {
         self.note_progress(active);
-        self.note_begun(active.task.job, now);
-        let found = self.judge(worker_id, active);
-        // A former holder may have slowed it down: it is let go step by step.
+        self.mark_job_begun(active.task.job, now);
+        let found = self.classify_run(worker_id, active);
+        // A previous holder may have slowed it down: its pace is raised step
+        // by step.
         let spec = self.step_spec(&active.task);
         let best_effort = spec.is_some_and(|spec| spec.best_effort);
-        let lasts = spec.is_some_and(|spec| spec.long_running);
+        let long_running = spec.is_some_and(|spec| spec.long_running);
         let pace = if best_effort { ADOPTED_PACE } else { 100 };
         let job = self.jobs.get(&active.task.job);
         let state = job.and_then(|job| job.task(&active.task));
@@ -386,7 +399,7 @@
         let mut run = Run {
             run: active.run,
             fence: 0,
-            demand: Room::default(),
+            demand: Resources::default(),
             state: RunState::Running,
             since_ms: now.steady_ms,
             confirmed_from_ms: Some(reported_ms),
@@ -396,24 +409,24 @@
             pace,
             suspicion,
             measured: true,
-            lasts,
+            long_running,
             is_listed: true,
-            is_outlived: false,
+            process_has_ended: false,
         };
         match found {
-            Found::Expected => {
-                // OK because `judge` has just found it.
+            ListedRun::Expected => {
+                // OK because `classify_run` has just found it.
                 let run = worker.runs.get_mut(&active.task).expect("known");
                 let was_starting = run.state == RunState::Starting;
                 run.update(active, now.steady_ms);
                 run.confirm(reported_ms);
                 if was_starting {
-                    worker.start_shown();
+                    worker.start_confirmed();
                 }
                 self.settle_in_doubt(&active.task, worker_id, active.run);
-                self.clear_if_sound(worker_id, &active.task);
+                self.clear_if_outlived(worker_id, &active.task);
             }
-            Found::Adopt(demand) => {
+            ListedRun::Adopt(demand) => {
                 run.demand = demand;
                 worker.insert(active.task, run);
                 self.settle_found_in_doubt(
@@ -423,7 +436,7 @@
                 );
                 self.adopt(worker_id, active);
             }
-            Found::Unwanted(demand) => {
+            ListedRun::Unwanted(demand) => {
                 run.measured = demand.is_some();
                 run.demand = demand.unwrap_or_default();
                 worker.insert(active.task, run);
@@ -432,10 +445,10 @@
         }
     }
 
-    /// Enters the number and the checkpoint of a run with its task.
+    /// Stores the number and the checkpoint of a run with its task.
     ///
-    /// Most answers say of most runs what is known, and a job that isn't
-    /// changed needn't be looked at again.
+    /// Most answers repeat what is known of most runs, and a job that doesn't
+    /// change needn't be evaluated again.
     fn note_progress(&mut self, active: &ActiveRun) {
         let job = self.jobs.get(&active.task.job);
         let Some(known) = job.and_then(|job| job.task(&active.task)) else {
@@ -456,25 +469,29 @@
         }
     }
 
-    fn judge(&self, worker_id: &WorkerId, active: &ActiveRun) -> Found {
+    fn classify_run(
+        &self,
+        worker_id: &WorkerId,
+        active: &ActiveRun,
+    ) -> ListedRun {
         let worker = self.workers.get(worker_id);
         let here = worker.and_then(|w| w.runs.get(&active.task));
         if here.is_some_and(|run| run.run == active.run) {
-            return Found::Expected;
+            return ListedRun::Expected;
         }
         let Some(job) = self.jobs.get(&active.task.job) else {
-            return Found::Unwanted(None);
+            return ListedRun::Unwanted(None);
         };
         let demand = job.step_spec(&active.task).map(demand);
         let needed = job.task(&active.task).is_some_and(|task| {
             !job.phase.is_final()
                 && !task.done
-                && task.on.is_empty()
+                && task.workers.is_empty()
                 && active.run > task.ended_run
         });
         match demand {
-            Some(demand) if needed => Found::Adopt(demand),
-            demand => Found::Unwanted(demand),
+            Some(demand) if needed => ListedRun::Adopt(demand),
+            demand => ListedRun::Unwanted(demand),
         }
     }
 
@@ -484,7 +501,7 @@
         if let Some(step) = job.step_mut(&id) {
             step.waiting.remove(&id.index);
             if let Some(task) = step.tasks.get_mut(id.index as usize) {
-                task.on.push(worker_id.clone());
+                task.workers.push(worker_id.clone());
             }
         }
         self.note(Decision::Adopted {
@@ -494,11 +511,11 @@
         });
     }
 
-    /// Drops the runs that a worker doesn't list though it would have to.
-    fn drop_missing(
+    /// Drops the runs that a worker fails to list.
+    fn drop_missing_runs(
         &mut self,
         worker_id: &WorkerId,
-        held: &Held,
+        held: &SentHold,
         report: &HoldReport,
         now: Now,
     ) {
@@ -511,8 +528,9 @@
             .runs
             .iter()
             .filter(|(task, run)| {
-                // A start under an older token can't be carried out any
-                // more; one that was answered before the question was there.
+                // A start under an older token can't be carried out any more.
+                // A start that was answered before the hold was sent must be
+                // listed.
                 let settled = if run.has_begun() {
                     run.since_ms < held.sent_ms
                 } else {
@@ -528,28 +546,29 @@
                 age_ms: run.confirmed_ms(answered_ms),
                 ordered_ms: run.since_ms,
                 begun: run.has_begun(),
-                is_outlived: run.is_outlived,
+                process_has_ended: run.process_has_ended,
             })
             .collect();
         for missing in missing {
-            let MissingRun { task, run, age_ms, begun, is_outlived, .. } =
-                missing;
-            // It may have ended the process that it was ordered of.
-            if !begun && !is_outlived {
-                self.note_suspect_over(&task);
+            let MissingRun {
+                task, run, age_ms, begun, process_has_ended, ..
+            } = missing;
+            // It may have crashed the process from which it was ordered.
+            if !begun && !process_has_ended {
+                self.note_suspect_ended(&task);
             }
             if !begun {
                 self.note_in_doubt(&task, worker_id, run, missing.ordered_ms);
             }
-            self.note(Decision::Lost {
+            self.note(Decision::RunLost {
                 task,
                 run,
                 worker: worker_id.clone(),
                 reason: "the worker doesn't list it",
                 age_ms,
-                beside,
+                other_runs: beside,
             });
-            self.free_run(&task, worker_id, now);
+            self.release_run(&task, worker_id, now);
         }
     }
 }
@@ -557,7 +576,7 @@
 impl Run {
     fn update(&mut self, active: &ActiveRun, now_ms: u64) {
         self.is_listed = true;
-        self.is_outlived = false;
+        self.process_has_ended = false;
         match &mut self.state {
             RunState::Starting => {
                 self.state = RunState::Running;
@@ -576,7 +595,7 @@
     }
 }
 
-/// Enters an end with its job; returns how often the task has failed.
+/// Records an end with its job; returns how often the task has failed.
 pub(super) fn note_end(
     job: &mut Job,
     worker_id: &WorkerId,
--- a/crates/dewspar/src/schedule/maintenance.rs
+++ b/crates/dewspar/src/schedule/maintenance.rs
@@ -1,51 +1,51 @@
 /*!
-Maintenance waves: every VM of a wave taken down once, its tasks moved first.
+Maintenance waves: each VM of a wave is taken down once, after its tasks moved.
 
-A VM is *emptied* before it goes down: its worker gets nothing new, short
+A VM is *drained* before it goes down: its worker gets no new tasks, short
 tasks run to their end, and long-running ones are stopped one at a time, each
 only while its step can spare another. Then the VM service is ordered to take
-it down, which it does at once.
+the VM down, which it does at once.
 
-Which VMs are emptied next, and how many at a time, is for `wave_choice`.
+`wave_selection` decides which VMs are drained next, and how many at a time.
 */
 
 use {
     crate::{
         job::TaskId,
         schedule::{
-            Decision, ManagedVm, Now, Scheduler, VmLife, VmOrder,
-            VmOrderError, WaveRecord, WaveRequest, WorkerId,
-            wave_account::WaveTold,
+            Decision, ManagedVm, Now, Scheduler, VmOrder, VmOrderError,
+            VmStatus, WaveRecord, WaveRequest, WorkerId,
+            wave_progress::WaveReports,
             wave_state::WaveState,
-            worker::{Purpose, RunState, Worker},
+            worker::{DrainReason, RunState, Worker},
         },
     },
     std::collections::{BTreeMap, BTreeSet, HashMap},
 };
 
-/// How long short tasks may run on a worker that is being emptied before
-/// those with a checkpoint are stopped, in milliseconds: most end by then.
-const CHECKPOINTED_PATIENCE_MS: u64 = 2_500;
+/// How long short tasks with a checkpoint may run on a worker that is being
+/// drained before they are stopped, in milliseconds: most end by then.
+const CHECKPOINTED_DRAIN_TIMEOUT_MS: u64 = 2_500;
 
-/// How long before all short tasks are stopped, in milliseconds: longer than
-/// nearly any of them takes.
-const PATIENCE_MS: u64 = 6_000;
+/// How long other short tasks may run on a worker that is being drained before
+/// they are stopped, in milliseconds: longer than nearly any of them takes.
+const DRAIN_TIMEOUT_MS: u64 = 6_000;
 
-/// Whether a task is to leave a worker that is being emptied.
-enum Leave {
-    /// It goes on for now.
-    NotYet,
-    /// It is stopped, and waits for its turn like any other.
-    AtOnce,
-    /// It is stopped once it has a place elsewhere.
-    WithPlace,
+/// Whether and when a task is evicted from a worker that is being drained.
+enum Eviction {
+    /// It continues for now.
+    Defer,
+    /// It is stopped, and queued again like any other.
+    Immediate,
+    /// It is stopped once a worker elsewhere is reserved for it.
+    OncePlaced,
 }
 
 impl Scheduler {
-    /// Takes over the waves that are asked for, each with what was kept of it
-    /// before this node took over.
+    /// Adds the requested waves, each with the record that a former holder
+    /// kept of it.
     ///
-    /// Returns the waves that nobody has seen before, to be recorded.
+    /// Returns the waves without a record, which are to be recorded.
     pub fn request_waves(
         &mut self,
         now: Now,
@@ -66,7 +66,7 @@
                 since_unix_ms: now.unix_ms,
                 done: BTreeSet::new(),
             });
-            // The nodes' times of day differ a little.
+            // The wall clocks of the nodes differ a little.
             let passed_ms = now.unix_ms.saturating_sub(record.since_unix_ms);
             let left_ms = request.duration_ms.saturating_sub(passed_ms);
             let state = WaveState {
@@ -74,12 +74,12 @@
                 record,
                 members: request.vms.iter().cloned().collect(),
                 end_ms: now.steady_ms + left_ms,
-                chosen_ms: now.steady_ms,
+                selected_ms: now.steady_ms,
                 down: BTreeMap::new(),
                 ordered: BTreeMap::new(),
                 missing: BTreeMap::new(),
                 reported: false,
-                told: WaveTold::default(),
+                reports: WaveReports::default(),
                 completed: completed.contains(&request.wave),
             };
             self.waves.insert(request.wave, state);
@@ -87,22 +87,22 @@
         unseen
     }
 
-    /// Returns what a later holder must know of a wave.
+    /// Returns the part of a wave's state that a later holder must know.
     pub fn wave_record(&self, wave: u64) -> Option<&WaveRecord> {
         self.waves.get(&wave).map(|state| &state.record)
     }
 
-    /// Takes over the list of VMs, as it was asked for at `asked_ms`.
+    /// Applies the list of VMs that was requested at `asked_ms`.
     pub fn list_vms(&mut self, now: Now, asked_ms: u64, vms: &[ManagedVm]) {
         self.vms = vms.iter().map(|vm| (vm.vm.clone(), vm.clone())).collect();
-        let lives = vms.iter().filter(|vm| vm.life == VmLife::Up);
+        let lives = vms.iter().filter(|vm| vm.status == VmStatus::Up);
         let lives: Vec<(WorkerId, String)> = lives
             .filter_map(|vm| {
                 vm.worker.clone().map(|worker| (worker, vm.pool.clone()))
             })
             .collect();
-        // What the list doesn't have has ended, if it was there before the
-        // list was asked for.
+        // A worker that isn't in the list has ended, if it was known before
+        // the list was requested.
         let listed: BTreeSet<&WorkerId> =
             lives.iter().map(|(life, _)| life).collect();
         let ended: Vec<WorkerId> = self
@@ -119,33 +119,39 @@
         }
         self.expect_workers(now, lives);
         for state in self.waves.values_mut() {
-            state.settle(asked_ms, &self.vms);
+            state.update(asked_ms, &self.vms);
         }
         self.vms_asked_ms = asked_ms;
         self.note_capacities();
-        self.use_again();
+        self.return_to_service();
     }
 
-    /// Uses workers again whose VMs were maintained before their turn came.
-    fn use_again(&mut self) {
+    /// Returns workers to service whose VMs were maintained while they waited
+    /// to be taken down.
+    fn return_to_service(&mut self) {
         for worker in self.workers.values_mut() {
-            let Some(Purpose::Maintenance(wave)) = &worker.emptying else {
+            let Some(DrainReason::Maintenance(wave)) = &worker.drain_reason
+            else {
                 continue;
             };
             let state = self.waves.get(wave);
             let vm = &worker.listing.vm;
-            // One that is down is back only once a later list shows it.
+            // A VM that went down is back only once a later list shows it.
             let back = state.is_some_and(|state| {
                 state.record.done.contains(vm) && !state.down.contains_key(vm)
             });
             if back {
-                worker.emptying = None;
+                worker.drain_reason = None;
             }
         }
     }
 
-    /// Returns the next orders for VMs under maintenance.
-    pub(super) fn maintain(&mut self, now: Now, orders: &mut Vec<VmOrder>) {
+    /// Appends the next orders for maintenance.
+    pub(super) fn plan_maintenance(
+        &mut self,
+        now: Now,
+        orders: &mut Vec<VmOrder>,
+    ) {
         let waves: Vec<u64> = self
             .waves
             .iter()
@@ -154,32 +160,33 @@
             .collect();
         for wave in waves {
             self.report_running(wave, orders);
-            self.order_empty_vms(wave, now, orders);
-            self.empty_more(wave, now);
+            self.order_drained_vms(wave, now, orders);
+            self.drain_more(wave, now);
             self.complete(wave, orders);
         }
     }
 
-    /// Orders the maintenance of what is empty, as far as the wave allows.
-    fn order_empty_vms(
+    /// Orders the maintenance of drained VMs, as far as the wave allows.
+    fn order_drained_vms(
         &mut self,
         wave: u64,
         now: Now,
         orders: &mut Vec<VmOrder>,
     ) {
         let Some(state) = self.waves.get(&wave) else { return };
-        let mut room = state.room(|vm| self.may_be_down(vm, now));
+        let mut room = state.allowance(|vm| self.may_be_down(vm, now));
         let workers = self.workers_by_vm();
         let mut ready = Vec::new();
         for vm in state.remaining() {
             let worker = workers.get(vm.as_str()).copied();
-            // One that was ordered before counts as down already.
+            // A VM that was ordered before counts as down already.
             let again = state.is_ordered(vm);
             if room == 0 && !again {
                 continue;
             }
-            let free = !state.is_waiting(vm, now) && self.may_order(vm, now);
-            if !free || !self.is_empty_for(vm, worker, wave) {
+            let free =
+                !state.in_retry_delay(vm, now) && self.may_order_vm(vm, now);
+            if !free || !self.is_drained_for(vm, worker, wave) {
                 continue;
             }
             ready.push(vm.clone());
@@ -194,28 +201,29 @@
         }
     }
 
-    /// Returns whether a VM may be down by an order of a former holder: it
-    /// is, or it was ordered of late and the order may yet be carried out.
+    /// Returns whether a VM may be down by an order of a former holder: it is
+    /// in maintenance, or it was ordered recently and the order may still be
+    /// carried out.
     pub(super) fn may_be_down(&self, vm: &str, now: Now) -> bool {
         let known = self.vms.get(vm);
-        known.is_some_and(|vm| vm.life == VmLife::Maintenance)
-            || self.was_ordered_before(vm, now)
+        known.is_some_and(|vm| vm.status == VmStatus::Maintenance)
+            || self.was_ordered_by_former(vm, now)
     }
 
-    /// Returns whether a VM may go down now.
-    fn is_empty_for(
+    /// Returns whether a VM is ready to go down for a wave.
+    fn is_drained_for(
         &self,
         vm: &str,
         worker: Option<&Worker>,
         wave: u64,
     ) -> bool {
         let Some(known) = self.vms.get(vm) else { return false };
-        if known.life != VmLife::Up {
+        if known.status != VmStatus::Up {
             return false;
         }
         match worker {
             Some(worker) => {
-                worker.emptying == Some(Purpose::Maintenance(wave))
+                worker.drain_reason == Some(DrainReason::Maintenance(wave))
                     && worker.is_settled()
             }
             // A VM that is switched off has no worker.
@@ -227,8 +235,8 @@
         self.workers.values().find(|worker| worker.listing.vm == vm)
     }
 
-    /// Returns the worker on each VM, the first of two lives: looking for one
-    /// VM after the other goes over all workers each time.
+    /// Returns the worker on each VM, or the first of two. Looking up single
+    /// VMs would iterate over all workers each time.
     pub(super) fn workers_by_vm(&self) -> HashMap<&str, &Worker> {
         let mut workers = HashMap::with_capacity(self.workers.len());
         for worker in self.workers.values() {
@@ -237,49 +245,54 @@
         workers
     }
 
-    /// Returns how much of a pool would be in use if it had so many fewer
-    /// workers, in hundredths.
+    /// Returns the utilization of a pool if it had `less` fewer workers, in
+    /// percent.
     pub(super) fn pool_percent_without(&self, pool: &str, less: u64) -> u64 {
         self.pool_load(pool).percent_without(less)
     }
 
-    /// Lets a worker run dry.
-    pub(super) fn empty(&mut self, id: &WorkerId, purpose: Purpose, now: Now) {
+    /// Starts to drain a worker.
+    pub(super) fn start_drain(
+        &mut self,
+        id: &WorkerId,
+        purpose: DrainReason,
+        now: Now,
+    ) {
         let Some(worker) = self.workers.get_mut(id) else { return };
         let reason = match &purpose {
-            Purpose::Maintenance(_) => "maintenance",
-            Purpose::Move(_) => "move",
+            DrainReason::Maintenance(_) => "maintenance",
+            DrainReason::Move(_) => "move",
         };
-        worker.emptying = Some(purpose);
-        worker.emptying_since_ms = now.steady_ms;
+        worker.drain_reason = Some(purpose);
+        worker.drain_since_ms = now.steady_ms;
         let vm = worker.listing.vm.clone();
-        self.note(Decision::Emptying { worker: id.clone(), vm, reason });
+        self.note(Decision::DrainStarted { worker: id.clone(), vm, reason });
     }
 
-    /// Stops what has to leave workers that are being emptied or end soon.
-    pub(super) fn empty_workers(&mut self, now: Now) {
-        self.forget_unplaced();
+    /// Evicts tasks from workers that are being drained or end soon.
+    pub(super) fn drain_workers(&mut self, now: Now) {
+        self.clear_unplaced();
         let emptying: Vec<WorkerId> = self
             .workers
             .values()
             .filter(|worker| {
-                worker.emptying.is_some() || worker.is_about_to_end()
+                worker.drain_reason.is_some() || worker.is_terminating()
             })
             .map(|worker| worker.id().clone())
             .collect();
         for id in emptying {
-            self.empty_worker(&id, now);
+            self.drain_worker(&id, now);
         }
     }
 
-    /// Stops what has to leave one worker.
-    pub(super) fn empty_worker(&mut self, id: &WorkerId, now: Now) {
+    /// Evicts tasks from one worker.
+    pub(super) fn drain_worker(&mut self, id: &WorkerId, now: Now) {
         let Some(worker) = self.workers.get(id) else { return };
-        let emptied = worker.emptying.is_some();
-        // Short tasks end by themselves before a worker that drains does, or
-        // go down with it.
+        let emptied = worker.drain_reason.is_some();
+        // Short tasks end by themselves before a draining worker ends, or end
+        // with it.
         let waited_ms = match emptied {
-            true => now.steady_ms.saturating_sub(worker.emptying_since_ms),
+            true => now.steady_ms.saturating_sub(worker.drain_since_ms),
             false => 0,
         };
         let reason =
@@ -291,10 +304,10 @@
             .map(|(task, _)| *task)
             .collect();
         for task in tasks {
-            match self.leave_for_duty(&task, id, waited_ms, now) {
-                Leave::NotYet => {}
-                Leave::AtOnce => self.displace(&task, id, None, reason),
-                Leave::WithPlace => {
+            match self.eviction_timing(&task, id, waited_ms, now) {
+                Eviction::Defer => {}
+                Eviction::Immediate => self.displace(&task, id, None, reason),
+                Eviction::OncePlaced => {
                     if let Some(place) = self.plan_move(&task, id, now) {
                         self.displace(&task, id, Some(place), reason);
                     }
@@ -303,43 +316,52 @@
         }
     }
 
-    /// Returns whether a task is to leave a worker that is being emptied.
-    fn leave_for_duty(
+    /// Returns whether and when a task is evicted from a worker that is being
+    /// drained.
+    fn eviction_timing(
         &self,
         task: &TaskId,
         id: &WorkerId,
         waited_ms: u64,
         now: Now,
-    ) -> Leave {
-        let Some(job) = self.jobs.get(&task.job) else { return Leave::AtOnce };
-        let Some(spec) = job.step_spec(task) else { return Leave::AtOnce };
+    ) -> Eviction {
+        let Some(job) = self.jobs.get(&task.job) else {
+            return Eviction::Immediate;
+        };
+        let Some(spec) = job.step_spec(task) else {
+            return Eviction::Immediate;
+        };
         if !spec.long_running {
-            let patience_ms = if spec.checkpointing {
-                CHECKPOINTED_PATIENCE_MS
+            let timeout_ms = if spec.checkpointing {
+                CHECKPOINTED_DRAIN_TIMEOUT_MS
+            } else {
+                DRAIN_TIMEOUT_MS
+            };
+            let in_time = waited_ms < timeout_ms;
+            return if in_time {
+                Eviction::Defer
             } else {
-                PATIENCE_MS
+                Eviction::Immediate
             };
-            let patient = waited_ms < patience_ms;
-            return if patient { Leave::NotYet } else { Leave::AtOnce };
         }
-        // A stop that a former holder ordered may still be under way, and the
-        // task still be listed as at work.
+        // A stop that a former holder ordered may still be in progress, while
+        // the task is still listed as at work.
         let settled = self.taken_over_ms + self.options.stop_settle_ms;
         if now.steady_ms < settled {
-            return Leave::NotYet;
+            return Eviction::Defer;
         }
-        // A worker that wasn't asked yet may have the task already: until that
-        // is known it starts nowhere, and was without work for 13 s.
-        if self.is_unaccounted_for(job, spec, now) {
-            return Leave::NotYet;
+        // A worker that wasn't asked yet may already run the task. Until that
+        // is known, the task starts nowhere; one was without a run for 13 s.
+        if self.may_run_from_former_lease(job, spec, now) {
+            return Eviction::Defer;
         }
-        let kept = self.is_kept_by_step(task, id);
-        if kept { Leave::NotYet } else { Leave::WithPlace }
+        let at_limit = self.is_step_at_limit(task, id);
+        if at_limit { Eviction::Defer } else { Eviction::OncePlaced }
     }
 
-    /// Returns whether too many others of a task's step are away for it to
-    /// leave a worker.
-    pub(super) fn is_kept_by_step(
+    /// Returns whether so many other tasks of the step are unavailable that
+    /// this one must stay on its worker.
+    pub(super) fn is_step_at_limit(
         &self,
         task: &TaskId,
         id: &WorkerId,
@@ -348,17 +370,21 @@
         let spec = job.and_then(|job| job.step_spec(task));
         spec.is_some_and(|spec| {
             let spare = spec.max_unavailable.max(1) as usize;
-            self.down_in_step(task, id) >= spare
+            self.unavailable_in_step(task, id) >= spare
         })
     }
 
     /// Counts the other tasks of a long-running step that aren't at work.
-    pub(super) fn down_in_step(&self, task: &TaskId, id: &WorkerId) -> usize {
+    pub(super) fn unavailable_in_step(
+        &self,
+        task: &TaskId,
+        id: &WorkerId,
+    ) -> usize {
         let Some(job) = self.jobs.get(&task.job) else { return 0 };
         let Some(step) = job.step(task) else { return 0 };
         let at_work = |index: u32| {
             let other = TaskId { index, ..*task };
-            step.tasks[index as usize].on.iter().any(|on| {
+            step.tasks[index as usize].workers.iter().any(|on| {
                 self.workers.get(on).is_some_and(|worker| {
                     worker.silent_since_ms.is_none()
                         && worker.runs.get(&other).is_some_and(|run| {
@@ -370,22 +396,22 @@
         };
         let others = (0..step.tasks.len() as u32).filter(|index| {
             *index != task.index
-                || !step.tasks[*index as usize].on.contains(id)
+                || !step.tasks[*index as usize].workers.contains(id)
         });
         others.filter(|index| !at_work(*index)).count()
     }
 
     /// Returns whether another worker could take a task now.
-    pub(super) fn has_other_place(
+    pub(super) fn has_alternative_worker(
         &self,
         task: &TaskId,
         id: &WorkerId,
         now: Now,
     ) -> bool {
-        self.place_for(task, now).is_some_and(|worker| worker != id)
+        self.best_worker_for(task, now).is_some_and(|worker| worker != id)
     }
 
-    /// Reports a wave once, as soon as it is known.
+    /// Reports a wave as running, once.
     fn report_running(&mut self, wave: u64, orders: &mut Vec<VmOrder>) {
         let Some(state) = self.waves.get_mut(&wave) else { return };
         if !state.reported {
@@ -394,7 +420,7 @@
         }
     }
 
-    /// Reports a wave whose every VM is done.
+    /// Reports a wave as completed if all of its VMs are done.
     fn complete(&mut self, wave: u64, orders: &mut Vec<VmOrder>) {
         let Some(state) = self.waves.get_mut(&wave) else { return };
         if state.remaining().next().is_none() && state.down.is_empty() {
@@ -403,7 +429,7 @@
         }
     }
 
-    /// Takes in the result of an order to maintain a VM.
+    /// Handles the result of an order to maintain a VM.
     pub fn maintenance_answered(
         &mut self,
         vm: &str,
@@ -417,25 +443,27 @@
             Ok(()) => {
                 state.ordered.remove(vm);
                 state.record.done.insert(vm.to_owned());
-                // It may have been done before, by a former holder's order:
-                // which life ended, if any, the list of VMs tells.
+                // The maintenance may have been carried out earlier, by a
+                // former holder's order; the list of VMs shows which worker
+                // ended, if any.
                 state.down.insert(vm.to_owned(), now.steady_ms);
             }
-            // It is gone for good, so there is nothing to maintain.
+            // The VM is gone for good, so there is nothing to maintain.
             Err(VmOrderError::Invalid | VmOrderError::NotInWave)
                 if !listed =>
             {
                 state.ordered.remove(vm);
                 state.record.done.insert(vm.to_owned());
             }
-            // Sent again later; until then it counts as down only if it may
-            // have been done.
+            // The order is repeated later; until then the VM counts as down
+            // only if the order may have been carried out.
             Err(error) => state.order_failed(vm, error),
         }
     }
 
-    /// Notes that a wave's completion couldn't be reported.
-    pub fn report_failed(&mut self, wave: u64) {
+    /// Handles a failure to report the completion of a wave: it is reported
+    /// again.
+    pub fn wave_report_failed(&mut self, wave: u64) {
         if let Some(state) = self.waves.get_mut(&wave) {
             state.completed = false;
         }
--- a/crates/dewspar/src/schedule/answers.rs
+++ b/crates/dewspar/src/schedule/order_answers.rs
@@ -1,5 +1,5 @@
 /*!
-What an answer to an order changes.
+Handling of workers' answers to orders to start and stop runs.
 */
 
 use crate::{
@@ -12,7 +12,7 @@
 };
 
 impl Scheduler {
-    /// Takes in the answer to an order to start a run.
+    /// Applies the answer to an order to start a run.
     pub fn start_answered(
         &mut self,
         worker_id: &WorkerId,
@@ -25,13 +25,13 @@
             worker.runs.get(task).filter(|known| known.run == run)
         });
         let sent_ms = known.map_or(0, |run| run.since_ms);
-        let end = start_ended(known, &result, now);
+        let end = start_call_end(known, &result, now);
         self.window.ended(end);
-        self.order_ended(sent_ms, end, now);
+        self.record_order_end(sent_ms, end, now);
         let Some(worker) = self.workers.get_mut(worker_id) else { return };
         let known = worker.runs.get_mut(task).filter(|r| r.run == run);
         let Some(known) = known else { return };
-        if known.is_outlived {
+        if known.process_has_ended {
             self.outlived_start_answered(worker_id, task, run, result, now);
             return;
         }
@@ -44,13 +44,14 @@
                 }
                 known.confirm(clock_ms);
                 worker.read_clock(clock_ms, now.steady_ms);
-                worker.start_taken();
-                self.note_begun(task.job, now);
+                worker.start_accepted();
+                self.mark_job_begun(task.job, now);
                 return;
             }
             Err(error) => error,
         };
-        // A hold has shown it meanwhile, or it is to stop: ends will tell.
+        // A hold has listed the run meanwhile, or the run is to stop: its end
+        // will be reported.
         if known.state == RunState::Running {
             return;
         }
@@ -66,25 +67,26 @@
                 self.note_in_doubt(task, worker_id, run, sent_ms);
                 // OK because the worker was found above.
                 let worker = self.workers.get_mut(worker_id).expect("known");
-                worker.note_unanswered(now.steady_ms);
+                worker.record_unanswered(now.steady_ms);
                 if worker.fence() != fence {
                     return;
                 }
                 worker.raise_fence(now.steady_ms);
-                // Each costs a token: without pauses they lasted 52 to 231 s,
-                // and a tenth of such workers cost the lease each time.
-                if worker.leaves_unanswered_again() {
+                // Each raise uses up a token. Without pauses the tokens lasted
+                // 52 to 231 s, and a tenth of workers like this one cost the
+                // holder its lease each time.
+                if worker.count_unanswered_start() {
                     self.suspend(worker_id, error.name(), now);
                 }
             }
             OrderError::NotSent => {
                 self.note_never_began(task, run, worker_id);
                 self.suspend(worker_id, error.name(), now);
-                self.free_run(task, worker_id, now);
+                self.release_run(task, worker_id, now);
             }
             OrderError::Refused(refusal) => {
                 self.note_never_began(task, run, worker_id);
-                self.free_run(task, worker_id, now);
+                self.release_run(task, worker_id, now);
                 self.start_refused(
                     worker_id,
                     task,
@@ -96,9 +98,9 @@
         }
     }
 
-    /// Takes in the answer to an order of a process that has ended since. One
-    /// that was carried out may have been so by that process or by the next,
-    /// which will say what it has.
+    /// Applies the answer to an order that was sent to a process that has
+    /// ended since. If the order was carried out, then by that process or by
+    /// the next one, which will list what it runs.
     fn outlived_start_answered(
         &mut self,
         worker_id: &WorkerId,
@@ -111,7 +113,7 @@
             Ok(_) | Err(OrderError::Unknown) => {}
             Err(OrderError::NotSent | OrderError::Refused(_)) => {
                 self.note_never_began(task, run, worker_id);
-                self.free_run(task, worker_id, now);
+                self.release_run(task, worker_id, now);
             }
         }
     }
@@ -122,14 +124,14 @@
         run: u64,
         worker: &WorkerId,
     ) {
-        self.note_suspect_over(task);
-        self.note(Decision::Lost {
+        self.note_suspect_ended(task);
+        self.note(Decision::RunLost {
             task: *task,
             run,
             worker: worker.clone(),
             reason: "the order had no effect",
             age_ms: 0,
-            beside: 0,
+            other_runs: 0,
         });
     }
 
@@ -144,13 +146,17 @@
         match refusal {
             Refusal::Fenced if under_current_fence => {
                 self.later_token_seen(worker_id, now);
-                self.look_again(worker_id, now);
+                self.query_under_new_token(worker_id, now);
             }
             Refusal::OtherLife => {
-                self.worker_gone(worker_id, "another life answers", now);
+                self.worker_gone(
+                    worker_id,
+                    "another worker answers at its address",
+                    now,
+                );
             }
-            // Something is there that isn't known here, or the clocks
-            // disagree: ask before anything else is sent.
+            // The worker has something that isn't known here, or the clocks
+            // disagree: ask before sending anything else.
             Refusal::NoRoom | Refusal::LeaseOver | Refusal::StaleRun
                 if under_current_fence =>
             {
@@ -158,15 +164,16 @@
                     return;
                 };
                 worker.raise_fence(now.steady_ms);
-                // What it lists didn't explain the refusal before this one.
-                if worker.refuses_again() {
+                // The runs that it listed didn't explain the previous refusal.
+                if worker.repeats_refusal() {
                     self.suspend(worker_id, refusal.name(), now);
                 }
             }
             Refusal::Unhealthy | Refusal::Invalid => {
                 self.suspend(worker_id, refusal.name(), now);
             }
-            // Sent before the token was raised: the worker is asked already.
+            // Sent before the token was raised: the worker is already being
+            // asked.
             Refusal::Fenced
             | Refusal::NoRoom
             | Refusal::LeaseOver
@@ -175,7 +182,7 @@
         }
     }
 
-    /// Takes in the answer to an order to stop a run.
+    /// Applies the answer to an order to stop a run.
     pub fn stop_answered(
         &mut self,
         worker_id: &WorkerId,
@@ -184,7 +191,7 @@
         now: Now,
     ) {
         let Err(error) = result else {
-            self.stop_taken(worker_id, task);
+            self.note_stop_accepted(worker_id, task);
             return;
         };
         self.note(Decision::OrderFailed {
@@ -196,56 +203,63 @@
             OrderError::Refused(Refusal::OtherLife)
                 if self.is_stopped_there(worker_id, task) =>
             {
-                self.worker_gone(worker_id, "another life answers", now);
+                self.worker_gone(
+                    worker_id,
+                    "another worker answers at its address",
+                    now,
+                );
             }
             OrderError::Refused(Refusal::Fenced) => {
                 let worker = self.workers.get(worker_id);
                 if worker.is_some_and(|worker| worker.synced) {
-                    self.look_again(worker_id, now);
+                    self.query_under_new_token(worker_id, now);
                 }
             }
-            // It is sent again until the end is listed.
+            // The order is sent again until the end is listed.
             OrderError::Refused(_)
             | OrderError::NotSent
             | OrderError::Unknown => {}
         }
     }
 
-    /// Returns whether a task's run is being stopped on a worker's known process.
+    /// Returns whether a task's run is being stopped on a worker's known
+    /// process.
     fn is_stopped_there(&self, worker_id: &WorkerId, task: &TaskId) -> bool {
         let worker = self.workers.get(worker_id);
         let run = worker.and_then(|worker| worker.runs.get(task));
-        run.is_some_and(|run| run.is_stopping() && !run.is_outlived)
+        run.is_some_and(|run| run.is_stopping() && !run.process_has_ended)
     }
 
     /// Asks a worker under a new token, which shows who holds the lease.
-    fn look_again(&mut self, worker_id: &WorkerId, now: Now) {
+    fn query_under_new_token(&mut self, worker_id: &WorkerId, now: Now) {
         if let Some(worker) = self.workers.get_mut(worker_id) {
             worker.raise_fence(now.steady_ms);
         }
     }
 }
 
-/// Returns what the end of an order to start says of this node.
-fn start_ended(
+/// Returns what the outcome of an order to start says about this node's load.
+fn start_call_end(
     known: Option<&Run>,
     result: &Result<u64, OrderError>,
     now: Now,
 ) -> CallEnd {
-    // Once a hold has shown the run, it isn't known when the order was sent.
+    // Once a hold has listed the run, the time at which the order was sent
+    // isn't known.
     let starting = known.filter(|run| run.state == RunState::Starting);
     let Some(run) = starting else { return CallEnd::Discarded };
     call_end(run.since_ms, result.as_ref().err().copied(), now)
 }
 
-/// Returns what the end of an order says of this node.
+/// Returns what the outcome of an order says about this node's load.
 pub(super) fn call_end(
     sent_ms: u64,
     error: Option<OrderError>,
     now: Now,
 ) -> CallEnd {
     match error {
-        // A connection that doesn't open is a call without an answer.
+        // A connection that can't be opened counts as a call without an
+        // answer.
         Some(OrderError::Unknown | OrderError::NotSent) => CallEnd::Unanswered,
         Some(OrderError::Refused(_)) | None => {
             let took_ms = now.steady_ms.saturating_sub(sent_ms);
--- a/crates/dewspar/src/schedule/placement.rs
+++ b/crates/dewspar/src/schedule/placement.rs
@@ -1,22 +1,23 @@
 /*!
-Which waiting task starts next, and on which worker.
+Selects the waiting tasks to start and places each on a worker.
 
-Steps are taken in the order of their queue's priority and then of the time
-by which their job must be done; jobs that can't make it any more come last.
-Each task goes to the worker of its pool that suits it best: near its data,
-away from what it would disturb, and with most room left.
+Steps are considered by the priority of their queue and then by the deadline of
+their job; jobs that can no longer meet their deadline come last. Each task
+goes to the best-scoring worker of its pool. The score depends on the policy,
+on how full the worker is, on data locality, on colocation with other
+long-running tasks and on interference with other tasks.
 */
 
 use {
-    self::candidates::Wanted,
+    self::candidates::Requirements,
     crate::{
         job::{StepSpec, TaskId},
         link::Class,
         schedule::{
             Action, Decision, Now, Placing, Scheduler, StartOrder, WorkerId,
-            full_pools::{FullPools, UnaskedPools},
+            full_pools::{FullPools, UnsyncedPools},
             job_state::{Job, demand},
-            suspects::Company,
+            suspects::Colocation,
             worker::{Run, Worker},
             workers::WorkerNumber,
             write_ahead::PlacedStart,
@@ -31,78 +32,81 @@
 
 pub(super) use self::candidates::{Candidate, Candidates, PoolNumber};
 
-/// How many numbers of runs are passed over for a task that a former holder
-/// may have started unseen, so that its number stays the highest.
-const RUN_GAP: u64 = 8;
-
-/// How much a worker near a task's data is preferred, in thousandths of a
-/// core: more than any worker's room, since elsewhere a task takes twice as
-/// long or more.
-const NEAR_DATA_SCORE: i64 = 60_000;
-
-/// How much a long-running task is drawn to workers that have such tasks
-/// already, so that fewer VMs are tied down: half a worker's processor, in
-/// thousandths of a core.
-const TOGETHER_SCORE: i64 = 16_000;
-
-/// How much a worker is shunned for each run that would disturb or be
-/// disturbed: more than any worker's free processor time, in thousandths of
-/// a core.
-const DISTURBANCE_SCORE: i64 = 100_000;
-
-/// How old what a worker says of its room may be where it doesn't guard that
-/// itself, in milliseconds: a room that has shrunk counts some 3 s later at the
-/// earliest, and the directory is read every 0.3 to 1.5 s.
-const TOLD_MS: u64 = 2_500;
-
-/// What was found out about the pools within one plan.
+/// The number of run numbers skipped for a task that a former lease holder may
+/// have started without recording it, so that the new run number is the
+/// highest.
+const RUN_NUMBER_GAP: u64 = 8;
+
+/// The score bonus for a worker near a task's data, in thousandths of a core.
+/// It exceeds the processor of any worker, since a task takes at least twice
+/// as long elsewhere.
+const DATA_LOCALITY_SCORE: i64 = 60_000;
+
+/// The score bonus for placing a long-running task on a worker that already
+/// has one, in thousandths of a core. Such tasks then occupy fewer VMs. The
+/// bonus is half a worker's processor.
+const COLOCATION_SCORE: i64 = 16_000;
+
+/// The score penalty for each run that the task would interfere with, or that
+/// would interfere with it, in thousandths of a core. It exceeds the free
+/// processor time of any worker.
+const INTERFERENCE_PENALTY: i64 = 100_000;
+
+/// The maximum age of a worker's capacity report, in milliseconds, for workers
+/// that don't enforce their capacity. A reduced capacity counts about 3 s
+/// after it was reported at the earliest, and the directory is read every 0.3
+/// to 1.5 s.
+const MAX_REPORT_AGE_MS: u64 = 2_500;
+
+/// What one scheduling pass has found out about the pools.
 #[derive(Default)]
-struct Pools {
+struct PoolCache {
     full: FullPools,
-    unasked: UnaskedPools,
+    unsynced: UnsyncedPools,
 }
 
-/// When there must be room for a task.
+/// The point in time at which a worker must have room for a task.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(super) enum RoomFrom {
-    /// At once.
+pub(super) enum RoomHorizon {
+    /// Immediately.
     Now,
-    /// Once all is over that isn't to last.
-    Soon,
+    /// Once all short tasks on the worker have ended.
+    AfterShortTasks,
 }
 
-/// Why a task isn't started now.
-enum NotNow {
-    /// No worker has room for it.
+/// The reason why a task can't be placed now.
+enum PlacementError {
+    /// No suitable worker has room.
     NoRoom,
-    /// None that has room has a ticket for it.
+    /// Suitable workers have room, but there is no ticket for any of them.
     NoTicket,
 }
 
 impl Scheduler {
-    /// Starts what is ready, as far as there is room.
+    /// Starts ready tasks as far as there is capacity for them.
     pub(super) fn start_waiting(
         &mut self,
         now: Now,
         actions: &mut Vec<Action>,
     ) {
-        // The more waits, the longer it takes to go through it: not for
-        // nothing.
+        // A pass takes longer the more tasks wait, so it is skipped if no
+        // order may be sent.
         if !self.may_start() {
             return;
         }
         let mut without_place = BTreeSet::new();
-        let mut pools = Pools::default();
+        let mut pools = PoolCache::default();
         let late_last = self.placing().late_last;
         self.candidates.update(&mut self.jobs, late_last, now);
         debug_assert!(
-            self.candidates.are_as_anew(&mut self.jobs, late_last, now),
-            "what was kept of the order is out of date"
+            self.candidates.match_full_rebuild(&mut self.jobs, late_last, now),
+            "the cached scheduling order is out of date"
         );
-        // Taken out, since starting something changes the scheduler.
+        // Moved out because starting a task borrows the scheduler mutably.
         let candidates = mem::take(&mut self.candidates);
-        if self.knows_suspects {
-            // Of any job of former holders, where a worker was lost unheard.
+        if self.has_suspects {
+            // Includes jobs from former leases in pools where a lost worker
+            // hasn't been counted yet.
             let all = !self.uncounted_pools.is_empty();
             let suspects: Vec<TaskId> = candidates
                 .ordered
@@ -117,11 +121,11 @@
             if !self.may_start() {
                 break;
             }
-            // The step that found the pool full asked for no more, so it has
-            // said already whether the pool has no place.
-            // What has a place kept needs none of that room.
-            if pools.full.has_none_for(wanted.pool, &wanted.demand)
-                && !self.places.has_some_of(candidate)
+            // The step that found the pool full asked for no more than this
+            // one and has already reported the shortage. Tasks with a
+            // reservation don't need free room.
+            if pools.full.is_full_for(wanted.pool, &wanted.demand)
+                && !self.places.has_any_for(candidate)
             {
                 continue;
             }
@@ -132,12 +136,14 @@
             }
         }
         self.candidates = candidates;
-        // Else some that were without a place weren't looked at.
+        // A pass that was cut short hasn't looked at every step, so it can't
+        // clear the record of pools without room.
         if self.may_start() {
-            self.without_place.retain(|pool, _| without_place.contains(pool));
+            self.unplaced_since_ms
+                .retain(|pool, _| without_place.contains(pool));
         }
         for pool in without_place {
-            self.without_place.entry(pool).or_insert(now.steady_ms);
+            self.unplaced_since_ms.entry(pool).or_insert(now.steady_ms);
         }
     }
 
@@ -145,21 +151,26 @@
         &self.options.policy.placing
     }
 
-    /// Starts what it can of a step; returns its pool if the pool has no
-    /// place for some task that another VM could hold.
+    /// Starts as many tasks of a step as possible. Returns the name of the
+    /// pool if the pool has no room for some task that another VM could hold.
     fn start_step(
         &mut self,
         candidate: &Candidate,
-        wanted: &Wanted,
+        wanted: &Requirements,
         now: Now,
-        pools: &mut Pools,
+        pools: &mut PoolCache,
         actions: &mut Vec<Action>,
     ) -> Option<String> {
         let Candidate { job: id, round, step, .. } = *candidate;
         let job = &self.jobs[&id];
         let spec = job.spec.clone();
         let spec = &spec.steps[step];
-        if self.is_unaccounted(job, spec, now, &mut pools.unasked) {
+        if self.may_run_from_former_lease_cached(
+            job,
+            spec,
+            now,
+            &mut pools.unsynced,
+        ) {
             return None;
         }
         let inherited = job.revision < self.lease_revision;
@@ -174,24 +185,27 @@
             index: 0,
         };
         let on_record = |index: &u32| {
-            self.is_on_record(job, &TaskId { index: *index, ..first })
+            self.may_start_as_recorded(job, &TaskId { index: *index, ..first })
         };
         let mut waiting: Vec<u32> =
             state.waiting.iter().copied().filter(on_record).collect();
-        // First those for which a place is kept.
+        // Tasks with a reservation go first.
         waiting.sort_by_key(|index| {
-            self.places.place_of(&TaskId { index: *index, ..first }).is_none()
+            self.places
+                .worker_for(&TaskId { index: *index, ..first })
+                .is_none()
         });
         let pool = job.terms.pool.clone();
-        let fits = self.fits_somewhere(spec);
+        let fits = self.fits_any_vm(spec);
         if spec.gang {
             let placed = self.start_gang(spec, &first, &waiting, now, actions);
             return (!placed && fits).then_some(pool);
         }
         let task = |index: u32| TaskId { index, ..first };
-        let any = waiting.iter().find(|i| !self.has_own_place(&task(**i)));
+        let any =
+            waiting.iter().find(|i| !self.needs_own_placement(&task(**i)));
         let mut alike =
-            any.and_then(|i| self.places_for_alike(spec, &task(*i), now));
+            any.and_then(|i| self.uniform_placement(spec, &task(*i), now));
         let mut without_place = false;
         for index in waiting {
             if !self.may_start() {
@@ -199,29 +213,29 @@
             }
             let task = TaskId { index, ..first };
             let chosen = match &mut alike {
-                Some(places) if !self.has_own_place(&task) => {
-                    places.next(self, &task).ok_or(NotNow::NoRoom)
+                Some(places) if !self.needs_own_placement(&task) => {
+                    places.next(self, &task).ok_or(PlacementError::NoRoom)
                 }
-                _ => self.choose(spec, &task, now),
+                _ => self.choose_worker(spec, &task, now),
             };
             match chosen {
                 Ok(worker) => {
-                    let run = self.next_run(&task);
+                    let run = self.next_run_number(&task);
                     actions.extend(self.start(spec, &task, run, worker, now));
                 }
-                Err(NotNow::NoTicket) => {
-                    actions.extend(self.ask_adviser(spec, &task, now));
+                Err(PlacementError::NoTicket) => {
+                    actions.extend(self.request_advice(spec, &task, now));
                     break;
                 }
-                Err(NotNow::NoRoom) if self.is_in_doubt(&task) => {}
-                Err(NotNow::NoRoom) => {
+                Err(PlacementError::NoRoom) if self.is_in_doubt(&task) => {}
+                Err(PlacementError::NoRoom) => {
                     without_place = true;
-                    if self.may_go_anywhere(spec, &task) {
-                        pools.full.note(wanted.pool, wanted.demand);
+                    if self.is_unconstrained(spec, &task) {
+                        pools.full.record_refusal(wanted.pool, wanted.demand);
                     }
-                    // Where one finds none, only one that looks for its own
-                    // place might.
-                    if !self.has_own_place(&task) {
+                    // If one task finds no room, only tasks that need an
+                    // individual search might.
+                    if !self.needs_own_placement(&task) {
                         break;
                     }
                 }
@@ -230,7 +244,7 @@
         (without_place && fits).then_some(pool)
     }
 
-    /// Returns the tasks of a step that wait and may crash their workers.
+    /// Returns the waiting tasks of a step that may crash their workers.
     fn waiting_suspects(&self, candidate: &Candidate) -> Vec<TaskId> {
         let Candidate { job: id, round, step, .. } = *candidate;
         let job = &self.jobs[&id];
@@ -243,39 +257,39 @@
         };
         let suspected = |index: &&u32| {
             let task = &state.tasks[**index as usize];
-            task.crashes.are_on_record()
+            task.crashes.is_on_record()
                 || self.may_have_crashed_unseen(job, task)
         };
         let waiting = state.waiting.iter();
         waiting.filter(suspected).map(|i| task(*i)).collect()
     }
 
-    /// Returns whether a VM of the fleet could hold a task of the step.
-    pub(super) fn fits_somewhere(&self, spec: &StepSpec) -> bool {
+    /// Returns whether some VM of the fleet could hold a task of the step.
+    pub(super) fn fits_any_vm(&self, spec: &StepSpec) -> bool {
         let demand = demand(spec);
         let label = &spec.required_label;
-        let fits = self.capacities.iter().any(|room| room.holds(&demand));
+        let fits = self.capacities.iter().any(|room| room.contains(&demand));
         let labelled = label.is_empty()
             || self.workers.values().any(|w| has_label(w, label));
         fits && labelled
     }
 
-    /// Returns whether a task may go to any worker of its pool that has room
-    /// and takes orders.
-    fn may_go_anywhere(&self, spec: &StepSpec, task: &TaskId) -> bool {
+    /// Returns whether a task may run on any worker of its pool that has room
+    /// and accepts starts.
+    fn is_unconstrained(&self, spec: &StepSpec, task: &TaskId) -> bool {
         let advised = self.jobs[&task.job].terms.advice.is_some();
         spec.required_label.is_empty()
             && spec.max_per_worker == 0
             && !advised
-            && !self.has_own_place(task)
+            && !self.needs_own_placement(task)
     }
 
-    /// Returns whether a task looks for its place by itself: it has failed on
-    /// some worker, may crash them, may still start on one, or has a place kept
-    /// for it.
-    pub(super) fn has_own_place(&self, task: &TaskId) -> bool {
+    /// Returns whether a task needs a search of its own. That is the case if
+    /// it has failed on a worker, may crash workers, has a start in doubt or
+    /// has a reservation.
+    pub(super) fn needs_own_placement(&self, task: &TaskId) -> bool {
         let state = self.jobs[&task.job].task(task);
-        self.places.place_of(task).is_some()
+        self.places.worker_for(task).is_some()
             || state.is_some_and(|state| {
                 !state.avoid.is_empty()
                     || state.crashes.count > 0
@@ -283,24 +297,25 @@
             })
     }
 
-    fn next_run(&self, task: &TaskId) -> u64 {
+    fn next_run_number(&self, task: &TaskId) -> u64 {
         let job = &self.jobs[&task.job];
         let run = job.task(task).map_or(0, |state| state.run);
         let inherited = job.revision < self.lease_revision;
-        // The first run under this lease passes over what may be unseen.
+        // The first run under this lease skips numbers that a former holder
+        // may have used for unrecorded starts.
         let first = job.task(task).is_some_and(|s| s.run == s.ended_run);
-        if inherited && first { run + RUN_GAP } else { run + 1 }
+        if inherited && first { run + RUN_NUMBER_GAP } else { run + 1 }
     }
 
-    /// Chooses the worker for a task.
-    fn choose(
+    /// Chooses a worker for a task.
+    fn choose_worker(
         &self,
         spec: &StepSpec,
         task: &TaskId,
         now: Now,
-    ) -> Result<WorkerId, NotNow> {
-        if self.waits_for_kept_room(task, &demand(spec)) {
-            return Err(NotNow::NoRoom);
+    ) -> Result<WorkerId, PlacementError> {
+        if self.waits_for_reserved_room(task, &demand(spec)) {
+            return Err(PlacementError::NoRoom);
         }
         let job = &self.jobs[&task.job];
         if let Some(worker) = self.best_worker(spec, task, now) {
@@ -308,61 +323,67 @@
         }
         let suits = self.suitable_workers(spec, task, now).next().is_some();
         let advised = job.terms.advice.is_some();
-        Err(if suits && advised { NotNow::NoTicket } else { NotNow::NoRoom })
+        Err(if suits && advised {
+            PlacementError::NoTicket
+        } else {
+            PlacementError::NoRoom
+        })
     }
 
-    /// Returns the workers that a task may go to, tickets aside.
+    /// Returns the workers on which a task may run, without regard to tickets.
     pub(super) fn suitable_workers(
         &self,
         spec: &StepSpec,
         task: &TaskId,
         now: Now,
     ) -> impl Iterator<Item = &Worker> {
-        let suitable = self.suitable_numbers(spec, task, RoomFrom::Now, now);
+        let suitable =
+            self.suitable_with_numbers(spec, task, RoomHorizon::Now, now);
         suitable.map(|(_, worker)| worker)
     }
 
-    /// Returns the same with each one's number, in the order of their
-    /// identifiers.
-    pub(super) fn suitable_numbers(
+    /// Returns the workers on which a task may run, with their numbers,
+    /// ordered by identifier.
+    pub(super) fn suitable_with_numbers(
         &self,
         spec: &StepSpec,
         task: &TaskId,
-        room: RoomFrom,
+        room: RoomHorizon,
         now: Now,
     ) -> impl DoubleEndedIterator<Item = (WorkerNumber, &Worker)> {
-        // Most workers of a large pool are full, and this is
-        // asked for each task that starts.
+        // Limited to one pool and checked lazily: most workers of a large pool
+        // are full, and this is called for each task that starts.
         let job = self.jobs.get(&task.job);
         let pool = job.map_or("", |job| job.terms.pool.as_str());
         let suits = self.suits(spec, task, room, now);
         self.workers.in_pool(pool).filter(move |(_, worker)| suits(worker))
     }
 
-    /// Returns the question whether a worker of its pool suits a task, the
-    /// cheapest conditions first.
+    /// Returns a predicate that tells whether a worker of the pool suits a
+    /// task. The cheapest conditions are checked first.
     pub(super) fn suits(
         &self,
         spec: &StepSpec,
         task: &TaskId,
-        room: RoomFrom,
+        room: RoomHorizon,
         now: Now,
     ) -> impl Fn(&Worker) -> bool {
         let job = self.jobs.get(&task.job);
         let state = job.and_then(|job| job.task(task));
         let demand = demand(spec);
-        let guarded = job
-            .is_none_or(|job| !self.unguarded_pools.contains(&job.terms.pool));
+        let guarded = job.is_none_or(|job| {
+            !self.unenforced_pools.contains(&job.terms.pool)
+        });
         let known = state.zip(job);
-        let company = known.map(|(state, job)| {
-            self.company(spec, state, &job.terms.pool, now)
+        let colocation = known.map(|(state, job)| {
+            self.colocation(spec, state, &job.terms.pool, now)
         });
-        let tested = company.is_some_and(Company::is_for_tested);
-        let steadiness = known.map(|(state, job)| {
-            self.steadiness_wanted(spec, state, &job.terms.pool, now)
+        let tested = colocation.is_some_and(Colocation::is_for_tested);
+        let vm_stability = known.map(|(state, job)| {
+            self.required_stability(spec, state, &job.terms.pool, now)
         });
-        let may_go_back =
-            spec.long_running || self.may_go_back(spec, task, now);
+        let may_retry_failed_worker =
+            spec.long_running || self.may_retry_failed_worker(spec, task, now);
         move |worker| {
             let (Some(_), Some(state)) = (job, state) else { return false };
             let apart = || {
@@ -370,39 +391,51 @@
                 most == 0 || worker.runs_of_step(task) < most
             };
             let free = match room {
-                RoomFrom::Now => worker.free_for(task),
-                RoomFrom::Soon => worker.free_soon_for(task),
+                RoomHorizon::Now => worker.free_for(task),
+                RoomHorizon::AfterShortTasks => worker.free_soon_for(task),
             };
-            free.holds(&demand)
-                && worker.takes_orders(now.steady_ms)
-                && (guarded || worker.has_sure_room(now.steady_ms, TOLD_MS))
+            free.contains(&demand)
+                && worker.accepts_starts(now.steady_ms)
+                && (guarded
+                    || worker
+                        .has_current_room(now.steady_ms, MAX_REPORT_AGE_MS))
                 && !worker.runs.contains_key(task)
                 && state.in_doubt.allow(worker.id(), now, self.taken_over_ms)
-                && company.is_none_or(|company| company.allows(worker))
-                && !self.is_kept_from(worker, task, tested, now)
-                && steadiness.is_none_or(|s| self.is_as_steady(worker, s, now))
-                && (may_go_back || !state.avoid.contains(worker.id()))
+                && colocation
+                    .is_none_or(|colocation| colocation.allows(worker))
+                && !self.is_reserved_for_others(worker, task, tested, now)
+                && vm_stability
+                    .is_none_or(|s| self.is_stable_enough(worker, s, now))
+                && (may_retry_failed_worker
+                    || !state.avoid.contains(worker.id()))
                 && has_label(worker, &spec.required_label)
                 && apart()
                 && !self.is_denied(task, worker.id())
         }
     }
 
-    /// Returns whether a worker of a pool is known to have the room that it
-    /// seems to have, or refuses itself what it has no room for.
-    pub(super) fn is_sure_of_room(
+    /// Returns whether the free capacity of a worker can be relied on: either
+    /// the worker itself refuses tasks that don't fit, or its report is recent
+    /// and complete.
+    pub(super) fn has_reliable_room(
         &self,
         worker: &Worker,
         pool: &str,
         now: Now,
     ) -> bool {
-        !self.unguarded_pools.contains(pool)
-            || worker.has_sure_room(now.steady_ms, TOLD_MS)
+        !self.unenforced_pools.contains(pool)
+            || worker.has_current_room(now.steady_ms, MAX_REPORT_AGE_MS)
     }
 
-    /// Returns whether a task may go to a worker on which it has failed: it
-    /// has waited, and its pool has no other that could ever hold it.
-    fn may_go_back(&self, spec: &StepSpec, task: &TaskId, now: Now) -> bool {
+    /// Returns whether a task may run on a worker on which it has failed
+    /// before. That is the case once it has waited for a while and no other
+    /// worker of its pool could ever hold it.
+    fn may_retry_failed_worker(
+        &self,
+        spec: &StepSpec,
+        task: &TaskId,
+        now: Now,
+    ) -> bool {
         let Some(job) = self.jobs.get(&task.job) else { return false };
         let (Some(step), Some(state)) = (job.step(task), job.task(task))
         else {
@@ -416,13 +449,13 @@
         let demand = demand(spec);
         !self.workers.in_pool(&job.terms.pool).any(|(_, worker)| {
             worker.is_usable()
-                && worker.listing.capacity.holds(&demand)
+                && worker.listing.capacity.contains(&demand)
                 && has_label(worker, &spec.required_label)
                 && !state.avoid.contains(worker.id())
         })
     }
 
-    /// Returns the worker that suits a task best.
+    /// Returns the best-scoring worker for a task.
     fn best_worker(
         &self,
         spec: &StepSpec,
@@ -430,13 +463,14 @@
         now: Now,
     ) -> Option<&Worker> {
         let state = self.jobs.get(&task.job)?.task(task)?;
-        let apart = self.is_kept_apart(spec, state);
+        let apart = self.is_isolated(spec, state);
         let score = |worker: &Worker| match apart {
-            true => self.score_apart(worker, spec),
+            true => self.isolation_score(worker, spec),
             false => self.score_for(worker, spec),
         };
-        let kept = self.places.place_of(task);
-        // Where it would have to leave again soon, it is missing twice.
+        let kept = self.places.worker_for(task);
+        // A long-running task avoids VMs with pending maintenance: it would
+        // have to move again and be interrupted twice.
         let stays = |worker: &Worker| {
             !spec.long_running || !self.awaits_maintenance(&worker.listing.vm)
         };
@@ -450,8 +484,8 @@
             })
     }
 
-    /// Returns where a task that runs could run instead.
-    pub(super) fn place_for(
+    /// Returns the worker to which a running task could move.
+    pub(super) fn best_worker_for(
         &self,
         task: &TaskId,
         now: Now,
@@ -461,66 +495,76 @@
         self.best_worker(spec, task, now).map(Worker::id)
     }
 
-    /// Returns whether a task may start without its start being put on record
-    /// first, or that is done.
-    pub(super) fn is_on_record(&self, job: &Job, task: &TaskId) -> bool {
+    /// Returns whether a task may start as far as write-ahead records are
+    /// concerned: its start needs no record, or the record is stored.
+    pub(super) fn may_start_as_recorded(
+        &self,
+        job: &Job,
+        task: &TaskId,
+    ) -> bool {
         job.task(task).is_none_or(|task| {
             job.may_start(task) && !self.may_have_crashed_unseen(job, task)
         })
     }
 
-    /// Returns whether a step's tasks may still run where a former holder
-    /// started them, outside of a plan.
-    pub(super) fn is_unaccounted_for(
+    /// Returns whether tasks of a step may still run from a former lease. For
+    /// use outside of a scheduling pass.
+    pub(super) fn may_run_from_former_lease(
         &self,
         job: &Job,
         spec: &StepSpec,
         now: Now,
     ) -> bool {
-        self.is_unaccounted(job, spec, now, &mut UnaskedPools::default())
+        self.may_run_from_former_lease_cached(
+            job,
+            spec,
+            now,
+            &mut UnsyncedPools::default(),
+        )
     }
 
-    /// Returns whether a step's tasks may still run where a former holder
-    /// started them.
-    fn is_unaccounted(
+    /// Returns whether tasks of a step may still run from a former lease.
+    /// Checks each pool once per scheduling pass.
+    fn may_run_from_former_lease_cached(
         &self,
         job: &Job,
         spec: &StepSpec,
         now: Now,
-        unasked: &mut UnaskedPools,
+        unsynced: &mut UnsyncedPools,
     ) -> bool {
-        // A copy does no harm, but is wasted if most workers answer at once.
+        // A duplicate run does no harm here, but is wasteful while most
+        // workers are about to answer.
         let settled = self.taken_over_ms + self.placing().copy_after_ms;
         let may_copy = spec.may_duplicate && now.steady_ms >= settled;
         let inherited = job.revision < self.lease_revision;
         let pool = job.terms.pool.as_str();
         inherited
             && !may_copy
-            && unasked.contains(pool, || self.may_run_unseen(pool, now))
+            && unsynced.contains(pool, || self.has_unsynced_workers(pool, now))
     }
 
-    /// Returns whether a worker wasn't asked yet that may run what a former
-    /// holder started.
-    fn may_run_unseen(&self, pool: &str, now: Now) -> bool {
-        !self.lives_known
+    /// Returns whether some worker of a pool may run tasks from a former lease
+    /// and hasn't listed its runs yet.
+    fn has_unsynced_workers(&self, pool: &str, now: Now) -> bool {
+        !self.workers_known
             || self.workers.in_pool(pool).any(|(_, worker)| {
-                !worker.is_accounted_for()
+                !worker.runs_are_known()
                     && now.steady_ms <= worker.lease_over_ms
             })
     }
 
-    /// Returns how well a worker suits a step's tasks.
+    /// Returns the score of a worker for the tasks of a step.
     pub(super) fn score_for(&self, worker: &Worker, spec: &StepSpec) -> i64 {
         let demand = &demand(spec);
-        // The fullest that still has room: the others fall idle, and their
-        // VMs can be used elsewhere.
-        let left = worker.free().less(demand).cpu_millis as i64;
+        // Prefers the fullest worker that has room: others then become idle,
+        // and their VMs can be used elsewhere.
+        let left = worker.free().minus(demand).cpu_millis as i64;
         let policy = self.placing();
         let mut score = if policy.fullest_first { -left } else { left };
         let near = !spec.data_rack.is_empty()
             && worker.listing.rack == spec.data_rack;
         if near {
-            score += NEAR_DATA_SCORE;
+            score += DATA_LOCALITY_SCORE;
         }
         let step_of = |task: &TaskId| {
             self.jobs.get(&task.job).and_then(|job| job.step_spec(task))
@@ -540,12 +584,13 @@
             && spec.long_running
             && worker.runs.keys().filter_map(step_of).any(long)
         {
-            score += TOGETHER_SCORE;
+            score += COLOCATION_SCORE;
         }
-        score - disturbing as i64 * DISTURBANCE_SCORE
+        score - disturbing as i64 * INTERFERENCE_PENALTY
     }
 
-    /// Notes a start and makes its order, unless it must be on record first.
+    /// Records a start and returns its order, unless the start must be stored
+    /// first.
     fn start(
         &mut self,
         spec: &StepSpec,
@@ -555,24 +600,24 @@
         now: Now,
     ) -> Option<Action> {
         let ticket = self.ticket(task, &worker_id, now)?;
-        self.release_place(task, now);
+        self.release_reservation(task, now);
         let worker = self.workers.get(&worker_id)?;
-        // It must have told its clock.
+        // The worker must have reported its clock.
         worker.lease_until_ms(now.steady_ms, &self.options)?;
         let fence = worker.fence();
         let process = worker.listing.incarnation;
         let ordered = Run::ordered(run, fence, demand(spec), now.steady_ms)
-            .lasting(spec.long_running);
+            .with_long_running(spec.long_running);
         let suspicion = self.note_suspect_started(task, now);
         let worker = self.workers.get_mut(&worker_id)?;
-        worker.insert(*task, ordered.suspected(suspicion));
+        worker.insert(*task, ordered.with_suspicion(suspicion));
         let step = self.jobs.get_mut(&task.job)?.step_mut(task)?;
         step.waiting.remove(&task.index);
         let state = step.tasks.get_mut(task.index as usize)?;
         state.run = run;
-        state.on.push(worker_id.clone());
-        state.told_process = process;
-        let recorded_first = state.crashes.is_start_recorded_first();
+        state.workers.push(worker_id.clone());
+        state.ordered_process = process;
+        let recorded_first = state.crashes.must_record_start_first();
         let start = PlacedStart { worker: worker_id, run, ticket };
         if recorded_first {
             self.withhold(task, start, now);
@@ -581,7 +626,7 @@
         self.order_start(task, start, now)
     }
 
-    /// Makes the order of a start that has its place.
+    /// Builds the order for a start that has been assigned to a worker.
     pub(super) fn order_start(
         &mut self,
         task: &TaskId,
@@ -627,7 +672,7 @@
     }
 }
 
-/// Returns whether a worker has a label that a step asks for, if it does.
+/// Returns whether a worker has the label that a step requires, if any.
 pub(super) fn has_label(worker: &Worker, label: &str) -> bool {
     label.is_empty() || worker.listing.labels.iter().any(|l| l == label)
 }
--- a/crates/dewspar/src/schedule/placement/gang.rs
+++ b/crates/dewspar/src/schedule/placement/gang.rs
@@ -1,14 +1,14 @@
 /*!
-Gangs: steps whose tasks only work together.
+Gang scheduling: steps whose tasks must run at the same time.
 
-A gang starts as a whole or not at all. Its members look for their places one
-after the other, each where the others have left room; only when all have one
-is anything ordered or noted. Until then the gang waits, as if nobody had
-looked.
+A gang starts completely or not at all. Its members are placed one after the
+other, each in the capacity that the others leave. Orders are sent and state is
+changed only once every member has a worker; until then the gang waits and the
+tentative placements are undone.
 */
 
 use {
-    super::NotNow,
+    super::PlacementError,
     crate::{
         job::{StepSpec, TaskId},
         schedule::{
@@ -18,8 +18,8 @@
 };
 
 impl Scheduler {
-    /// Starts every member of a gang, or none; returns whether there was a
-    /// place for each.
+    /// Starts all members of a gang or none. Returns whether there was a
+    /// worker for each.
     pub(super) fn start_gang(
         &mut self,
         spec: &StepSpec,
@@ -28,32 +28,33 @@
         now: Now,
         actions: &mut Vec<Action>,
     ) -> bool {
-        // Members of the last run are still there: wait for their ends.
+        // Members of the last run haven't ended yet.
         if waiting.len() < spec.count as usize {
             return true;
         }
         let members: Vec<TaskId> =
             waiting.iter().map(|&index| TaskId { index, ..*first }).collect();
-        if !self.take_free_places(&members, now) {
+        if !self.claim_room_for_gang(&members, now) {
             return false;
         }
-        let run = members.iter().map(|task| self.next_run(task)).max();
+        let run = members.iter().map(|task| self.next_run_number(task)).max();
         let run = run.unwrap_or(1);
-        let places = self.find_places(spec, &members, run, now, actions);
+        let places = self.find_gang_workers(spec, &members, run, now, actions);
         if places.len() < members.len() {
             return false;
         }
         self.share_checkpoint(&members);
-        // All go together, also where the window has room for fewer.
+        // All members start together, even if the window of in-flight orders
+        // has room for fewer.
         for (task, worker) in members.iter().zip(places) {
             actions.extend(self.start(spec, task, run, worker, now));
         }
         true
     }
 
-    /// Returns a worker for each member in turn, up to the first that has
-    /// none now.
-    fn find_places(
+    /// Returns workers for the members in turn, up to the first member without
+    /// one.
+    fn find_gang_workers(
         &mut self,
         spec: &StepSpec,
         members: &[TaskId],
@@ -62,38 +63,39 @@
         actions: &mut Vec<Action>,
     ) -> Vec<WorkerId> {
         let mut places = Vec::new();
-        let mut taken_back = Vec::new();
+        let mut suspended = Vec::new();
         for task in members {
-            match self.choose(spec, task, now) {
+            match self.choose_worker(spec, task, now) {
                 Ok(worker) => {
-                    taken_back.extend(self.take_back_place(task, now));
-                    self.reserve(spec, task, run, &worker, now);
+                    suspended.extend(self.suspend_reservation(task, now));
+                    self.reserve_tentatively(spec, task, run, &worker, now);
                     places.push(worker);
                 }
-                Err(NotNow::NoTicket) => {
-                    actions.extend(self.ask_adviser(spec, task, now));
+                Err(PlacementError::NoTicket) => {
+                    actions.extend(self.request_advice(spec, task, now));
                     break;
                 }
-                Err(NotNow::NoRoom) => break,
+                Err(PlacementError::NoRoom) => break,
             }
         }
         for (task, worker) in members.iter().zip(&places) {
             if let Some(worker) = self.workers.get_mut(worker) {
-                // A worker that a gang has looked at isn't idle: it is wanted
-                // as soon as the other members have their places.
+                // Resets the idle time: the worker is needed as soon as the
+                // other members have workers.
                 worker.remove(task, now.steady_ms);
             }
         }
         if places.len() < members.len() {
-            for place in taken_back {
-                self.put_back_place(place);
+            for place in suspended {
+                self.restore_reservation(place);
             }
         }
         places
     }
 
-    /// Takes room for a member while the others look for theirs.
-    fn reserve(
+    /// Reserves capacity for a member while workers for the others are
+    /// searched.
+    fn reserve_tentatively(
         &mut self,
         spec: &StepSpec,
         task: &TaskId,
@@ -107,11 +109,11 @@
         let Some(worker) = self.workers.get_mut(worker_id) else { return };
         let fence = worker.fence();
         let reserved = Run::ordered(run, fence, demand(spec), now.steady_ms);
-        worker.insert(*task, reserved.suspected(suspicion));
+        worker.insert(*task, reserved.with_suspicion(suspicion));
     }
 
-    /// Gives every member the same checkpoint, since any one's serves for
-    /// all.
+    /// Gives every member the same checkpoint, since a checkpoint of one
+    /// member is valid for all.
     fn share_checkpoint(&mut self, members: &[TaskId]) {
         let checkpoint = members
             .iter()
--- a/crates/dewspar/src/schedule/placement/uniform.rs
+++ b/crates/dewspar/src/schedule/placement/uniform.rs
@@ -1,35 +1,35 @@
 /*!
-Places for the tasks of a step that are all alike.
+Placement of steps whose tasks are interchangeable.
 
-Most steps are tasks that may go to any worker of their pool, and the fullest
-one with room is the best. Once it got one of them, it is fuller still, and so
-the best for the next until it has no room left. So the workers are looked
-through and put in order once for the step, and not for each of its tasks: at
-1,100 workers that look takes most of the time of a plan.
+Most steps have tasks that may run on any worker of their pool, and the fullest
+worker with room is the best one. After it has received a task it is fuller
+still, so it remains the best one until it has no room left. The workers are
+therefore filtered and sorted once for the whole step instead of once for each
+task. At 1,100 workers that search takes most of the time of a scheduling pass.
 */
 
 use {
-    super::RoomFrom,
+    super::RoomHorizon,
     crate::{
         job::{StepSpec, TaskId},
         schedule::{
-            Now, Room, Scheduler, WorkerId, job_state::demand, worker::Worker,
-            workers::WorkerNumber,
+            Now, Resources, Scheduler, WorkerId, job_state::demand,
+            worker::Worker, workers::WorkerNumber,
         },
     },
     std::cmp::Reverse,
 };
 
-/// The workers that suit a step, the best first.
-pub(super) struct PlacesForAlike {
+/// The workers that suit a step, best first.
+pub(super) struct UniformPlacement {
     workers: Vec<WorkerNumber>,
-    /// The first that may still have room.
+    /// The index of the first worker that may still have room.
     next: usize,
-    demand: Room,
+    demand: Resources,
 }
 
-impl PlacesForAlike {
-    /// Returns the worker that suits the next task best.
+impl UniformPlacement {
+    /// Returns the best worker for the next task.
     pub(super) fn next(
         &mut self,
         scheduler: &Scheduler,
@@ -46,24 +46,25 @@
     }
 
     fn fits(&self, worker: &Worker, task: &TaskId) -> bool {
-        worker.free().holds(&self.demand)
+        worker.free().contains(&self.demand)
             && !worker.runs.contains_key(task)
             && !worker.tests_a_run()
     }
 }
 
 impl Scheduler {
-    /// Returns the places for a step whose tasks are all alike, of which
-    /// `next` waits to be started; `None` for one whose tasks have to be looked at one by one.
-    pub(super) fn places_for_alike(
+    /// Returns the sorted workers for a step whose tasks are interchangeable,
+    /// where `next` is one of its waiting tasks. Returns `None` if the tasks
+    /// of the step must be placed one by one.
+    pub(super) fn uniform_placement(
         &self,
         spec: &StepSpec,
         next: &TaskId,
         now: Now,
-    ) -> Option<PlacesForAlike> {
+    ) -> Option<UniformPlacement> {
         let job = self.jobs.get(&next.job)?;
-        // A task of these changes how well its worker suits the next one in
-        // some other way than by making it fuller.
+        // Here a placed task affects the score of its worker in other ways
+        // than by making it fuller.
         let one_by_one = spec.max_per_worker > 0
             || spec.long_running
             || spec.best_effort
@@ -73,16 +74,18 @@
         if one_by_one {
             return None;
         }
-        let suitable = self.suitable_numbers(spec, next, RoomFrom::Now, now);
+        let suitable =
+            self.suitable_with_numbers(spec, next, RoomHorizon::Now, now);
         let mut scored: Vec<(Reverse<i64>, WorkerNumber)> = suitable
             .rev()
             .map(|(number, worker)| {
                 (Reverse(self.score_for(worker, spec)), number)
             })
             .collect();
-        // Stable: of those that suit alike, the last by identifier is first.
+        // The sort is stable: among equal scores the last identifier comes
+        // first.
         scored.sort_by_key(|(score, _)| *score);
         let workers = scored.into_iter().map(|(_, number)| number).collect();
-        Some(PlacesForAlike { workers, next: 0, demand: demand(spec) })
+        Some(UniformPlacement { workers, next: 0, demand: demand(spec) })
     }
 }
--- a/crates/dewspar/src/schedule/projection.rs
+++ b/crates/dewspar/src/schedule/projection.rs
@@ -1,47 +1,49 @@
 /*!
-What the tasks that are known will use a while ahead.
+The projected usage of known jobs a while ahead.
 
-A VM that is ordered now comes in some 2 s. What a pool needs then is not what
-runs now: much of that is over by then, and steps that wait for others will
-have begun. Both follow from the jobs that are there. Each task is taken to
-last as long as its estimate says, and each step to begin when the last step
-that it waits for is over.
+A VM that is ordered now becomes available in some 2 s. What a pool needs then
+differs from what runs now: many runs will have ended, and steps that wait for
+others will have begun. Both follow from the known jobs. Each task is assumed
+to last as long as its estimate, and each step to begin when the last step that
+it depends on ends.
 
-Tasks that wait for room are left out here: they count as waiting, in full.
+Tasks that wait for room are not included: they count in full as waiting.
 */
 
 use {
     crate::{
         job::{JobId, JobSpec},
-        schedule::{Now, Room, Scheduler, job_state::Job, job_state::demand},
+        schedule::{
+            Now, Resources, Scheduler, job_state::Job, job_state::demand,
+        },
     },
     std::collections::{BTreeMap, HashMap},
 };
 
-/// What is left of one step's runs.
+/// The remaining runs of one step.
 #[derive(Clone, Copy, Debug, Default)]
-struct StepRuns {
-    /// Until when the longest of them goes on, in milliseconds from now.
-    left_ms: u64,
-    /// What those use that still go on at the time looked at.
-    room: Room,
+struct RemainingRuns {
+    /// The remaining time of the longest, in milliseconds.
+    remaining_ms: u64,
+    /// The usage of those that will still run at the projected time.
+    room: Resources,
 }
 
 /// One step of one round of a job.
 type StepKey = (JobId, u32, u32);
 
 impl Scheduler {
-    /// Returns what each pool's known jobs will use `ahead_ms` from now; what
-    /// runs for long isn't counted.
-    pub(super) fn project(
+    /// Returns the usage of each pool's known jobs `ahead_ms` from now,
+    /// without long-running tasks.
+    pub(super) fn project_usage(
         &self,
         now: Now,
         ahead_ms: u64,
-    ) -> BTreeMap<String, Room> {
-        let runs = self.runs_left(now, ahead_ms);
-        let mut pools: HashMap<&str, Room> = HashMap::new();
-        // One for all jobs: a list each was two fifths of the allocations of a
-        // look at the VMs.
+    ) -> BTreeMap<String, Resources> {
+        let runs = self.remaining_runs(now, ahead_ms);
+        let mut pools: HashMap<&str, Resources> = HashMap::new();
+        // Reused for all jobs: a list for each made two fifths of the
+        // allocations of a sizing pass.
         let mut ends = Vec::new();
         for (id, job) in self.jobs.iter() {
             if job.phase.is_final() {
@@ -49,7 +51,7 @@
             }
             let used =
                 self.project_job(*id, job, &runs, &mut ends, now, ahead_ms);
-            if used != Room::default() {
+            if used != Resources::default() {
                 pools.entry(&job.terms.pool).or_default().add(&used);
             }
         }
@@ -57,13 +59,13 @@
         pools.map(|(pool, used)| (pool.to_owned(), used)).collect()
     }
 
-    /// Returns what is left of the runs of each step.
-    fn runs_left(
+    /// Returns the remaining runs of each step.
+    fn remaining_runs(
         &self,
         now: Now,
         ahead_ms: u64,
-    ) -> HashMap<StepKey, StepRuns> {
-        let mut left: HashMap<StepKey, StepRuns> = HashMap::new();
+    ) -> HashMap<StepKey, RemainingRuns> {
+        let mut remaining: HashMap<StepKey, RemainingRuns> = HashMap::new();
         for worker in self.workers.values() {
             for (task, run) in &worker.runs {
                 let Some(job) = self.jobs.get(&task.job) else { continue };
@@ -72,28 +74,28 @@
                     continue;
                 }
                 let ran_ms = now.steady_ms.saturating_sub(run.since_ms);
-                let left_ms = spec.estimate_ms.saturating_sub(ran_ms);
+                let remaining_ms = spec.estimate_ms.saturating_sub(ran_ms);
                 let key = (task.job, task.round, task.step);
-                let step = left.entry(key).or_default();
-                step.left_ms = step.left_ms.max(left_ms);
-                if left_ms > ahead_ms {
+                let step = remaining.entry(key).or_default();
+                step.remaining_ms = step.remaining_ms.max(remaining_ms);
+                if remaining_ms > ahead_ms {
                     step.room.add(&run.demand);
                 }
             }
         }
-        left
+        remaining
     }
 
     fn project_job(
         &self,
         id: JobId,
         job: &Job,
-        runs: &HashMap<StepKey, StepRuns>,
+        runs: &HashMap<StepKey, RemainingRuns>,
         ends: &mut Vec<u64>,
         now: Now,
         ahead_ms: u64,
-    ) -> Room {
-        let mut used = Room::default();
+    ) -> Resources {
+        let mut used = Resources::default();
         for (round, steps) in (0..).zip(&job.rounds) {
             let due_in_ms = job.spec.due_ms(round).saturating_sub(now.unix_ms);
             if due_in_ms > ahead_ms {
@@ -102,27 +104,27 @@
             ends.clear();
             for (step, state) in (0..).zip(steps) {
                 let spec = &job.spec.steps[step as usize];
-                let begins_ms =
-                    begins_ms(&job.spec, step as usize, ends).max(due_in_ms);
-                let lasts_ms = spec.estimate_ms;
-                let going = runs.get(&(id, round, step)).copied();
-                let going = going.unwrap_or_default();
+                let start_ms =
+                    start_ms(&job.spec, step as usize, ends).max(due_in_ms);
+                let duration_ms = spec.estimate_ms;
+                let running = runs.get(&(id, round, step)).copied();
+                let running = running.unwrap_or_default();
                 let ready =
                     job.is_ready(round as usize, step as usize, now.unix_ms);
                 ends.push(if state.is_done() {
                     0
                 } else if ready && state.waiting.is_empty() {
-                    going.left_ms
+                    running.remaining_ms
                 } else {
-                    begins_ms + lasts_ms
+                    start_ms + duration_ms
                 });
                 if spec.long_running || state.is_done() {
                     continue;
                 }
-                used.add(&going.room);
-                let goes_on =
-                    begins_ms <= ahead_ms && ahead_ms < begins_ms + lasts_ms;
-                if !ready && goes_on && self.fits_somewhere(spec) {
+                used.add(&running.room);
+                let runs_then =
+                    start_ms <= ahead_ms && ahead_ms < start_ms + duration_ms;
+                if !ready && runs_then && self.fits_any_vm(spec) {
                     let waiting = state.waiting.len() as u64;
                     used.add(&demand(spec).times(waiting));
                 }
@@ -131,23 +133,27 @@
         used
     }
 
-    /// Returns what a job will use within `ahead_ms` of its coming, times
-    /// milliseconds; what runs for long, falls due later or fits nowhere isn't
-    /// counted.
-    pub(super) fn first_work(&self, spec: &JobSpec, ahead_ms: u64) -> Room {
+    /// Returns the resources that a job will use within `ahead_ms` of its
+    /// arrival, multiplied by milliseconds. Long-running steps, repeated jobs
+    /// and steps that fit no VM aren't counted.
+    pub(super) fn initial_work(
+        &self,
+        spec: &JobSpec,
+        ahead_ms: u64,
+    ) -> Resources {
         if spec.repeat.is_some() {
-            return Room::default();
+            return Resources::default();
         }
         let mut ends: Vec<u64> = Vec::with_capacity(spec.steps.len());
-        let mut work = Room::default();
+        let mut work = Resources::default();
         for (step, step_spec) in spec.steps.iter().enumerate() {
-            let begins_ms = begins_ms(spec, step, &ends);
-            let lasts_ms = step_spec.estimate_ms;
-            ends.push(begins_ms + lasts_ms);
-            if step_spec.long_running || !self.fits_somewhere(step_spec) {
+            let start_ms = start_ms(spec, step, &ends);
+            let duration_ms = step_spec.estimate_ms;
+            ends.push(start_ms + duration_ms);
+            if step_spec.long_running || !self.fits_any_vm(step_spec) {
                 continue;
             }
-            let within_ms = lasts_ms.min(ahead_ms.saturating_sub(begins_ms));
+            let within_ms = duration_ms.min(ahead_ms.saturating_sub(start_ms));
             let times = u64::from(step_spec.count).saturating_mul(within_ms);
             work.add(&demand(step_spec).times(times));
         }
@@ -155,8 +161,8 @@
     }
 }
 
-/// Returns when a step begins if the steps before end as given.
-fn begins_ms(spec: &JobSpec, step: usize, ends: &[u64]) -> u64 {
+/// Returns when a step begins if the earlier steps end at the given times.
+fn start_ms(spec: &JobSpec, step: usize, ends: &[u64]) -> u64 {
     let before = spec.steps[step].after.iter();
     before.filter_map(|earlier| ends.get(*earlier)).max().copied().unwrap_or(0)
 }
--- a/crates/dewspar/src/schedule/records.rs
+++ b/crates/dewspar/src/schedule/record_merge.rs
@@ -1,12 +1,12 @@
 /*!
-Going on from a job's record that this holder didn't know of.
+Merging a job's record that this holder didn't know of.
 
-A holder knows what is stored of a job from loading it and from its own writes.
-Where a write finds another record (see [`crate::job::conflict`]), what that
-record says is added to what is known: tasks that are done there aren't run
-again, failed runs count, and a job that is over there is over. Nothing that is
-known here is taken back, so a record that is older than what is known changes
-nothing.
+A holder knows what is stored of a job because it loaded the job or wrote the
+record itself. If a write finds a different record (see
+[`crate::job::conflict`]), that record is merged into the known state: tasks
+that are done in the record aren't run again, failed runs count, and a job that
+is over there is over. The merge undoes nothing that is already known, so a
+record older than the known state changes nothing.
 */
 
 use crate::{
@@ -14,15 +14,15 @@
     schedule::{
         Now, Scheduler, WorkerId,
         job_state::{Job, Task},
-        suspects::Crashes,
+        suspects::CrashHistory,
     },
 };
 
 impl Scheduler {
-    /// Adds what a job's record says to what is known of the job, and has the
-    /// outcome stored.
+    /// Merges a job's record into the known state of the job, and queues the
+    /// result to be stored.
     ///
-    /// A job that is unknown stays unknown.
+    /// An unknown job stays unknown.
     ///
     /// # Example
     ///
@@ -38,13 +38,13 @@
     /// let record =
     ///     Progress { phase: Phase::Completed, ..Progress::default() };
     /// let now = Now { steady_ms: 1_000, unix_ms: 0 };
-    /// scheduler.go_on_from(id, &record, now);
+    /// scheduler.merge_record(id, &record, now);
     /// assert_eq!(scheduler.phase(id), Some(Phase::Completed));
     /// # Ok::<(), dewspar::job::InvalidId>(())
     /// ```
-    pub fn go_on_from(&mut self, id: JobId, record: &Progress, now: Now) {
+    pub fn merge_record(&mut self, id: JobId, record: &Progress, now: Now) {
         if record.phase.is_final() {
-            self.end_as_on_record(id, record, now);
+            self.adopt_recorded_end(id, record, now);
             return;
         }
         let Some(job) = self.jobs.get_mut(&id) else { return };
@@ -55,11 +55,11 @@
             job.phase = Phase::Running;
         }
         job.other.add(&record.other);
-        let mut useless = Vec::new();
+        let mut obsolete = Vec::new();
         for task in &record.tasks {
-            useless.extend(add_record(job, id, task));
+            obsolete.extend(add_record(job, id, task));
         }
-        for (task, worker) in useless {
+        for (task, worker) in obsolete {
             self.stop_run(&task, &worker, "done on record");
         }
         self.note_loaded_in_doubt(id);
@@ -76,9 +76,9 @@
         self.finish_if_over(task, failures, now);
     }
 
-    /// Ends a job as its record says, which counts more than how it ended
-    /// here: callers may have been told.
-    fn end_as_on_record(&mut self, id: JobId, record: &Progress, now: Now) {
+    /// Ends a job as its record says. The record takes precedence over how the
+    /// job ended here, since callers may already have been told.
+    fn adopt_recorded_end(&mut self, id: JobId, record: &Progress, now: Now) {
         self.finish(id, record.phase, now);
         let Some(job) = self.jobs.get_mut(&id) else { return };
         job.phase = record.phase;
@@ -93,8 +93,8 @@
     TaskId { job, round, step, index }
 }
 
-/// Adds what is on record of a task; returns the runs that are of no use any
-/// more, since the task is done.
+/// Merges the record of a task; returns the runs that are obsolete because the
+/// task is done.
 fn add_record(
     job: &mut Job,
     id: JobId,
@@ -110,14 +110,15 @@
         return Vec::new();
     }
     task.done = true;
-    let useless = task.on.iter().map(|on| (task_id, on.clone())).collect();
+    let obsolete =
+        task.workers.iter().map(|on| (task_id, on.clone())).collect();
     step.done += 1;
     step.waiting.remove(&record.index);
-    useless
+    obsolete
 }
 
 impl Task {
-    /// Adds all that is on record but whether the task is done.
+    /// Merges everything in the record except whether the task is done.
     fn add(&mut self, record: &TaskRecord) {
         for run in &record.failed_runs {
             if !self.failed_runs.contains(run) {
@@ -130,7 +131,7 @@
         self.run = self.run.max(record.run);
         self.ended_run = self.ended_run.max(record.run);
         if record.crashes > self.crashes.count {
-            self.crashes = Crashes::restored(record);
+            self.crashes = CrashHistory::restored(record);
         }
         self.in_doubt.add(&record.in_doubt);
         self.other.add(&record.other);
--- a/crates/dewspar/src/schedule/reservations/search.rs
+++ b/crates/dewspar/src/schedule/reservations/search.rs
@@ -1,73 +1,76 @@
 /*!
-Workers for several members of a gang at once.
+Placement of several members of a gang at once.
 
-Members are alike as a rule, so the workers are gone through once, and each
-member is put on the one that has most processor time left beside those that were
-put there before: there short runs end first. Only a member that has failed on
-some worker or may crash them is looked for by itself.
+Members are usually interchangeable, so the workers are searched once. Each
+member is assigned to the worker with most processor time left after the
+previous assignments, since short runs end first there. Only a member that has
+failed on some worker or may crash workers is searched for individually.
 */
 
 use {
-    super::SOUGHT_A_LOOK,
+    super::MAX_SEARCHES_PER_REVIEW,
     crate::{
         job::{StepSpec, TaskId},
         schedule::{
-            Now, Room, Scheduler, WorkerId, job_state::demand,
-            placement::RoomFrom, worker::Worker,
+            Now, Resources, Scheduler, WorkerId, job_state::demand,
+            placement::RoomHorizon, worker::Worker,
         },
     },
     std::collections::{BTreeMap, BinaryHeap, HashMap},
 };
 
-/// A worker for each member of a gang, or for how many there is none.
-pub(super) type MembersPlaces = Result<Vec<WorkerId>, u64>;
+/// A worker for each member of a gang, or the number of members without a
+/// worker.
+pub(super) type MemberWorkers = Result<Vec<WorkerId>, u64>;
 
 /// A worker that has room for some members.
 #[derive(Eq, Ord, PartialEq, PartialOrd)]
-struct Opening<'a> {
-    /// Whether its VM isn't to be maintained soon.
+struct WorkerOption<'a> {
+    /// Whether its VM has no pending maintenance.
     stays: bool,
-    /// The processor time that is free there now, less that of the members
-    /// that were put there, in thousandths of a core.
+    /// The free processor time minus that of the members assigned so far, in
+    /// thousandths of a core. Negative while short runs use the capacity.
     free_cpu_millis: i64,
     id: &'a WorkerId,
     /// How many more members it has room for.
     members_left: u64,
 }
 
-impl Opening<'_> {
-    /// Returns what is left once one more member was put there, if anything.
-    fn after_one_more(self, demand: &Room) -> Option<Self> {
+impl WorkerOption<'_> {
+    /// Returns what is left after one more member has been assigned, if
+    /// anything.
+    fn after_one_more(self, demand: &Resources) -> Option<Self> {
         // OK to convert: no VM has so many cores.
         let taken = demand.cpu_millis as i64;
         let free_cpu_millis = self.free_cpu_millis - taken;
         let members_left = self.members_left - 1;
-        let less = Opening { members_left, free_cpu_millis, ..self };
+        let less = WorkerOption { members_left, free_cpu_millis, ..self };
         (members_left > 0).then_some(less)
     }
 }
 
-/// The members of one gang that were put on workers in thought.
+/// Tentative assignments of the members of one gang to workers.
 #[derive(Default)]
-struct Put<'a> {
+struct Assignments<'a> {
     on: HashMap<&'a WorkerId, u64>,
 }
 
-impl<'a> Put<'a> {
-    /// Returns what a worker offers a member beside those that were put there.
-    fn opening(
+impl<'a> Assignments<'a> {
+    /// Returns what a worker offers a member besides the members assigned so
+    /// far.
+    fn option(
         &self,
         scheduler: &Scheduler,
         (spec, member): (&StepSpec, &TaskId),
         worker: &'a Worker,
-        room: RoomFrom,
-    ) -> Option<Opening<'a>> {
+        room: RoomHorizon,
+    ) -> Option<WorkerOption<'a>> {
         let demand = demand(spec);
         let free = match room {
-            RoomFrom::Now => worker.free_for(member),
-            RoomFrom::Soon => worker.free_soon_for(member),
+            RoomHorizon::Now => worker.free_for(member),
+            RoomHorizon::AfterShortTasks => worker.free_soon_for(member),
         };
-        let put = self.on.get(worker.id()).copied().unwrap_or(0);
+        let assigned = self.on.get(worker.id()).copied().unwrap_or(0);
         let most = u64::from(spec.max_per_worker);
         let siblings = worker.runs_of_step(member) as u64;
         let apart = match most {
@@ -75,95 +78,99 @@
             most => most.saturating_sub(siblings),
         };
         let members_left =
-            free.times_held(&demand).min(apart).saturating_sub(put);
-        let taken = demand.times(put).cpu_millis;
+            free.count_fitting(&demand).min(apart).saturating_sub(assigned);
+        let taken = demand.times(assigned).cpu_millis;
         // OK to convert: no VM has so many cores.
         let free_cpu_millis = worker.free().cpu_millis as i64 - taken as i64;
         let stays = !scheduler.awaits_maintenance(&worker.listing.vm);
         let id = worker.id();
-        let opening = Opening { stays, free_cpu_millis, id, members_left };
-        (members_left > 0).then_some(opening)
+        let option = WorkerOption { stays, free_cpu_millis, id, members_left };
+        (members_left > 0).then_some(option)
     }
 
-    fn put(&mut self, worker: &'a WorkerId) {
+    fn assign(&mut self, worker: &'a WorkerId) {
         *self.on.entry(worker).or_default() += 1;
     }
 }
 
 impl Scheduler {
-    /// Returns how many members have to be looked for by themselves.
-    pub(super) fn own_searches(&self, members: &[TaskId]) -> usize {
-        let own = members.iter().filter(|member| self.has_own_place(member));
+    /// Returns the number of members that need an individual search.
+    pub(super) fn individual_searches(&self, members: &[TaskId]) -> usize {
+        let own =
+            members.iter().filter(|member| self.needs_own_placement(member));
         own.count()
     }
 
-    /// Returns a worker for each of some members of a gang that have no place.
+    /// Returns a worker for each of some members of a gang that have no
+    /// reservation.
     ///
-    /// Goes through the workers once for all that are alike.
-    pub(super) fn places_for(
+    /// Searches the workers only once for all interchangeable members.
+    pub(super) fn place_members(
         &self,
         spec: &StepSpec,
         members: &[TaskId],
-        room: RoomFrom,
+        room: RoomHorizon,
         now: Now,
-    ) -> MembersPlaces {
-        let (own, alike): (Vec<&TaskId>, Vec<&TaskId>) =
-            members.iter().partition(|member| self.has_own_place(member));
-        if own.len() > SOUGHT_A_LOOK {
+    ) -> MemberWorkers {
+        let (own, alike): (Vec<&TaskId>, Vec<&TaskId>) = members
+            .iter()
+            .partition(|member| self.needs_own_placement(member));
+        if own.len() > MAX_SEARCHES_PER_REVIEW {
             return Err(members.len() as u64);
         }
-        let mut put = Put::default();
-        let mut places = self.put_one_by_one(spec, &own, &mut put, room, now);
-        places.extend(self.put_alike(spec, &alike, &put, room, now));
+        let mut assigned = Assignments::default();
+        let mut places =
+            self.place_individually(spec, &own, &mut assigned, room, now);
+        places.extend(self.place_uniform(spec, &alike, &assigned, room, now));
         let found = members.iter().filter_map(|m| places.get(m).copied());
         let found: Vec<WorkerId> = found.cloned().collect();
         let lacking = (members.len() - found.len()) as u64;
         if lacking > 0 { Err(lacking) } else { Ok(found) }
     }
 
-    /// Puts members on workers, each looked for by itself.
-    fn put_one_by_one<'a, 'm>(
+    /// Assigns members to workers, with a separate search for each member.
+    fn place_individually<'a, 'm>(
         &'a self,
         spec: &StepSpec,
         members: &[&'m TaskId],
-        put: &mut Put<'a>,
-        room: RoomFrom,
+        assigned: &mut Assignments<'a>,
+        room: RoomHorizon,
         now: Now,
     ) -> BTreeMap<&'m TaskId, &'a WorkerId> {
         let mut places = BTreeMap::new();
         for member in members {
-            let workers = self.suitable_numbers(spec, member, room, now);
-            let openings = workers.filter_map(|(_, worker)| {
-                put.opening(self, (spec, member), worker, room)
+            let workers = self.suitable_with_numbers(spec, member, room, now);
+            let options = workers.filter_map(|(_, worker)| {
+                assigned.option(self, (spec, member), worker, room)
             });
-            if let Some(best) = openings.max() {
-                put.put(best.id);
+            if let Some(best) = options.max() {
+                assigned.assign(best.id);
                 places.insert(*member, best.id);
             }
         }
         places
     }
 
-    /// Puts members on workers that suit the first of them.
-    fn put_alike<'a, 'm>(
+    /// Assigns members to workers that suit the first of them.
+    fn place_uniform<'a, 'm>(
         &'a self,
         spec: &StepSpec,
         members: &[&'m TaskId],
-        put: &Put<'a>,
-        room: RoomFrom,
+        assigned: &Assignments<'a>,
+        room: RoomHorizon,
         now: Now,
     ) -> BTreeMap<&'m TaskId, &'a WorkerId> {
         let mut places = BTreeMap::new();
         let Some(any) = members.first() else { return places };
-        let workers = self.suitable_numbers(spec, any, room, now);
-        let openings = workers.filter_map(|(_, worker)| {
-            put.opening(self, (spec, any), worker, room)
+        let workers = self.suitable_with_numbers(spec, any, room, now);
+        let options = workers.filter_map(|(_, worker)| {
+            assigned.option(self, (spec, any), worker, room)
         });
-        let mut openings: BinaryHeap<Opening> = openings.collect();
+        let mut options: BinaryHeap<WorkerOption> = options.collect();
         for member in members {
-            let Some(best) = openings.pop() else { break };
+            let Some(best) = options.pop() else { break };
             places.insert(*member, best.id);
-            openings.extend(best.after_one_more(&demand(spec)));
+            options.extend(best.after_one_more(&demand(spec)));
         }
         places
     }
--- a/crates/dewspar/src/schedule/scheduler.rs
+++ b/crates/dewspar/src/schedule/scheduler.rs
@@ -4,30 +4,30 @@
         job::{JobId, Phase, Progress, TaskId},
         link::{Class, LinkBudget},
         schedule::{
-            AcceptedJob, Action, Decision, Held, ManagedVm, Now, Options,
-            PaceOrder, QueueTerms, Room, WorkerId,
+            AcceptedJob, Action, Decision, ManagedVm, Now, Options, PaceOrder,
+            QueueTerms, Resources, SentHold, WorkerId,
             advice::StepAdvice,
             cancelled::Cancelled,
-            crash_series::{CrashSeries, KeptFor},
-            duty::InheritedOrder,
+            crash_bursts::{CrashBursts, ReservedFor},
             forecast::Arrivals,
             job_state::Job,
             jobs::Jobs,
             loading::Loading,
-            long_running::LastingNeed,
+            long_running::LongRunningNeed,
             long_waits::LongWaits,
             placement::Candidates,
+            poll_limit::InFlightPolls,
             processes::FormerProcesses,
-            questions::Questions,
-            reservations::KeptPlaces,
-            set_aside::SetAside,
-            sizing::{Moving, PoolLoad},
+            reservations::Reservations,
+            sizing::{PendingMove, PoolLoad},
             start_log::StartLogs,
-            steadiness::VmCrashes,
-            token_claims::Claims,
-            unseen_starts::ToldStart,
+            token_claims::TokenClaims,
+            unreadable_jobs::UnreadableJobs,
+            unseen_starts::RecordedStart,
+            vm_orders::InheritedOrder,
+            vm_stability::VmCrashes,
             wave_state::WaveState,
-            worker::{OwedHold, Worker},
+            worker::{DueHold, Worker},
             workers::{WorkerNumber, Workers},
             write_ahead::WriteAhead,
         },
@@ -36,9 +36,9 @@
     std::collections::{BTreeMap, BTreeSet},
 };
 
-/// Spreads the revisions of leases that follow each other closely over all
-/// numbers: 2^64 divided by the golden ratio.
-const SPREAD: u64 = 0x9E37_79B9_7F4A_7C15;
+/// Multiplier that spreads consecutive lease revisions over all numbers: 2^64
+/// divided by the golden ratio.
+const GOLDEN_RATIO_64: u64 = 0x9E37_79B9_7F4A_7C15;
 
 /// The state of the node that holds the scheduler lease.
 #[derive(Debug)]
@@ -52,122 +52,131 @@
     pub(super) loading: Loading,
     pub(super) cancelled: Cancelled,
     /// The jobs that can't be read, and the ends of their runs.
-    pub(super) set_aside: SetAside,
+    pub(super) unreadable_jobs: UnreadableJobs,
     pub(super) workers: Workers,
-    /// Jobs whose progress is to be stored, each with the number of the first
-    /// change that isn't.
+    /// The jobs whose progress is to be stored, each with the sequence number
+    /// of its first unstored change.
     pub(super) changed: BTreeMap<JobId, u64>,
-    /// Jobs whose progress is being stored, each with the first change that it
-    /// holds.
+    /// The jobs whose progress is being stored, each with the sequence number
+    /// of the first change that is included.
     pub(super) storing: BTreeMap<JobId, u64>,
-    /// The jobs whose tasks wait to start until a change is stored, with the
-    /// number of the first such change.
+    /// The jobs whose tasks may not start until a change is stored, each with
+    /// the sequence number of the first such change.
     pub(super) awaited: BTreeMap<JobId, u64>,
-    /// How many changes there were.
+    /// The sequence number of the last change.
     pub(super) sequence: u64,
-    /// Final jobs whose keys are still kept, with when they became final.
+    /// Finished jobs whose keys are still kept, with the time at which they
+    /// finished.
     pub(super) finished: BTreeMap<JobId, u64>,
     pub(super) decisions: Vec<Decision>,
-    /// What workers have said of later tokens.
-    pub(super) claims: Claims,
-    /// The workers that aren't used any more.
+    /// The claims of workers to have seen later tokens.
+    pub(super) claims: TokenClaims,
+    /// The worker processes that are no longer used.
     pub(super) former: FormerProcesses,
-    /// Whether any task was suspected so far: looking for them costs time.
-    pub(super) knows_suspects: bool,
-    /// How many workers of each pool were lost before they had named their runs.
-    pub(super) unheard_losses: BTreeMap<String, u32>,
-    /// The pools of which some task may wait for which these don't count yet.
+    /// Whether any task was ever suspected of crashing its workers; looking
+    /// for suspects takes time.
+    pub(super) has_suspects: bool,
+    /// The number of workers of each pool that were lost before they reported
+    /// their runs.
+    pub(super) unsynced_losses: BTreeMap<String, u32>,
+    /// The pools with waiting tasks whose crash counts may not include these
+    /// losses yet.
     pub(super) uncounted_pools: BTreeSet<String>,
-    /// The starts that former holders told of, with their workers, until it is
-    /// known what became of each.
-    pub(super) told_starts: BTreeMap<TaskId, ToldStart>,
-    /// The starts that wait until they are on record.
+    /// The starts that former holders recorded, with their workers, until
+    /// their outcome is known.
+    pub(super) recorded_starts: BTreeMap<TaskId, RecordedStart>,
+    /// The starts that wait until they are recorded.
     pub(super) write_ahead: WriteAhead,
-    /// Where such starts are put on record together.
+    /// The logs in which such starts are recorded together.
     pub(super) start_logs: StartLogs,
-    /// The tasks some start of which is in doubt.
+    /// The tasks with a start that is in doubt: it got no answer and may still
+    /// be carried out.
     pub(super) tasks_in_doubt: BTreeSet<TaskId>,
-    /// The pools whose workers crash one after the other.
-    pub(super) crash_series: CrashSeries,
-    /// The workers that are kept free for tasks that are to be found out about.
-    pub(super) reserved: BTreeMap<WorkerId, KeptFor>,
-    /// The crashes on each VM of late.
+    /// The pools whose workers crash in quick succession.
+    pub(super) crash_bursts: CrashBursts,
+    /// The workers that are kept free to test suspected tasks.
+    pub(super) reserved: BTreeMap<WorkerId, ReservedFor>,
+    /// The recent crashes on each VM.
     pub(super) vm_crashes: BTreeMap<String, VmCrashes>,
-    /// When the directory of workers was last read; 0 for not yet.
+    /// The time of the last read of the directory of workers; 0 for none.
     pub(super) directory_ms: u64,
-    /// From when the directory is complete again after it couldn't be read.
-    pub(super) entered_by_ms: u64,
+    /// The time from which the directory is complete again after a failure to
+    /// read it.
+    pub(super) directory_complete_ms: u64,
     /// Whether every worker that may run something is among `workers`.
-    pub(super) lives_known: bool,
-    /// When the first worker was listed under this lease; 0 for not yet.
+    pub(super) workers_known: bool,
+    /// The time at which the first worker was listed under this lease; 0 for
+    /// not yet.
     pub(super) taken_over_ms: u64,
-    /// When changes of each VM were last ordered.
+    /// The time at which this holder last ordered a change of each VM.
     pub(super) ordered_vms: BTreeMap<String, u64>,
-    /// The VMs that former holders touched, who did, and until when that
-    /// counts.
-    pub(super) inherited_vms: BTreeMap<String, InheritedOrder>,
-    /// From when changes of VMs may be ordered that a former holder touched.
-    pub(super) vms_from_ms: BTreeMap<String, u64>,
-    pub(super) all_vms_from_ms: u64,
+    /// The orders of former holders that still block their VMs.
+    pub(super) inherited_orders: BTreeMap<String, InheritedOrder>,
+    /// The time from which each VM may be ordered to change, if that is
+    /// restricted.
+    pub(super) vm_orders_from_ms: BTreeMap<String, u64>,
+    pub(super) all_vm_orders_from_ms: u64,
     pub(super) waves: BTreeMap<u64, WaveState>,
     pub(super) vms: BTreeMap<String, ManagedVm>,
-    pub(super) moving: BTreeMap<String, Moving>,
-    /// The places that are kept for tasks.
-    pub(super) places: KeptPlaces,
-    /// Moves that the VM service will never take.
+    pub(super) pending_moves: BTreeMap<String, PendingMove>,
+    /// The reservations for tasks.
+    pub(super) places: Reservations,
+    /// The moves that the VM service has refused as invalid, by VM and pool.
     pub(super) refused_moves: BTreeSet<(String, String)>,
     pub(super) serving_pools: BTreeSet<String>,
     pub(super) free_pools: BTreeSet<String>,
-    /// The pools whose workers start whatever they are told.
-    pub(super) unguarded_pools: BTreeSet<String>,
+    /// The pools whose workers don't enforce their capacity, so that the
+    /// scheduler must.
+    pub(super) unenforced_pools: BTreeSet<String>,
     pub(super) pool_loads: BTreeMap<String, PoolLoad>,
-    /// The pools that have no place for some task which another VM could
-    /// hold, and since when.
-    pub(super) without_place: BTreeMap<String, u64>,
-    /// What workers and VMs have room for, each kind once.
-    pub(super) capacities: Vec<Room>,
-    /// What the adviser has said, by the first task of each step.
+    /// The pools that can't place some task which another VM could hold, and
+    /// since when.
+    pub(super) unplaced_since_ms: BTreeMap<String, u64>,
+    /// The distinct capacities of workers and VMs.
+    pub(super) capacities: Vec<Resources>,
+    /// The adviser's answers, by the first task of each step.
     pub(super) advice: BTreeMap<TaskId, StepAdvice>,
-    /// When the list of VMs was last asked for.
+    /// The time at which the current list of VMs was requested.
     pub(super) vms_asked_ms: u64,
-    /// When the pools' sizes were last looked at.
-    pub(super) sized_ms: u64,
-    /// Jobs accepted under this lease that aren't counted as arrivals yet.
+    /// The time at which pools were last sized.
+    pub(super) last_sizing_ms: u64,
+    /// The jobs accepted under this lease that aren't counted as arrivals yet.
     pub(super) new_jobs: Vec<JobId>,
-    /// The jobs that came to each pool of late.
+    /// The recent arrivals of each pool.
     pub(super) arrivals: BTreeMap<String, Arrivals>,
-    /// The first task of each step of open jobs that is to last and may be
-    /// wanted soon.
-    pub(super) lasting_steps: Vec<TaskId>,
-    /// What each pool's tasks that are to last need of VMs.
-    pub(super) lasting_needs: BTreeMap<String, LastingNeed>,
-    /// How many VMs pools got that lacked most, since the one that lacked
-    /// fewest had its turn.
-    pub(super) vms_to_most: u32,
-    /// How many VMs each pool should have, when that was last looked at.
+    /// The first task of each long-running step of open jobs that is due now
+    /// or soon.
+    pub(super) long_running_steps: Vec<TaskId>,
+    /// The VMs that the long-running tasks of each pool need.
+    pub(super) long_running_needs: BTreeMap<String, LongRunningNeed>,
+    /// The number of VMs assigned to the pools with the largest deficits since
+    /// one was last assigned to the pool with the smallest.
+    pub(super) vms_to_neediest: u32,
+    /// The target number of VMs of each pool, as of the last sizing.
     pub(super) targets: BTreeMap<String, u64>,
-    /// What each pool's known jobs will use a while ahead.
-    pub(super) projected: BTreeMap<String, Room>,
-    /// When the first job was known that isn't there for long; 0 for not yet.
+    /// The projected usage of each pool's known jobs.
+    pub(super) projected: BTreeMap<String, Resources>,
+    /// The time at which the first job with short tasks was known; 0 for not
+    /// yet.
     pub(super) first_job_ms: u64,
-    /// The orders that are under way.
+    /// The window that bounds the orders in flight.
     pub(super) window: CallWindow,
-    /// What this node's link carries of orders.
+    /// The budget of this node's link for orders.
     pub(super) link: LinkBudget,
-    /// The questions under way.
-    pub(super) questions: Questions,
-    /// The worker that is asked first; `None` before any is listed.
-    asked_first: Option<WorkerId>,
-    /// How long workers may gather ends, while the processor is short.
+    /// The holds in flight.
+    pub(super) polls: InFlightPolls,
+    /// The worker that this holder polls first; `None` before any is listed.
+    first_polled: Option<WorkerId>,
+    /// The delay of polls while this node's processor is overloaded.
     busy: BusyPause,
-    /// When runs that go on were last looked at.
-    pub(super) runs_looked_at_ms: u64,
-    /// What was told of tasks that are to last and wait.
+    /// The time at which runs were last monitored.
+    pub(super) runs_checked_ms: u64,
+    /// The long waits of long-running tasks that were reported.
     pub(super) long_waits: LongWaits,
 }
 
 impl Scheduler {
-    /// Makes the scheduler of a holder whose lease key was written at this
+    /// Returns the scheduler of a holder whose lease key was written at this
     /// revision of the store.
     pub fn new(lease_revision: u64, options: Options) -> Scheduler {
         let window = CallWindow::new(options.policy.orders.limits());
@@ -175,10 +184,10 @@
         Scheduler {
             window,
             link,
-            questions: Questions::default(),
-            asked_first: None,
+            polls: InFlightPolls::default(),
+            first_polled: None,
             busy: BusyPause::default(),
-            runs_looked_at_ms: 0,
+            runs_checked_ms: 0,
             long_waits: LongWaits::default(),
             options,
             lease_revision,
@@ -187,7 +196,7 @@
             candidates: Candidates::default(),
             loading: Loading::Done,
             cancelled: Cancelled::default(),
-            set_aside: SetAside::default(),
+            unreadable_jobs: UnreadableJobs::default(),
             workers: Workers::default(),
             changed: BTreeMap::new(),
             storing: BTreeMap::new(),
@@ -195,47 +204,47 @@
             sequence: 0,
             finished: BTreeMap::new(),
             decisions: Vec::new(),
-            claims: Claims::default(),
+            claims: TokenClaims::default(),
             former: FormerProcesses::default(),
-            knows_suspects: false,
-            unheard_losses: BTreeMap::new(),
+            has_suspects: false,
+            unsynced_losses: BTreeMap::new(),
             uncounted_pools: BTreeSet::new(),
-            told_starts: BTreeMap::new(),
+            recorded_starts: BTreeMap::new(),
             write_ahead: WriteAhead::default(),
             start_logs: StartLogs::default(),
             tasks_in_doubt: BTreeSet::new(),
-            crash_series: CrashSeries::default(),
+            crash_bursts: CrashBursts::default(),
             reserved: BTreeMap::new(),
             vm_crashes: BTreeMap::new(),
             directory_ms: 0,
-            entered_by_ms: 0,
-            lives_known: false,
+            directory_complete_ms: 0,
+            workers_known: false,
             taken_over_ms: 0,
             ordered_vms: BTreeMap::new(),
-            inherited_vms: BTreeMap::new(),
-            vms_from_ms: BTreeMap::new(),
-            all_vms_from_ms: 0,
+            inherited_orders: BTreeMap::new(),
+            vm_orders_from_ms: BTreeMap::new(),
+            all_vm_orders_from_ms: 0,
             waves: BTreeMap::new(),
             vms: BTreeMap::new(),
-            moving: BTreeMap::new(),
-            places: KeptPlaces::default(),
+            pending_moves: BTreeMap::new(),
+            places: Reservations::default(),
             refused_moves: BTreeSet::new(),
             serving_pools: BTreeSet::new(),
             free_pools: BTreeSet::new(),
-            unguarded_pools: BTreeSet::new(),
+            unenforced_pools: BTreeSet::new(),
             pool_loads: BTreeMap::new(),
-            without_place: BTreeMap::new(),
+            unplaced_since_ms: BTreeMap::new(),
             capacities: Vec::new(),
             advice: BTreeMap::new(),
             vms_asked_ms: 0,
-            sized_ms: 0,
+            last_sizing_ms: 0,
             new_jobs: Vec::new(),
             arrivals: BTreeMap::new(),
             targets: BTreeMap::new(),
             projected: BTreeMap::new(),
-            lasting_steps: Vec::new(),
-            lasting_needs: BTreeMap::new(),
-            vms_to_most: 0,
+            long_running_steps: Vec::new(),
+            long_running_needs: BTreeMap::new(),
+            vms_to_neediest: 0,
             first_job_ms: 0,
         }
     }
@@ -245,7 +254,7 @@
         std::mem::take(&mut self.decisions)
     }
 
-    /// Takes over the queues of a configuration.
+    /// Applies the queues of a configuration.
     ///
     /// Queues that it no longer has keep their last terms: jobs that they
     /// accepted are still to be run.
@@ -263,9 +272,9 @@
         }
     }
 
-    /// Takes in an accepted job, with what a former holder stored of it.
+    /// Adds an accepted job, with the progress that a former holder stored.
     ///
-    /// A job that is known already changes nothing.
+    /// Does nothing if the job is known already.
     pub fn submit(
         &mut self,
         id: JobId,
@@ -286,28 +295,28 @@
         let mut job = Job::new(spec, terms, revision, accepted_at_ms);
         if let Some(progress) = progress {
             job.restore(progress);
-            self.knows_suspects |=
+            self.has_suspects |=
                 progress.tasks.iter().any(|t| t.crashes > 0 || t.unseen > 0);
         }
         if revision > self.lease_revision {
             self.new_jobs.push(id);
         } else {
-            job.note_may_have_begun();
+            job.mark_may_have_begun();
         }
         self.jobs.insert(id, job);
         if let Some(progress) = progress {
-            self.note_told_starts(id, progress);
+            self.note_recorded_starts(id, progress);
             self.note_loaded_in_doubt(id);
         }
-        self.take_in_logged_starts(id);
+        self.merge_logged_starts(id);
     }
 
-    /// Cancels a job; one that is over or unknown stays as it is, unless jobs
-    /// are still being loaded. What runs of it is stopped either way, under
-    /// the next holders as well, until
-    /// [`Scheduler::take_settled_cancellings`] names it.
+    /// Cancels a job. A job that has finished or is unknown stays as it is,
+    /// unless jobs are still being loaded. Its runs are stopped in any case,
+    /// also under the next holders, until
+    /// [`Scheduler::take_settled_cancellations`] returns it.
     pub fn cancel(&mut self, id: JobId, now: Now) {
-        let kept = self.keep_cancellation(id);
+        let kept = self.defer_cancellation(id);
         self.cancelled.insert(id);
         if kept {
             return;
@@ -315,8 +324,9 @@
         self.finish(id, Phase::Cancelled, now);
     }
 
-    /// Returns each queue's number of jobs none of whose tasks is known to
-    /// have begun; a start that was only ordered is none.
+    /// Returns the number of pending jobs of each queue: those of which no
+    /// task is known to have begun. A start that was only ordered doesn't
+    /// count as begun.
     pub fn pending(&self, unix_ms: u64) -> BTreeMap<String, u64> {
         let mut pending = BTreeMap::new();
         for job in self.jobs.values() {
@@ -328,12 +338,12 @@
         pending
     }
 
-    /// Returns each queue's number of waiting jobs of which a start is under
-    /// way that no worker has confirmed.
+    /// Returns the number of pending jobs of each queue that have a start in
+    /// flight which no worker has confirmed.
     pub fn unconfirmed(&self) -> BTreeMap<String, u64> {
         let mut unconfirmed = BTreeMap::new();
         for (id, job) in self.jobs.iter() {
-            let ordered = job.placed(*id).next().is_some();
+            let ordered = job.placements(*id).next().is_some();
             if job.phase == Phase::Queued && ordered {
                 *unconfirmed.entry(job.spec.queue.clone()).or_insert(0) += 1;
             }
@@ -341,33 +351,33 @@
         unconfirmed
     }
 
-    /// Returns the window that bounds the orders under way.
+    /// Returns the window that bounds the orders in flight.
     pub fn window(&self) -> &CallWindow {
         &self.window
     }
 
-    /// Sets whether relays carry this node's orders, which then take less of
+    /// Sets whether relays forward this node's orders, which then take less of
     /// its link.
     pub fn set_relayed(&mut self, relayed: bool) {
         self.link.set_relayed(relayed);
     }
 
-    /// Returns what this node's link carries of orders.
+    /// Returns the budget of this node's link for orders.
     pub fn link(&self) -> &LinkBudget {
         &self.link
     }
 
-    /// Notes how long an event had waited before it was taken in now, in
-    /// milliseconds: that says how short this node's processor is.
-    pub fn event_waited(&mut self, waited_ms: u64, now: Now) {
+    /// Records how long an event had waited before it was processed now, in
+    /// milliseconds. The delay shows how overloaded this node's processor is.
+    pub fn record_event_delay(&mut self, waited_ms: u64, now: Now) {
         self.busy.waited(waited_ms, now.steady_ms);
     }
 
-    /// Returns how long a worker that has answered is left alone, in
+    /// Returns the delay before a worker that has answered is polled again, in
     /// milliseconds; 0 while this node keeps up.
     ///
-    /// Starts aren't put off, so they come first.
-    pub(super) fn ask_pause_ms(&self) -> u64 {
+    /// Starts aren't delayed, so they take precedence.
+    pub(super) fn poll_pause_ms(&self) -> u64 {
         let asks_later = self.options.policy.watching.asks_later;
         if asks_later { self.busy.pause_ms() } else { 0 }
     }
@@ -377,9 +387,9 @@
         self.window.room() > 0 && self.link.allows(Class::Start)
     }
 
-    /// Notes the end of an order that was sent at this time, which says how
-    /// fast this node's are.
-    pub(super) fn order_ended(
+    /// Records the end of an order that was sent at `sent_ms`, which shows how
+    /// fast this node's orders are.
+    pub(super) fn record_order_end(
         &mut self,
         sent_ms: u64,
         end: CallEnd,
@@ -389,39 +399,42 @@
         self.link.ended(sent_ms, now.steady_ms, end, &limits);
     }
 
-    /// Returns a job's phase, unless it is unknown or over for long.
+    /// Returns a job's phase, or `None` if it is unknown or no longer kept.
     pub fn phase(&self, id: JobId) -> Option<Phase> {
         self.jobs.get(&id).map(|job| job.phase)
     }
 
-    /// Returns what is to be done now.
+    /// Returns the actions to carry out now.
     pub fn plan(&mut self, now: Now) -> Vec<Action> {
         if self.may_be_superseded() {
             return Vec::new();
         }
         let mut actions = Vec::new();
         self.link.refill(now.steady_ms);
-        self.cancel_loaded(now);
-        self.drop_lapsed(now);
-        self.settle_told_starts(now);
+        self.apply_deferred_cancellations(now);
+        self.drop_lapsed_workers(now);
+        self.settle_recorded_starts(now);
         self.order_withheld(now, &mut actions);
-        self.look_after_runs(now, &mut actions);
-        // First of all orders: this holder may be gone any moment.
+        self.monitor_runs(now, &mut actions);
+        // Stops come before all other orders, since this holder may be lost at
+        // any moment.
         self.order_stops(now, &mut actions);
         self.fence_workers(now, &mut actions);
-        self.keep_places(now);
+        self.update_reservations(now);
         self.start_waiting(now, &mut actions);
-        self.tell_long_waits(now);
-        self.hold_workers(now, &mut actions);
+        self.report_long_waits(now);
+        self.poll_workers(now, &mut actions);
         actions
     }
 
-    /// Notes that a worker has said that a run of a job began.
+    /// Marks a job as running, after a worker has confirmed that a run of it
+    /// began.
     ///
-    /// Nothing else makes a job run: an order to start may be refused, may
-    /// never arrive, and its sender may be gone before it knows.
-    pub(super) fn note_begun(&mut self, id: JobId, now: Now) {
-        // Said again with each answer: most know it already.
+    /// Nothing else makes a job count as running: an order to start may be
+    /// refused or may never arrive, and its sender may be lost before it
+    /// knows.
+    pub(super) fn mark_job_begun(&mut self, id: JobId, now: Now) {
+        // Every answer repeats this; nearly always the job is marked already.
         if self.phase(id) != Some(Phase::Queued) {
             return;
         }
@@ -429,10 +442,10 @@
         job.phase = Phase::Running;
         let after_ms = now.unix_ms.saturating_sub(job.accepted_at_ms);
         self.mark_changed(id);
-        self.note(Decision::Begun { job: id, after_ms });
+        self.note(Decision::JobBegan { job: id, after_ms });
     }
 
-    /// Ends a job, and stops what still runs of it.
+    /// Finishes a job, and stops its remaining runs.
     pub(super) fn finish(&mut self, id: JobId, phase: Phase, now: Now) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         if job.phase.is_final() {
@@ -445,14 +458,14 @@
         }
         let after_ms = now.unix_ms.saturating_sub(job.accepted_at_ms);
         let placed: Vec<(TaskId, WorkerId)> = job
-            .placed(id)
+            .placements(id)
             .map(|(task, worker)| (task, worker.clone()))
             .collect();
         for (task, worker) in placed {
             self.stop_run(&task, &worker, phase.name());
         }
         self.mark_changed(id);
-        self.note(Decision::Job { job: id, phase, after_ms });
+        self.note(Decision::JobFinished { job: id, phase, after_ms });
     }
 
     /// Marks a run to be stopped; the order follows with the next plan.
@@ -477,8 +490,8 @@
         });
     }
 
-    /// Takes a run off a worker; its task may be started again.
-    pub(super) fn free_run(
+    /// Removes a run from a worker; its task may be started again.
+    pub(super) fn release_run(
         &mut self,
         task: &TaskId,
         worker_id: &WorkerId,
@@ -491,15 +504,15 @@
             self.note_stopped(task, worker_id, run, cause, now);
         }
         let begun = run.is_none_or(|run| run.has_begun());
-        self.free_task(task, worker_id, begun, now);
-        if !begun || self.is_lasting_gang(task) {
-            self.keep_place_again(task, worker_id, now);
+        self.release_task(task, worker_id, begun, now);
+        if !begun || self.is_long_running_gang(task) {
+            self.reserve_again(task, worker_id, now);
         }
     }
 
-    /// Notes that a task isn't on a worker any more, where a run of it had
-    /// begun or was only ordered.
-    pub(super) fn free_task(
+    /// Removes a task from a worker, where a run of it had begun or was only
+    /// ordered.
+    pub(super) fn release_task(
         &mut self,
         task: &TaskId,
         worker_id: &WorkerId,
@@ -512,10 +525,10 @@
         let Some(state) = step.tasks.get_mut(task.index as usize) else {
             return;
         };
-        state.on.retain(|on| on != worker_id);
-        if state.on.is_empty() && !state.done && !over {
+        state.workers.retain(|on| on != worker_id);
+        if state.workers.is_empty() && !state.done && !over {
             step.waiting.insert(task.index);
-            // Else it has waited all the while.
+            // Otherwise it has been waiting all along.
             if begun {
                 step.ready_ms = now.steady_ms;
             }
@@ -540,8 +553,8 @@
         self.decisions.push(decision);
     }
 
-    /// Notes that a job's progress is to be stored; returns the change's
-    /// number.
+    /// Marks a job's progress as to be stored; returns the sequence number of
+    /// the change.
     pub(super) fn mark_changed(&mut self, id: JobId) -> u64 {
         self.sequence += 1;
         if self.jobs.contains_key(&id) {
@@ -550,14 +563,14 @@
         self.sequence
     }
 
-    /// Puts workers in an order that begins elsewhere for each holder: where
-    /// none lasts until all are asked, the same ones would otherwise never be,
-    /// and keep what nobody wants.
-    fn begin_elsewhere(
+    /// Rotates the workers so that each holder starts with a different one.
+    /// Otherwise, if no holder lasts until all are polled, the same ones would
+    /// never be, and would keep runs that are no longer needed.
+    fn rotate_workers(
         &mut self,
         mut numbers: Vec<WorkerNumber>,
     ) -> Vec<WorkerNumber> {
-        let Some(first) = self.asked_first() else { return numbers };
+        let Some(first) = self.first_polled() else { return numbers };
         let is_before = |number: &WorkerNumber| {
             self.workers.at(*number).is_some_and(|worker| *worker.id() < first)
         };
@@ -566,24 +579,26 @@
         numbers
     }
 
-    /// Returns the worker that this holder asks first.
-    fn asked_first(&mut self) -> Option<WorkerId> {
-        if self.asked_first.is_none() && !self.workers.is_empty() {
-            let spread = self.lease_revision.wrapping_mul(SPREAD) >> 32;
+    /// Returns the worker that this holder polls first.
+    fn first_polled(&mut self) -> Option<WorkerId> {
+        if self.first_polled.is_none() && !self.workers.is_empty() {
+            let spread =
+                self.lease_revision.wrapping_mul(GOLDEN_RATIO_64) >> 32;
             let skipped = spread % self.workers.len() as u64;
             // OK to convert: it is below the number of workers.
             let mut workers = self.workers.values().skip(skipped as usize);
-            self.asked_first =
+            self.first_polled =
                 workers.next().map(|worker| worker.id().clone());
         }
-        self.asked_first.clone()
+        self.first_polled.clone()
     }
 
-    /// Asks under a new token, as far as the window and the link have room;
-    /// workers that are silent take no room in the window.
+    /// Sends the holds that introduce a new fencing token, as far as the
+    /// window and the link have room. Holds to unresponsive workers don't
+    /// count against the window.
     fn fence_workers(&mut self, now: Now, actions: &mut Vec<Action>) {
         let due = self.due_workers(now);
-        for number in self.begin_elsewhere(due) {
+        for number in self.rotate_workers(due) {
             let Some(worker) = self.workers.at(number) else { continue };
             let due = worker.hold_due_ms(now.steady_ms).is_some();
             if !worker.is_fencing() || !due {
@@ -611,12 +626,12 @@
         }
     }
 
-    /// Asks workers what runs and has ended; those first whose lease must be
-    /// renewed, the others as far as the link has room, in the order in which
-    /// they were due.
-    fn hold_workers(&mut self, now: Now, actions: &mut Vec<Action>) {
+    /// Polls workers for their runs and ends. Those whose lease must be
+    /// renewed come first, the others as far as the link has room, in the
+    /// order in which they were due.
+    fn poll_workers(&mut self, now: Now, actions: &mut Vec<Action>) {
         let long_poll =
-            self.link.is_short(now.steady_ms) || self.ask_pause_ms() > 0;
+            self.link.is_short(now.steady_ms) || self.poll_pause_ms() > 0;
         let mut due: Vec<(Class, u64, WorkerNumber)> = Vec::new();
         for number in self.due_workers(now) {
             let Some(worker) = self.workers.at(number) else { continue };
@@ -627,14 +642,14 @@
             let class = worker.question_class(now.steady_ms, &self.options);
             due.push((class, due_ms, number));
         }
-        // Stable: those that are alike keep the order of their identifiers.
+        // A stable sort keeps equal entries in the order of their identifiers.
         due.sort_by_key(|(class, due_ms, _)| (*class, *due_ms));
-        let mut room = self.room_for_questions(now);
+        let mut room = self.poll_allowance(now);
         for (class, _, number) in due {
             if !self.link.allows(class) {
                 return;
             }
-            // Those that renew leases come first.
+            // Polls that renew leases aren't limited, and are sorted first.
             if room == 0 && class != Class::Renewal {
                 return;
             }
@@ -645,24 +660,24 @@
             if let Some(Action::Hold { held, .. }) = &hold {
                 let bytes = worker.question_bytes(self.link.order_bytes());
                 self.link.sent(class, bytes);
-                self.questions.sent(number, held);
+                self.polls.sent(number, held);
             }
             actions.extend(hold);
         }
     }
 
-    /// Returns the workers that want something now, in the order of their
-    /// identifiers.
+    /// Returns the workers that are due for an action now, in the order of
+    /// their identifiers.
     pub(super) fn due_workers(&mut self, now: Now) -> Vec<WorkerNumber> {
         let due = self.workers.due(now.steady_ms, &self.options);
         debug_assert!(
-            self.workers.are_due(&due, now.steady_ms, &self.options),
+            self.workers.match_full_scan(&due, now.steady_ms, &self.options),
             "other workers want something than are due"
         );
         due
     }
 
-    /// Makes an order that limits the share at which a run works.
+    /// Creates an order that limits the processor share of a run.
     pub(super) fn pace(
         &mut self,
         task: &TaskId,
@@ -681,21 +696,21 @@
     }
 }
 
-/// Returns the hold that a worker is owed now.
+/// Returns the hold that is due for a worker now.
 fn hold(
     worker: &mut Worker,
     in_window: bool,
     now: Now,
     options: &Options,
 ) -> Option<Action> {
-    let OwedHold { order, fencing } =
-        worker.owed_hold(now.steady_ms, options)?;
+    let DueHold { order, fencing } =
+        worker.take_due_hold(now.steady_ms, options)?;
     let sent_ms = now.steady_ms;
     let silent = worker.silent_since_ms.is_some();
     let session = worker.session;
     Some(Action::Hold {
         worker: worker.id().clone(),
         address: worker.listing.address.clone(),
-        held: Held { session, order, fencing, sent_ms, in_window, silent },
+        held: SentHold { session, order, fencing, sent_ms, in_window, silent },
     })
 }
--- a/crates/dewspar/src/schedule/sizing.rs
+++ b/crates/dewspar/src/schedule/sizing.rs
@@ -1,115 +1,122 @@
 /*!
-Which pool a VM is in: room that one pool leaves is what another needs.
+Pool sizing: which pool each VM belongs to.
 
-Pools peak in turns. A pool that is nearly full, or whose tasks wait, gets
-VMs that are switched off, or idle ones of a pool with room to spare; a pool
-that has more than it needs switches idle VMs off, where the operator has a
-pool for that. A VM only moves while nothing runs on it.
+Pools peak at different times. A pool that is nearly full, or whose tasks wait,
+gets VMs that are switched off, or idle ones of a pool with spare capacity. A
+pool that has more than it needs switches idle VMs off, if the operator has
+configured a pool for that. A VM only moves while nothing runs on it.
 
-Tasks that are to last are missed from the moment at which they don't run, and
-they need few VMs beside a queue's peak. So a VM that they lack comes before all
-others, also from a pool that has too few for its short tasks.
+Long-running tasks are missed from the moment at which they don't run, and they
+need few VMs compared with a queue's peak. So a VM that they lack takes
+precedence over all others, and may also come from a pool that has too few for
+its short tasks.
 */
 
 use {
     crate::{
         job::TaskId,
         schedule::{
-            Decision, Forecast, Now, Room, Scheduler, Sizing, VmLife, VmOrder,
-            VmOrderError, WorkerId,
+            Decision, Forecast, Now, Resources, Scheduler, Sizing, VmOrder,
+            VmOrderError, VmStatus, WorkerId,
             job_state::demand,
-            worker::{Purpose, Worker},
+            worker::{DrainReason, Worker},
         },
     },
     std::collections::{BTreeMap, BTreeSet, HashMap},
 };
 
-/// How long a VM is left alone whose move was refused, in milliseconds.
-const REFUSED_MS: u64 = 1_000;
+/// How long no move of a VM is ordered after one was refused, in milliseconds.
+const REFUSED_MOVE_DELAY_MS: u64 = 1_000;
 
-/// How long a holder waits for a first job before it switches VMs off all
-/// the same, in milliseconds.
-const UNUSED_MS: u64 = 30_000;
+/// How long a holder waits for a first job before it starts to switch VMs off
+/// anyway, in milliseconds.
+const MAX_OBSERVATION_MS: u64 = 30_000;
 
-/// How long a VM that was ordered to move counts as coming, in milliseconds.
-const COMING_MS: u64 = 4_000;
+/// How long a VM that was ordered to move counts as part of its new pool
+/// before it arrives, in milliseconds.
+const MOVE_TIMEOUT_MS: u64 = 4_000;
 
-/// How many VMs go to the pool that lacks most before one goes to the pool that
-/// lacks fewest. With one each, the days on which a peak begins beside a trouble
-/// were worth 0.04 less on a site of 48 workers; with seven as much as with none
-/// (trials).
-const VMS_TO_MOST: u32 = 7;
+/// The number of VMs that are assigned to the pool with the largest deficit
+/// for each one that is assigned to the pool with the smallest. With one, the
+/// days on which a peak begins during a fault achieved 0.04 less of their
+/// value on a site of 48 workers; with seven, as much as without any for the
+/// smallest (trials).
+const VMS_TO_NEEDIEST: u32 = 7;
 
-/// What a pool has and what is asked of it.
+/// The capacity of a pool and the demand on it.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct PoolLoad {
-    capacity: Room,
-    used: Room,
-    waiting: Room,
-    /// What will be used soon, by the jobs that came of late and by all tasks
-    /// that are to last.
-    forecast: Room,
-    /// What all tasks take that are to last.
-    lasting: Room,
-    /// What those of them take that wait.
-    missing: Room,
+    capacity: Resources,
+    used: Resources,
+    waiting: Resources,
+    /// The usage expected soon, by arriving jobs and by all long-running
+    /// tasks.
+    forecast: Resources,
+    /// The demand of all long-running tasks.
+    long_running: Resources,
+    /// The demand of the long-running tasks that wait.
+    long_running_waiting: Resources,
     workers: u64,
 }
 
 impl PoolLoad {
-    /// Returns what is asked of the pool, now or soon.
-    fn asked(&self) -> Room {
-        let now = self.used.plus(&self.missing);
-        now.larger(&self.forecast).plus(&self.waiting)
+    /// Returns the demand on the pool, now or soon.
+    fn total_demand(&self) -> Resources {
+        let now = self.used.plus(&self.long_running_waiting);
+        now.component_max(&self.forecast).plus(&self.waiting)
     }
 
-    /// Returns the same without what is to last, which neither grows in a
-    /// peak nor shrinks after it.
-    fn asked_by_short(&self) -> Room {
-        self.asked().less(&self.lasting)
+    /// Returns the demand without that of long-running tasks, which neither
+    /// grows in a peak nor shrinks after it.
+    fn short_task_demand(&self) -> Resources {
+        self.total_demand().minus(&self.long_running)
     }
 
-    /// Returns how many workers the pool has that aren't about to leave.
+    /// Returns the number of workers of the pool that aren't about to leave
+    /// it.
     pub(super) fn workers(&self) -> u64 {
         self.workers
     }
 
-    /// Returns what one VM of the pool has.
-    fn vm(&self) -> Room {
-        self.capacity.part(self.workers)
+    /// Returns the average capacity of the pool's VMs.
+    fn vm(&self) -> Resources {
+        self.capacity.divided_by(self.workers)
     }
 
-    /// Returns how much of the pool would be in use if it had so many fewer
-    /// workers, in hundredths.
+    /// Returns the utilization of the pool if it had `less` fewer workers, in
+    /// percent.
     ///
-    /// Of all processors, or of what tasks that are to last leave of some kind
-    /// of room, whichever is more: those tasks may take all memory, and what
-    /// they take of processors keeps VMs here for the next peak.
+    /// This is the utilization of all processors, or that of what long-running
+    /// tasks leave of any kind of resource, whichever is higher: those tasks
+    /// may take all memory, and the processors that they request keep VMs here
+    /// for the next peak.
     pub(super) fn percent_without(&self, less: u64) -> u64 {
-        let capacity = self.capacity.less(&self.vm().times(less));
-        let asked_cpu = self.asked().cpu_millis;
-        let of_all = asked_cpu * 100 / capacity.cpu_millis.max(1);
-        let least = Room { cpu_millis: 1, memory_mb: 1, gpus: 1 };
-        let left = capacity.less(&self.lasting).larger(&least);
-        let of_left = self.asked_by_short().per_thousand_of(&left) / 10;
+        let capacity = self.capacity.minus(&self.vm().times(less));
+        let demand_cpu = self.total_demand().cpu_millis;
+        let of_all = demand_cpu * 100 / capacity.cpu_millis.max(1);
+        let least = Resources { cpu_millis: 1, memory_mb: 1, gpus: 1 };
+        let left = capacity.minus(&self.long_running).component_max(&least);
+        let of_left = self.short_task_demand().permille_of(&left) / 10;
         of_all.max(of_left)
     }
 
-    /// Returns how many VMs like this one the pool needs, by the kind of room
-    /// that it needs most VMs for.
+    /// Returns how many VMs like `vm` the pool needs, by the kind of resource
+    /// that requires most.
     ///
-    /// No more than `full_percent` of all processors are to be filled, nor of
-    /// what tasks that are to last leave of the other kinds of room.
-    fn vms_needed(&self, vm: &Room, full_percent: u64) -> u64 {
-        let filled = |room: Room| room.times(100).part(full_percent);
-        let of_all = filled(self.asked());
-        let of_left = filled(self.asked_by_short()).plus(&self.lasting);
+    /// At most `full_percent` of all processors are to be used, and of what
+    /// long-running tasks leave of the other kinds of resources.
+    fn vms_needed(&self, vm: &Resources, full_percent: u64) -> u64 {
+        let filled =
+            |room: Resources| room.times(100).divided_by(full_percent);
+        let of_all = filled(self.total_demand());
+        let of_left =
+            filled(self.short_task_demand()).plus(&self.long_running);
         let cpu_millis = of_all.cpu_millis;
-        Room { cpu_millis, ..of_left }.rooms_of(vm)
+        Resources { cpu_millis, ..of_left }.units_of(vm)
     }
 
-    /// Notes that a worker is to leave.
-    fn leaves(&mut self, capacity: &Room) {
+    /// Removes a worker that is to leave.
+    fn remove_worker(&mut self, capacity: &Resources) {
         self.capacity.subtract(capacity);
         self.workers = self.workers.saturating_sub(1);
     }
@@ -117,15 +124,16 @@
 
 /// A move that was ordered.
 #[derive(Debug)]
-pub(super) struct Moving {
+pub(super) struct PendingMove {
     pub(super) to: String,
     pub(super) since_ms: u64,
-    /// The life of its worker when that was ordered.
-    pub(super) life: Option<WorkerId>,
+    /// The worker of the VM when the move was ordered.
+    pub(super) worker: Option<WorkerId>,
 }
 
 impl Scheduler {
-    /// Takes over which pools have queues, and which are switched off.
+    /// Sets the pools that have queues, and those for VMs that are switched
+    /// off.
     pub fn configure_pools(
         &mut self,
         serving: BTreeSet<String>,
@@ -135,30 +143,30 @@
         self.free_pools = free;
     }
 
-    /// Takes over in which pools workers start whatever they are told: their
-    /// rooms are to be guarded here.
-    pub fn guard_pools(&mut self, unguarded: BTreeSet<String>) {
-        self.unguarded_pools = unguarded;
+    /// Sets the pools whose workers don't enforce their capacity, so that the
+    /// scheduler must.
+    pub fn enforce_capacity(&mut self, pools: BTreeSet<String>) {
+        self.unenforced_pools = pools;
     }
 
     fn sizing(&self) -> &Sizing {
         &self.options.policy.sizing
     }
 
-    /// Returns what a pool has and what is asked of it.
+    /// Returns the capacity of a pool and the demand on it.
     pub(super) fn pool_load(&self, pool: &str) -> PoolLoad {
         self.pool_loads.get(pool).copied().unwrap_or_default()
     }
 
-    /// Adds up what each pool has and what is asked of it.
+    /// Computes the capacity of each pool and the demand on it.
     pub(super) fn measure_pools(&mut self, now: Now) {
-        // By borrowed names in no order: this looks a pool up for each of
-        // thousands of workers and jobs, twenty times a second.
+        // Uses a hash map with borrowed names: this looks up a pool for each
+        // of thousands of workers and jobs, 20 times a second.
         let mut loads: HashMap<&str, PoolLoad> = HashMap::new();
         for worker in self.workers.values() {
             let load = loads.entry(&worker.listing.pool).or_default();
             load.used.add(worker.used());
-            if worker.emptying.is_none()
+            if worker.drain_reason.is_none()
                 && !worker.listing.draining
                 && worker.silent_since_ms.is_none()
             {
@@ -168,7 +176,7 @@
         }
         let late_percent = self.options.policy.sizing.late_percent;
         let soon_unix_ms = now.unix_ms + self.options.policy.forecast.ahead_ms;
-        let mut lasting_steps = Vec::new();
+        let mut long_running_steps = Vec::new();
         for (id, job) in self.jobs.iter() {
             if job.phase.is_final() {
                 continue;
@@ -176,12 +184,12 @@
             let load = loads.entry(&job.terms.pool).or_default();
             for round in 0..job.rounds.len() {
                 for (step, spec) in job.spec.steps.iter().enumerate() {
-                    if spec.long_running && self.fits_somewhere(spec) {
+                    if spec.long_running && self.fits_any_vm(spec) {
                         let count = u64::from(spec.count);
-                        load.lasting.add(&demand(spec).times(count));
+                        load.long_running.add(&demand(spec).times(count));
                         let soon =
                             job.spec.due_ms(round as u32) <= soon_unix_ms;
-                        lasting_steps.extend(soon.then_some(TaskId {
+                        long_running_steps.extend(soon.then_some(TaskId {
                             job: *id,
                             round: round as u32,
                             step: step as u32,
@@ -191,18 +199,18 @@
                     let waiting = job.rounds[round][step].waiting.len() as u64;
                     if waiting == 0
                         || !job.is_ready(round, step, now.unix_ms)
-                        || !self.fits_somewhere(spec)
+                        || !self.fits_any_vm(spec)
                     {
                         continue;
                     }
                     let room = demand(spec).times(waiting);
                     if spec.long_running {
-                        load.missing.add(&room);
+                        load.long_running_waiting.add(&room);
                         continue;
                     }
                     let late = now.unix_ms > job.objective_ms(round);
                     let counted = if late {
-                        room.times(late_percent).part(100)
+                        room.times(late_percent).divided_by(100)
                     } else {
                         room
                     };
@@ -215,11 +223,11 @@
             .map(|(pool, load)| (pool.to_owned(), load))
             .collect();
         for load in loads.values_mut() {
-            load.forecast.add(&load.lasting);
+            load.forecast.add(&load.long_running);
         }
-        self.lasting_steps = lasting_steps;
-        self.note_arrivals(now);
-        for (pool, room) in self.forecasts(now) {
+        self.long_running_steps = long_running_steps;
+        self.record_arrivals(now);
+        for (pool, room) in self.forecast_usage(now) {
             if let Some(load) = loads.get_mut(pool) {
                 load.forecast.add(&room);
             }
@@ -232,17 +240,17 @@
         self.pool_loads = loads;
     }
 
-    /// Returns the next orders that move VMs between pools.
+    /// Appends the next orders that move VMs between pools.
     pub(super) fn size_pools(&mut self, now: Now, orders: &mut Vec<VmOrder>) {
-        self.settle_moves(now);
-        if now.steady_ms >= self.sized_ms + self.sizing().interval_ms {
-            self.sized_ms = now.steady_ms;
+        self.finish_moves(now);
+        if now.steady_ms >= self.last_sizing_ms + self.sizing().interval_ms {
+            self.last_sizing_ms = now.steady_ms;
             self.project_pools(now);
-            self.measure_lasting(now);
+            self.compute_long_running_needs(now);
             let targets = self.targets(now);
-            self.note_targets(&targets);
-            self.fill_pools(&targets, now, orders);
-            if self.knows_demand(now) {
+            self.record_targets(&targets);
+            self.grow_pools(&targets, now, orders);
+            if self.has_observed_demand(now) {
                 for pool in targets.keys() {
                     self.shrink_pool(pool, now);
                 }
@@ -251,27 +259,28 @@
         self.order_moves(now, orders);
     }
 
-    /// Looks at what the pools will be asked for.
+    /// Projects the demand on the pools.
     fn project_pools(&mut self, now: Now) {
         let Forecast { enabled, ahead_ms, .. } = self.options.policy.forecast;
         if enabled {
-            self.projected = self.project(now, ahead_ms);
+            self.projected = self.project_usage(now, ahead_ms);
             self.measure_pools(now);
         }
     }
 
-    /// Returns whether enough was seen to tell which VMs aren't needed.
-    fn knows_demand(&mut self, now: Now) -> bool {
+    /// Returns whether demand was observed for long enough to tell which VMs
+    /// aren't needed.
+    fn has_observed_demand(&mut self, now: Now) -> bool {
         if self.first_job_ms == 0 && self.has_short_jobs() {
             self.first_job_ms = now.steady_ms;
         }
-        let unused = now.steady_ms >= self.taken_over_ms + UNUSED_MS;
+        let unused = now.steady_ms >= self.taken_over_ms + MAX_OBSERVATION_MS;
         let observed = self.first_job_ms > 0
             && now.steady_ms >= self.first_job_ms + self.sizing().observed_ms;
         observed || unused
     }
 
-    fn note_targets(&mut self, targets: &BTreeMap<String, u64>) {
+    fn record_targets(&mut self, targets: &BTreeMap<String, u64>) {
         for (pool, target) in targets {
             if self.targets.get(pool) == Some(target) {
                 continue;
@@ -290,37 +299,38 @@
         self.targets.clone_from(targets);
     }
 
-    /// Returns how many VMs each pool should have.
+    /// Returns the target number of VMs of each pool.
     ///
-    /// While there are too few for all, each first gets what its tasks that
-    /// are to last need, and then none gets more than its equal share as long
-    /// as another wants for one.
+    /// While there are too few for all, each pool first gets what its
+    /// long-running tasks need, and then none gets more than its equal share
+    /// while another needs one.
     fn targets(&self, now: Now) -> BTreeMap<String, u64> {
-        // A move that was ordered needn't show in the list yet.
+        // A move that was ordered may not show in the list yet.
         let usable = self.vms.values().filter(|vm| {
-            vm.life == VmLife::Up && !self.moving.contains_key(&vm.vm)
+            vm.status == VmStatus::Up
+                && !self.pending_moves.contains_key(&vm.vm)
         });
-        let total = usable.count() + self.moving.len();
+        let total = usable.count() + self.pending_moves.len();
         let mut left = total as u64;
-        let typical = self.typical_vm();
+        let largest = self.largest_vm();
         let mut floors: BTreeMap<&String, u64> = BTreeMap::new();
         let mut needs: BTreeMap<&String, u64> = BTreeMap::new();
         for pool in &self.serving_pools {
-            floors.insert(pool, self.lasting_need(pool).floor_vms);
-            let need = self.need_for_room(pool, &typical);
+            floors.insert(pool, self.long_running_need(pool).floor_vms);
+            let need = self.vms_for_load(pool, &largest);
             let need = need.max(self.least_vms(pool));
-            let need = need.max(self.need_for_place(pool, now));
-            let need = need.max(self.need_for_unplaced(pool));
+            let need = need.max(self.vms_for_unplaced_tasks(pool, now));
+            let need = need.max(self.vms_needed_for_unplaced(pool));
             needs.insert(pool, need);
         }
         let mut targets: BTreeMap<String, u64> = BTreeMap::new();
-        self.share_out(&floors, &mut left, &mut targets);
-        self.share_out(&needs, &mut left, &mut targets);
+        self.allocate(&floors, &mut left, &mut targets);
+        self.allocate(&needs, &mut left, &mut targets);
         targets
     }
 
-    /// Gives pools VMs of those that are left, as many as each needs.
-    fn share_out(
+    /// Assigns the remaining VMs to pools, up to the need of each.
+    fn allocate(
         &self,
         needs: &BTreeMap<&String, u64>,
         left: &mut u64,
@@ -347,150 +357,158 @@
         }
     }
 
-    /// Returns how many VMs a pool needs so that it is no fuller than it may
-    /// be, by the kind of room that it needs most VMs for.
-    fn need_for_room(&self, pool: &str, typical: &Room) -> u64 {
+    /// Returns how many VMs a pool needs to stay below its maximum
+    /// utilization, by the kind of resource that requires most.
+    fn vms_for_load(&self, pool: &str, largest: &Resources) -> u64 {
         let load = self.pool_load(pool);
-        let vm = load.vm().larger(typical);
+        let vm = load.vm().component_max(largest);
         load.vms_needed(&vm, self.sizing().full_percent)
     }
 
-    /// Returns how many VMs a pool needs that has no place for some task: as
-    /// many more as its tasks that are to last lack, or one more than it has
-    /// if others lack something for long.
-    fn need_for_place(&self, pool: &str, now: Now) -> u64 {
-        let lacking = self.lasting_need(pool).lacking_vms;
+    /// Returns how many VMs a pool needs that can't place some task: as many
+    /// more as its long-running tasks lack, or one more than it has if other
+    /// tasks couldn't be placed for long.
+    fn vms_for_unplaced_tasks(&self, pool: &str, now: Now) -> u64 {
+        let lacking = self.long_running_need(pool).lacking_vms;
         if lacking > 0 {
             return self.pool_size(pool) + lacking;
         }
-        let since_ms = self.without_place.get(pool);
+        let since_ms = self.unplaced_since_ms.get(pool);
         let long = since_ms.is_some_and(|since| {
             now.steady_ms >= since + self.sizing().without_place_ms
         });
         if long { self.pool_load(pool).workers + 1 } else { 0 }
     }
 
-    /// Returns the most that a VM has of each kind of room.
-    fn typical_vm(&self) -> Room {
+    /// Returns the largest amount of each kind of resource that a VM has.
+    fn largest_vm(&self) -> Resources {
         let rooms = self.vms.values().map(|vm| vm.capacity);
-        rooms.fold(Room::default(), |most, room| most.larger(&room))
+        rooms
+            .fold(Resources::default(), |most, room| most.component_max(&room))
     }
 
     /// Returns how many VMs a pool has or is about to have.
     fn pool_size(&self, pool: &str) -> u64 {
         let load = self.pool_load(pool);
-        let coming = self.moving.values().filter(|m| m.to == pool).count();
+        let coming =
+            self.pending_moves.values().filter(|m| m.to == pool).count();
         let leaving = self.workers.values().filter(|worker| {
-            worker.emptying == Some(Purpose::Move(pool.to_owned()))
-                && !self.moving.contains_key(&worker.listing.vm)
+            worker.drain_reason == Some(DrainReason::Move(pool.to_owned()))
+                && !self.pending_moves.contains_key(&worker.listing.vm)
         });
         load.workers + (coming + leaving.count()) as u64
     }
 
-    /// Brings VMs to pools that have fewer than they should, those first that
-    /// tasks to last need.
-    fn fill_pools(
+    /// Moves VMs to pools that are below their target, first to those whose
+    /// long-running tasks need them.
+    fn grow_pools(
         &mut self,
         targets: &BTreeMap<String, u64>,
         now: Now,
         orders: &mut Vec<VmOrder>,
     ) {
-        self.fill_lasting(targets, now, orders);
-        self.fill_others(targets, now, orders);
+        self.grow_for_long_running(targets, now, orders);
+        self.grow_to_targets(targets, now, orders);
     }
 
-    /// Brings the VMs that tasks to last lack, to the pool that lacks fewest
-    /// first.
-    fn fill_lasting(
+    /// Moves the VMs that long-running tasks lack, first to the pool that
+    /// lacks fewest.
+    fn grow_for_long_running(
         &mut self,
         targets: &BTreeMap<String, u64>,
         now: Now,
         orders: &mut Vec<VmOrder>,
     ) {
         let pools = self.serving_pools.iter();
-        let mut lacking: Vec<(u64, String)> = pools
-            .map(|pool| (self.lack_for_lasting(pool), pool.clone()))
-            .filter(|(lack, _)| *lack > 0)
+        let mut deficits: Vec<(u64, String)> = pools
+            .map(|pool| (self.long_running_deficit(pool), pool.clone()))
+            .filter(|(deficit, _)| *deficit > 0)
             .collect();
-        lacking.sort_unstable();
-        for (lack, pool) in lacking {
-            let brought = (0..lack).take_while(|_| {
-                self.bring_vm(&pool, targets, now, orders)
-                    || self.bring_from_short_tasks(&pool, now)
+        deficits.sort_unstable();
+        for (deficit, pool) in deficits {
+            let brought = (0..deficit).take_while(|_| {
+                self.add_vm(&pool, targets, now, orders)
+                    || self.take_vm_from_short_tasks(&pool, now)
             });
             let _ = brought.count();
         }
     }
 
-    /// Returns how many VMs a pool lacks for tasks that are to last.
-    fn lack_for_lasting(&self, pool: &str) -> u64 {
-        self.lasting_need(pool).lacking_vms.max(self.lack_to_floor(pool))
+    /// Returns how many VMs a pool lacks for long-running tasks.
+    fn long_running_deficit(&self, pool: &str) -> u64 {
+        self.long_running_need(pool).lacking_vms.max(self.floor_deficit(pool))
     }
 
-    fn lack_to_floor(&self, pool: &str) -> u64 {
-        let floor = self.lasting_need(pool).floor_vms;
+    fn floor_deficit(&self, pool: &str) -> u64 {
+        let floor = self.long_running_need(pool).floor_vms;
         floor.saturating_sub(self.pool_size(pool))
     }
 
-    /// Brings a VM to a pool whose tasks that are to last need more than it
-    /// has, from one that has more than those there need.
-    fn bring_from_short_tasks(&mut self, pool: &str, now: Now) -> bool {
-        if self.lack_to_floor(pool) == 0 {
+    /// Moves a VM to a pool whose long-running tasks need more than it has,
+    /// from a pool that has more than its long-running tasks need.
+    fn take_vm_from_short_tasks(&mut self, pool: &str, now: Now) -> bool {
+        if self.floor_deficit(pool) == 0 {
             return false;
         }
-        let Some(id) = self.spare_of_short_tasks(pool, now) else {
+        let Some(id) = self.spare_short_task_worker(pool, now) else {
             return false;
         };
-        self.empty_to_move(&id, pool, now);
+        self.drain_to_move(&id, pool, now);
         true
     }
 
-    /// Returns the least used worker that serves only short tasks, of a pool
-    /// that has more VMs than its tasks need that are to last.
-    fn spare_of_short_tasks(&self, pool: &str, now: Now) -> Option<WorkerId> {
+    /// Returns the least used worker without long-running tasks, of a pool
+    /// that has more VMs than its long-running tasks need.
+    fn spare_short_task_worker(
+        &self,
+        pool: &str,
+        now: Now,
+    ) -> Option<WorkerId> {
         let over = |from: &str| {
-            let floor = self.lasting_need(from).floor_vms;
+            let floor = self.long_running_need(from).floor_vms;
             let least = floor.max(self.sizing().least_vms);
             self.pool_load(from).workers > least
         };
         self.least_used_elsewhere(pool, over, now)
     }
 
-    /// Brings VMs to pools that have fewer than they should: to the one that
-    /// lacks most, and now and then to the one that lacks fewest, so that a
+    /// Moves VMs to pools that are below their target: to the one with the
+    /// largest deficit, and regularly to the one with the smallest, so that a
     /// small need doesn't wait until a large one is met.
-    fn fill_others(
+    fn grow_to_targets(
         &mut self,
         targets: &BTreeMap<String, u64>,
         now: Now,
         orders: &mut Vec<VmOrder>,
     ) {
-        let mut lacking: Vec<(u64, &String)> = targets
+        let mut deficits: Vec<(u64, &String)> = targets
             .iter()
             .map(|(pool, target)| {
                 (target.saturating_sub(self.pool_size(pool)), pool)
             })
-            .filter(|(lack, _)| *lack > 0)
+            .filter(|(deficit, _)| *deficit > 0)
             .collect();
-        lacking.sort_unstable();
-        while !lacking.is_empty() {
-            let most = lacking.len() - 1;
-            let smallest = self.vms_to_most >= VMS_TO_MOST;
-            let (lack, pool) = lacking.remove(if smallest { 0 } else { most });
-            if !self.bring_vm(pool, targets, now, orders) {
+        deficits.sort_unstable();
+        while !deficits.is_empty() {
+            let most = deficits.len() - 1;
+            let serve_smallest = self.vms_to_neediest >= VMS_TO_NEEDIEST;
+            let (deficit, pool) =
+                deficits.remove(if serve_smallest { 0 } else { most });
+            if !self.add_vm(pool, targets, now, orders) {
                 continue;
             }
-            self.vms_to_most = if smallest { 0 } else { self.vms_to_most + 1 };
-            if lack > 1 {
-                lacking.push((lack - 1, pool));
-                lacking.sort_unstable();
+            self.vms_to_neediest =
+                if serve_smallest { 0 } else { self.vms_to_neediest + 1 };
+            if deficit > 1 {
+                deficits.push((deficit - 1, pool));
+                deficits.sort_unstable();
             }
         }
     }
 
-    /// Brings a VM to a pool that is switched off or that another has to
+    /// Moves a VM to a pool that is switched off or that another pool can
     /// spare; returns whether there was one.
-    fn bring_vm(
+    fn add_vm(
         &mut self,
         pool: &str,
         targets: &BTreeMap<String, u64>,
@@ -501,33 +519,33 @@
             self.order_move(&vm, pool, now, orders);
             return true;
         }
-        let Some(id) = self.spare_elsewhere(pool, targets, now) else {
+        let Some(id) = self.spare_worker(pool, targets, now) else {
             return false;
         };
-        self.empty_to_move(&id, pool, now);
+        self.drain_to_move(&id, pool, now);
         true
     }
 
-    /// Lets a worker run dry whose VM is to move.
-    fn empty_to_move(&mut self, id: &WorkerId, to: &str, now: Now) {
-        self.empty(id, Purpose::Move(to.to_owned()), now);
+    /// Drains a worker whose VM is to move.
+    fn drain_to_move(&mut self, id: &WorkerId, to: &str, now: Now) {
+        self.start_drain(id, DrainReason::Move(to.to_owned()), now);
         let Some(worker) = self.workers.get(id) else { return };
         let load = self.pool_loads.get_mut(&worker.listing.pool);
         if let Some(load) = load {
-            load.leaves(&worker.listing.capacity);
+            load.remove_worker(&worker.listing.capacity);
         }
     }
 
-    fn settle_moves(&mut self, now: Now) {
+    fn finish_moves(&mut self, now: Now) {
         let (vms, workers) = (&self.vms, &self.workers);
-        self.moving.retain(|vm, moving| {
+        self.pending_moves.retain(|vm, moving| {
             let there = vms.get(vm).is_some_and(|vm| {
                 let mut life = vm.worker.iter();
                 vm.pool == moving.to
-                    && vm.life == VmLife::Up
+                    && vm.status == VmStatus::Up
                     && life.all(|life| workers.contains_key(life))
             });
-            let late = now.steady_ms > moving.since_ms + COMING_MS;
+            let late = now.steady_ms > moving.since_ms + MOVE_TIMEOUT_MS;
             !there && !late
         });
     }
@@ -537,18 +555,18 @@
         self.vms
             .values()
             .filter(|vm| self.free_pools.contains(&vm.pool))
-            .filter(|vm| vm.life == VmLife::Up)
-            .filter(|vm| !self.moving.contains_key(&vm.vm))
-            .filter(|vm| !self.is_refused(&vm.vm, pool))
-            .filter(|vm| self.may_order(&vm.vm, now))
+            .filter(|vm| vm.status == VmStatus::Up)
+            .filter(|vm| !self.pending_moves.contains_key(&vm.vm))
+            .filter(|vm| !self.is_move_refused(&vm.vm, pool))
+            .filter(|vm| self.may_order_vm(&vm.vm, now))
             .filter(|vm| !self.awaits_maintenance(&vm.vm))
             .map(|vm| vm.vm.clone())
             .next()
     }
 
-    /// Returns the least used worker of a pool that has more VMs than it
-    /// should; none that long-running tasks would have to leave.
-    fn spare_elsewhere(
+    /// Returns the least used worker of a pool above its target, without
+    /// long-running tasks.
+    fn spare_worker(
         &self,
         pool: &str,
         targets: &BTreeMap<String, u64>,
@@ -561,8 +579,8 @@
         self.least_used_elsewhere(pool, over, now)
     }
 
-    /// Returns the least used worker of the other pools that may give one;
-    /// none that long-running tasks would have to leave.
+    /// Returns the least used worker of the other pools that may give one,
+    /// without long-running tasks.
     fn least_used_elsewhere(
         &self,
         pool: &str,
@@ -580,15 +598,15 @@
         self.workers
             .values()
             .filter(|worker| giving.contains(worker.listing.pool.as_str()))
-            .filter(|worker| worker.is_usable() && !worker.keeps_room())
-            .filter(|worker| self.may_order(&worker.listing.vm, now))
-            .filter(|worker| !self.is_refused(&worker.listing.vm, pool))
-            .filter(|worker| !self.serves_for_long(worker))
+            .filter(|worker| worker.is_usable() && !worker.has_reservations())
+            .filter(|worker| self.may_order_vm(&worker.listing.vm, now))
+            .filter(|worker| !self.is_move_refused(&worker.listing.vm, pool))
+            .filter(|worker| !self.runs_long_running_task(worker))
             .min_by_key(|worker| worker.used().cpu_millis)
             .map(|worker| worker.id().clone())
     }
 
-    fn serves_for_long(&self, worker: &Worker) -> bool {
+    fn runs_long_running_task(&self, worker: &Worker) -> bool {
         worker.runs.keys().any(|task| {
             self.jobs
                 .get(&task.job)
@@ -597,12 +615,12 @@
         })
     }
 
-    /// Returns the fewest VMs that a pool can do with.
+    /// Returns the minimum number of VMs of a pool.
     fn least_vms(&self, pool: &str) -> u64 {
-        self.lasting_need(pool).floor_vms.max(self.sizing().least_vms)
+        self.long_running_need(pool).floor_vms.max(self.sizing().least_vms)
     }
 
-    fn may_leave(&self, worker: &Worker, now: Now) -> bool {
+    fn may_switch_off(&self, worker: &Worker, now: Now) -> bool {
         let pool = &worker.listing.pool;
         worker.is_usable()
             && worker.is_settled()
@@ -618,14 +636,14 @@
         let most =
             self.pool_load(pool).workers / self.sizing().leaving_divisor + 1;
         for _ in 0..most {
-            if !self.switch_one_off(pool, now) {
+            if !self.switch_off_one(pool, now) {
                 return;
             }
         }
     }
 
-    /// Switches one idle VM of a pool off; returns whether there was one.
-    fn switch_one_off(&mut self, pool: &str, now: Now) -> bool {
+    /// Switches off one idle VM of a pool; returns whether there was one.
+    fn switch_off_one(&mut self, pool: &str, now: Now) -> bool {
         let Some(free) = self.free_pools.first().cloned() else {
             return false;
         };
@@ -633,29 +651,29 @@
             .workers
             .values()
             .filter(|worker| worker.listing.pool == pool)
-            .filter(|worker| self.may_leave(worker, now))
-            .find(|worker| !self.is_refused(&worker.listing.vm, &free));
+            .filter(|worker| self.may_switch_off(worker, now))
+            .find(|worker| !self.is_move_refused(&worker.listing.vm, &free));
         let Some(id) = idle.map(|worker| worker.id().clone()) else {
             return false;
         };
-        self.empty_to_move(&id, &free, now);
+        self.drain_to_move(&id, &free, now);
         true
     }
 
-    /// Orders the moves of workers that were emptied for them.
+    /// Orders the moves of workers that were drained for them.
     fn order_moves(&mut self, now: Now, orders: &mut Vec<VmOrder>) {
         let ready: Vec<(String, String)> = self
             .workers
             .values()
             .filter(|worker| worker.is_settled())
-            .filter_map(|worker| match &worker.emptying {
-                Some(Purpose::Move(pool)) => {
+            .filter_map(|worker| match &worker.drain_reason {
+                Some(DrainReason::Move(pool)) => {
                     Some((worker.listing.vm.clone(), pool.clone()))
                 }
                 _ => None,
             })
-            .filter(|(vm, _)| !self.moving.contains_key(vm))
-            .filter(|(vm, _)| self.may_order(vm, now))
+            .filter(|(vm, _)| !self.pending_moves.contains_key(vm))
+            .filter(|(vm, _)| self.may_order_vm(vm, now))
             .collect();
         for (vm, pool) in ready {
             self.order_move(&vm, &pool, now, orders);
@@ -672,22 +690,23 @@
         let to = pool.to_owned();
         let since_ms = now.steady_ms;
         let life = self.worker_on(vm).map(|worker| worker.id().clone());
-        self.moving.insert(vm.to_owned(), Moving { to, since_ms, life });
+        self.pending_moves
+            .insert(vm.to_owned(), PendingMove { to, since_ms, worker: life });
         orders
             .push(VmOrder::Move { vm: vm.to_owned(), pool: pool.to_owned() });
     }
 
-    fn is_refused(&self, vm: &str, pool: &str) -> bool {
+    fn is_move_refused(&self, vm: &str, pool: &str) -> bool {
         self.refused_moves.contains(&(vm.to_owned(), pool.to_owned()))
     }
 
-    /// Leaves a VM alone for a moment.
-    fn put_off(&mut self, vm: &str, now: Now) {
-        let until_ms = now.steady_ms + REFUSED_MS;
-        self.vms_from_ms.insert(vm.to_owned(), until_ms);
+    /// Orders no changes of a VM for a moment.
+    fn postpone_vm_orders(&mut self, vm: &str, now: Now) {
+        let until_ms = now.steady_ms + REFUSED_MOVE_DELAY_MS;
+        self.vm_orders_from_ms.insert(vm.to_owned(), until_ms);
     }
 
-    /// Takes in the result of an order to move a VM.
+    /// Handles the result of an order to move a VM.
     pub fn move_answered(
         &mut self,
         vm: &str,
@@ -695,26 +714,27 @@
         result: Result<(), VmOrderError>,
         now: Now,
     ) {
-        // It may have been done before, by a former holder's order: which
-        // life ended, if any, the list of VMs tells.
+        // The move may have been carried out earlier, by a former holder's
+        // order; the list of VMs shows which worker ended, if any.
         let Err(error) = result else { return };
         if error == VmOrderError::Invalid {
             self.refused_moves.insert((vm.to_owned(), pool.to_owned()));
         }
-        // It may have been done: then the list shows that, too.
+        // The move may have been carried out, which the list will show as
+        // well.
         if error == VmOrderError::Unknown {
             return;
         }
-        let moving = self.moving.remove(vm);
-        self.keep(moving.and_then(|moving| moving.life));
-        self.put_off(vm, now);
+        let moving = self.pending_moves.remove(vm);
+        self.keep(moving.and_then(|moving| moving.worker));
+        self.postpone_vm_orders(vm, now);
     }
 
-    /// Uses a worker again that was to leave.
+    /// Cancels the drain of a worker that was to leave.
     fn keep(&mut self, life: Option<WorkerId>) {
         let worker = life.and_then(|life| self.workers.get_mut(&life));
         if let Some(worker) = worker {
-            worker.emptying = None;
+            worker.drain_reason = None;
         }
     }
 }
