--- a/crates/dewspar/src/schedule/stopping.rs
+++ b/crates/dewspar/src/schedule/stopping.rs
@@ -1,60 +1,61 @@
 /*!
-Runs that are to stop, from the decision to the end.
+Stopping runs, from the decision to the end.
 
-A run is stopped in three steps: it is marked, the order follows with the next
-plan and again until it has worked, and the worker lists the end. Between the
-first and the last its room is taken, and the run does what nobody wants any
-more. Each step can fail by itself: the order is lost or refused, the worker is
-silent, the node that marked the run is gone. So a run that is to stop keeps an
-account of its steps, told once it is over, and once if that takes longer than
-a worker may take for a stop.
+A run is stopped in three steps: it is marked, an order is sent with the next
+plan and repeated until it takes effect, and the worker lists the end. Between
+the first and the last step the run's room stays occupied, and the run does
+work that is no longer wanted. Each step can fail by itself: the order is lost
+or refused, the worker is silent, or the node that marked the run is gone. So a
+run that is to stop keeps an account of these steps. The account is reported
+once the run is over, and also once if that takes longer than a worker may take
+for a stop.
 */
 
 use crate::{
     job::TaskId,
     link::Class,
     schedule::{
-        Action, Decision, Now, Scheduler, StopAccount, StopOrder, WorkerId,
+        Action, Decision, Now, Scheduler, StopAttempts, StopOrder, WorkerId,
         worker::{Run, RunState},
     },
 };
 
-/// How many runs a plan says of that their stop takes too long, so that a
-/// rack that falls silent doesn't fill the log; the others are told with the
+/// The maximum number of overdue stops that a plan reports, so that a rack
+/// that falls silent doesn't flood the log; the others are reported with the
 /// next plans.
-const OVERDUE_A_PLAN: usize = 8;
+const MAX_OVERDUE_PER_PLAN: usize = 8;
 
-/// The way of a run that is to stop.
+/// The progress of stopping a run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) struct Stop {
+pub(crate) struct StopProgress {
     reason: &'static str,
-    /// Whether the worker has said that it is there; else it may come.
+    /// Whether the worker has listed the run; otherwise it may still begin.
     pub(crate) begun: bool,
-    /// When the first order to stop it was sent, in milliseconds of the
-    /// steady clock; 0 for never.
+    /// When the first order to stop it was sent, in milliseconds of the steady
+    /// clock; 0 if none was.
     first_ms: u64,
-    /// When the last one was sent.
+    /// When the last order was sent.
     ordered_ms: u64,
     orders: u32,
     answered: bool,
-    told_overdue: bool,
+    reported_overdue: bool,
 }
 
-impl Stop {
-    pub(crate) fn new(reason: &'static str, begun: bool) -> Stop {
-        Stop {
+impl StopProgress {
+    pub(crate) fn new(reason: &'static str, begun: bool) -> StopProgress {
+        StopProgress {
             reason,
             begun,
             first_ms: 0,
             ordered_ms: 0,
             orders: 0,
             answered: false,
-            told_overdue: false,
+            reported_overdue: false,
         }
     }
 
-    /// Returns from when the next order is due, where one is tried again
-    /// after so long; all in milliseconds.
+    /// Returns when the next order is due, given the retry interval; both in
+    /// milliseconds.
     pub(crate) fn due_ms(&self, retry_ms: u64) -> u64 {
         if self.orders == 0 { 0 } else { self.ordered_ms + retry_ms }
     }
@@ -67,9 +68,9 @@
         self.orders += 1;
     }
 
-    fn account(&self, now_ms: u64) -> StopAccount {
+    fn account(&self, now_ms: u64) -> StopAttempts {
         let since_ms = if self.orders == 0 { now_ms } else { self.first_ms };
-        StopAccount {
+        StopAttempts {
             reason: self.reason,
             after_ms: now_ms.saturating_sub(since_ms),
             orders: self.orders,
@@ -79,13 +80,14 @@
 }
 
 impl Scheduler {
-    /// Orders what is marked to stop, and again what goes on.
+    /// Sends orders to stop the marked runs, and repeats those that haven't
+    /// taken effect.
     pub(super) fn order_stops(&mut self, now: Now, actions: &mut Vec<Action>) {
         let now_ms = now.steady_ms;
         let mut overdue = Vec::new();
         for number in self.due_workers(now) {
             let stops = self.workers.at(number).is_some_and(|worker| {
-                worker.wants_stops(now_ms, &self.options)
+                worker.has_stops_due(now_ms, &self.options)
             });
             if !stops {
                 continue;
@@ -104,10 +106,10 @@
                 }
                 let account = stop.account(now_ms);
                 if account.after_ms > self.options.stop_timeout_ms
-                    && !stop.told_overdue
-                    && overdue.len() < OVERDUE_A_PLAN
+                    && !stop.reported_overdue
+                    && overdue.len() < MAX_OVERDUE_PER_PLAN
                 {
-                    stop.told_overdue = true;
+                    stop.reported_overdue = true;
                     overdue.push(Decision::StopOverdue {
                         task: *task,
                         run: number,
@@ -127,8 +129,12 @@
         self.decisions.extend(overdue);
     }
 
-    /// Notes that a worker has carried an order to stop out.
-    pub(super) fn stop_taken(&mut self, worker_id: &WorkerId, task: &TaskId) {
+    /// Notes that a worker has carried out an order to stop.
+    pub(super) fn note_stop_accepted(
+        &mut self,
+        worker_id: &WorkerId,
+        task: &TaskId,
+    ) {
         let worker = self.workers.get_mut(worker_id);
         let run = worker.and_then(|worker| worker.runs.get_mut(task));
         if let Some(Run { state: RunState::Stopping(stop), .. }) = run {
@@ -136,7 +142,7 @@
         }
     }
 
-    /// Tells how a run was stopped that is over, if it was to be stopped.
+    /// Reports how a run that is over was stopped, if it was to be stopped.
     pub(super) fn note_stopped(
         &mut self,
         task: &TaskId,
@@ -146,7 +152,7 @@
         now: Now,
     ) {
         if let RunState::Stopping(stop) = &run.state {
-            self.note(Decision::StopOver {
+            self.note(Decision::StopFinished {
                 task: *task,
                 run: run.run,
                 worker: worker_id.clone(),
--- a/crates/dewspar/src/schedule/storing.rs
+++ b/crates/dewspar/src/schedule/storing.rs
@@ -1,5 +1,5 @@
 /*!
-What must be in the store before ends may be acknowledged.
+Changes that must be stored before ends may be acknowledged.
 */
 
 use {
@@ -10,20 +10,21 @@
     std::collections::BTreeSet,
 };
 
-/// What must be stored before ends may be acknowledged.
+/// Changes that must be stored before ends may be acknowledged.
 #[derive(Clone, Debug, Default)]
 pub struct Changes {
     /// The progress of the jobs that changed.
     pub progress: Vec<(JobId, Progress)>,
-    /// The jobs among them that are over and of which something may still run:
-    /// a later holder has to know before it has loaded them.
+    /// The jobs among them that are over while some of their runs may still be
+    /// active. A later holder has to know these before it has loaded them.
     unstopped: BTreeSet<JobId>,
-    /// The newest change that is in it.
+    /// The newest change that is included.
     sequence: u64,
 }
 
 impl Changes {
-    /// Takes out the changes of some jobs, so that they go their own way.
+    /// Splits off the changes of some jobs, so that they can be written
+    /// separately.
     pub fn take(&mut self, ids: &BTreeSet<JobId>) -> Changes {
         let progress =
             self.progress.extract_if(.., |(id, _)| ids.contains(id)).collect();
@@ -32,34 +33,36 @@
         Changes { progress, unstopped, sequence: self.sequence }
     }
 
-    /// Returns whether a job is over while something of it may still run.
+    /// Returns whether a job is over while some of its runs may still be
+    /// active.
     pub fn is_unstopped(&self, id: JobId) -> bool {
         self.unstopped.contains(&id)
     }
 }
 
 impl Scheduler {
-    /// Takes what changed and isn't being stored, at most `most` jobs; those
-    /// that are over come first, since callers wait for them, then those for
-    /// which starts wait, in the order of these, then those whose change has
-    /// waited for longest.
+    /// Takes the changes of at most `most` jobs that aren't being stored yet.
+    ///
+    /// Jobs that are over come first, since callers wait for them. Then come
+    /// the jobs for which starts wait, in the order of these starts, then the
+    /// others, the longest-waiting change first.
     ///
     /// Call [`Scheduler::changes_stored`] or [`Scheduler::changes_failed`]
-    /// once the outcome is known. Several may be under way at a time: no job
-    /// is in two of them.
+    /// once the outcome is known. Several batches may be in flight at a time;
+    /// no job is in two of them.
     pub fn take_changes(&mut self, most: usize) -> Changes {
         self.take_changes_within(most, |_| 1)
     }
 
-    /// Takes the same for a write that holds `most_entries`, of which a job in a
-    /// phase takes `entries_of` that phase.
+    /// Does the same for a write that holds `most_entries`, of which a job in
+    /// a phase takes `entries_of` that phase.
     pub fn take_changes_within(
         &mut self,
         most_entries: usize,
         entries_of: impl Fn(Phase) -> usize,
     ) -> Changes {
-        // In no fixed order of jobs: where more change all the time than can
-        // be stored, the last ones never would be.
+        // Not in a fixed order of jobs: if more jobs change continuously than
+        // can be stored, the last ones would never be stored.
         let mut ids: Vec<(bool, u64, u64, JobId)> = self
             .unstored()
             .filter_map(|(id, since)| {
@@ -82,7 +85,7 @@
             self.changed.remove(&id);
             self.storing.insert(id, since);
             progress.push((id, job.progress()));
-            if job.phase.is_final() && job.placed(id).next().is_some() {
+            if job.phase.is_final() && job.placements(id).next().is_some() {
                 unstopped.insert(id);
             }
         }
@@ -101,8 +104,8 @@
         })
     }
 
-    /// Returns the jobs that changed and aren't being stored, each with its
-    /// first change that isn't.
+    /// Returns the changed jobs that aren't being stored, each with its first
+    /// unstored change.
     fn unstored(&self) -> impl Iterator<Item = (JobId, u64)> {
         let waiting = self.changed.iter();
         waiting
@@ -115,7 +118,7 @@
         for (id, progress) in &changes.progress {
             self.storing.remove(id);
             self.note_awaited_stored(id, changes.sequence);
-            self.write_ahead.job_written(*id, changes.sequence);
+            self.write_ahead.note_job_written(*id, changes.sequence);
             if progress.phase.is_final() {
                 self.finished.insert(*id, progress.finished_at_ms);
                 self.jobs.remove(id);
@@ -128,13 +131,13 @@
         self.store_ends(now);
     }
 
-    /// Moves on what may be acknowledged to each worker.
+    /// Advances what may be acknowledged to each worker.
     pub(super) fn store_ends(&mut self, now: Now) {
-        let (jobs, set_aside) = (&self.jobs, &self.set_aside);
+        let (jobs, unreadable_jobs) = (&self.jobs, &self.unreadable_jobs);
         for number in self.workers.with_unstored_ends(&self.options) {
             let Some(worker) = self.workers.at_mut(number) else { continue };
-            worker.store_ends(now.steady_ms, |job, sequence| {
-                set_aside.is_stored(jobs, job, sequence)
+            worker.advance_stored_ends(now.steady_ms, |job, sequence| {
+                unreadable_jobs.is_stored(jobs, job, sequence)
             });
         }
     }
@@ -151,12 +154,12 @@
         }
     }
 
-    /// Puts changes back that couldn't be stored.
+    /// Puts back changes that couldn't be stored.
     pub fn changes_failed(&mut self, changes: &Changes) {
         for (id, _) in &changes.progress {
             let since = self.storing.remove(id).unwrap_or(changes.sequence);
-            if !self.start_logs.are_on() {
-                self.write_ahead.job_written(*id, changes.sequence);
+            if !self.start_logs.are_enabled() {
+                self.write_ahead.note_job_written(*id, changes.sequence);
             }
             if self.jobs.contains_key(id) {
                 self.changed.insert(*id, since);
@@ -166,11 +169,11 @@
 
     /// Takes finished jobs whose keys need no longer be kept.
     ///
-    /// A cancelled job of which something may still run is kept, however old
-    /// it is: once its keys are gone, a later holder would take the run for
-    /// one of a job that it hasn't loaded, and renew its lease.
+    /// A cancelled job with runs that may still be active is kept, however old
+    /// it is. Without its keys, a later holder would take the run for one of a
+    /// job that isn't loaded yet, and renew its lease.
     pub fn take_expired(&mut self, now: Now, most: usize) -> Vec<JobId> {
-        let kept_ms = self.options.kept_ms;
+        let kept_ms = self.options.finished_retention_ms;
         let over = |at: u64| now.unix_ms >= at + kept_ms;
         let expired = self
             .finished
--- a/crates/dewspar/src/schedule/suspects.rs
+++ b/crates/dewspar/src/schedule/suspects.rs
@@ -1,33 +1,35 @@
 /*!
-Tasks that may crash the workers that start them.
-
-A worker that crashes lists no ends, so nothing says which of its runs did it,
-if any. Started again as if nothing had happened, such a task takes down one
-worker after the other, with all that stands beside it. Yet most runs that are
-lost with a worker are sound, and must neither be given up nor wait for long.
-
-What tells them apart is that a bad task does it each time, and soon after it
-begins:
-
-- A run that its worker hadn't confirmed for long is *suspected* once the
-  worker is lost; each loss in a row counts. The count is stored with the
-  job's progress, so a new holder knows of it.
-- A suspected task starts again where no other suspect stands, so that the
-  next crash says more. After two crashes it starts only beside runs that have
-  proven sound, on a worker that is kept free for it, with nothing started
-  beside it until it is cleared, and once both crashes are stored. Else two bad
-  tasks that begin together hide behind each other: in 5 of 50 runs of the fault
-  soak sound jobs were given up for them, or bad ones started a sixth time.
-- It is *cleared* once a run of it lives on for longer than those that were
-  lost, or ends by itself.
-- It is given up, and its job failed, after its third crash if nothing else can
-  have done it, neither another run nor a VM whose workers crash anyway; and
-  after its fourth whatever else was there.
-
-Starts count as well: the record says of a suspected task whether a run of it
-was under way, since a new holder can't know how that ended. Nor can it know
-whether a worker that it never heard of alive had just started one of the tasks
-that wait; see [`unseen_starts`](super::unseen_starts).
+Detection of tasks that crash the workers that run them.
+
+A worker that crashes reports no ends, so nothing shows which of its runs
+caused the crash, if any did. If such a task is simply started again, it takes
+down one worker after the other, together with every run beside it. Yet most
+runs that are lost with a worker are sound: they must not be given up, and must
+not be delayed for long.
+
+A bad task differs from a sound one in that it crashes its worker on every run,
+soon after the start. The scheduler uses that as follows:
+
+- A run that its worker had confirmed for only a short time becomes *suspected*
+  when the worker is lost. Consecutive losses of a task are counted, and the
+  count is stored with the job's progress, so that it survives a takeover.
+- A suspected task starts next where no other suspect runs, so that the next
+  crash says more. After two crashes it is *under test*: it starts only beside
+  runs that have been confirmed for a while, on a worker reserved for it, on
+  which nothing else starts until the task is cleared, and only after both
+  crashes are stored. Otherwise two bad tasks that start together mask each
+  other: in 5 of 50 runs of the fault soak, sound jobs were given up because of
+  that, or bad ones were started a sixth time.
+- A task is *cleared* when one of its runs outlives those that were lost, or
+  ends by itself.
+- A task is given up, and its job fails, after its third crash if nothing else
+  can have caused it: neither another run nor a VM whose workers crash anyway.
+  After its fourth crash it is given up regardless.
+
+Starts count as well. The record of a suspected task says whether a run of it
+was in progress, since a new holder can't know how that run ended. Nor can it
+know whether a worker that it never reached had just started one of the waiting
+tasks; see [`unseen_starts`](super::unseen_starts).
 
 # Example
 
@@ -45,380 +47,396 @@
         job::{JobId, Phase, StepSpec, TaskId, TaskRecord},
         schedule::{
             Decision, Now, Scheduler, WorkerId,
-            crash_series::{Guest, KeptFor, likely_age_ms},
+            crash_bursts::{ReservationRequest, ReservedFor, likely_age_ms},
             job_state::{Job, Task, demand},
-            steadiness::Steadiness,
-            unseen_starts::UnheardLoss,
+            unseen_starts::UnsyncedLoss,
+            vm_stability::VmStability,
             worker::{Run, Suspicion, Worker},
         },
     },
     std::collections::BTreeMap,
 };
 
-/// For how long a worker must have confirmed a run for the run to be beyond
-/// suspicion, in milliseconds: a bad task acts as it is loaded, and answers
-/// come every 300 ms, or every second on a short link.
-const SUSPECTED_MS: u64 = 1_000;
-
-/// What is added to twice the age at which suspected runs were lost to clear
-/// the next one, in milliseconds: an answer's way, and how unevenly a worker
-/// loads what it starts.
-const CLEARED_MARGIN_MS: u64 = 100;
-
-/// How long a task that was suspected once looks for a worker without another
-/// suspect before it takes any, in milliseconds: about as long as a suspect
-/// stays one where it is, so that sound tasks lose no more than the time of
-/// one answer.
-const APART_MS: u64 = 300;
-
-/// For how long a worker may have been silent before its end is known, in
-/// milliseconds, for that end to be a crash under what began before: nearly two
-/// of the slowest readings of the list of VMs. One that was cut off for longer
-/// may have lived on, and gone for some other reason.
-const SILENT_MS: u64 = 2_200;
-
-/// For how long a worker must have confirmed the runs beside which a task is
-/// being found out about, in milliseconds: as long as a question may wait. Two
-/// bad tasks that begin together would each hide behind the other.
+/// How recently a run must have begun to be suspected, in milliseconds: a run
+/// that its worker has confirmed for at least this long is not. A bad task
+/// crashes while it is loaded, and answers arrive every 300 ms, or every
+/// second on a short link.
+const SUSPECT_AGE_MS: u64 = 1_000;
+
+/// Margin added to twice the age at which suspected runs were lost, to get the
+/// age that clears the next run, in milliseconds. It covers the transit time
+/// of an answer and the jitter with which a worker loads what it starts.
+const CLEAR_MARGIN_MS: u64 = 100;
+
+/// For how long a task that was suspected once avoids workers with another
+/// suspect before it accepts any worker, in milliseconds. A suspect remains
+/// one for about this long, so sound tasks lose no more than the time of one
+/// answer.
+const AVOID_SUSPECTS_MS: u64 = 300;
+
+/// The longest silence before a worker's end that still makes the end count as
+/// a crash under the runs that had begun before, in milliseconds: nearly two
+/// of the slowest reads of the VM list. A worker that was unreachable for
+/// longer may have lived on and ended for another reason.
+const MAX_SILENCE_MS: u64 = 2_200;
+
+/// For how long a worker must have confirmed the other runs on it before a
+/// task under test may start there, in milliseconds: as long as a hold may
+/// wait. Two bad tasks that start together would mask each other.
 const PROVEN_MS: u64 = 300;
 
-/// For how long a worker must have confirmed the runs beside which a task starts
-/// that is most likely bad, in milliseconds: most tasks end sooner, and the
-/// start of such a task can wait so long.
-const LASTING_MS: u64 = 2_000;
-
-/// After how many crashes nothing is started beside a task, and its next start
-/// waits until they are stored. One crash is mere chance for nearly all.
-const TESTED_CRASHES: u32 = 2;
-
-/// After how many crashes a task is given up that alone can have caused the
-/// last one. A sound one would have to be beside a bad one, and twice in a row
-/// on its own on a worker that crashes within a second by itself.
-const SURE_CRASHES: u32 = 3;
-
-/// After how many crashes a task is given up in any case: it may be started
-/// twice more after three, and a crash that no holder saw takes one of these.
-const MOST_CRASHES: u32 = 4;
-
-/// How old each run of a task may have been for its workers' crashes to be
-/// certainly its doing, also on VMs that have crashed of late, in milliseconds.
-/// Where tasks crash many workers at once, no VM of the pool is steady for long.
-/// A VM that crashes by itself every 4 s hits one such span of 40, three in a row
-/// once in 64,000.
-const AT_ONCE_MS: u64 = 100;
-
-/// How often a task may be started in all under which three workers crashed,
-/// with the runs whose end no holder saw: one more would be the third start
-/// after three crashes.
-const MOST_STARTS: u32 = 5;
-
-/// How long a task that is being found out about waits for a worker on a VM
-/// that hasn't crashed of late, in milliseconds: as long as one that failed
-/// waits for another worker.
-const STEADY_WAIT_MS: u64 = 1_500;
-
-/// How much a suspected task prefers a worker near its data, counted in runs:
-/// more than all else, since elsewhere it takes twice as long.
-const NEAR_DATA_SCORE: i64 = 1_000;
-
-/// The crashes in a row under one task.
+/// For how long a worker must have confirmed the other runs on it before a
+/// task that is most likely bad may start there, in milliseconds. Most tasks
+/// end sooner, and the start of such a task can wait for that.
+const LONG_PROVEN_MS: u64 = 2_000;
+
+/// The number of crashes after which a task is under test: nothing starts
+/// beside it, and its next start waits until the crashes are stored. A single
+/// crash is mere chance for nearly all tasks.
+const TEST_AFTER_CRASHES: u32 = 2;
+
+/// The number of crashes after which a task is given up if nothing else can
+/// have caused the last one. For a sound task to reach it, it would have to
+/// run beside a bad one, and then twice in a row alone on a worker that
+/// crashes by itself within a second.
+const MAX_CERTAIN_CRASHES: u32 = 3;
+
+/// The number of crashes after which a task is given up in any case. A task
+/// may start twice more after its third crash, and a crash that no holder saw
+/// uses up one of these starts.
+const MAX_CRASHES: u32 = 4;
+
+/// The age up to which lost runs of a task prove that the task caused the
+/// crashes, even on VMs that have crashed recently, in milliseconds. When
+/// tasks crash many workers at once, no VM of the pool stays stable for long.
+/// A VM that crashes by itself every 4 s hits one such span in 40, and three
+/// in a row once in 64,000.
+const IMMEDIATE_CRASH_MS: u64 = 100;
+
+/// How often a task may be started in all after three crashes, counting the
+/// runs whose end no holder saw. One more would be the third start after three
+/// crashes.
+const MAX_STARTS: u32 = 5;
+
+/// For how long a task under test waits for a worker on a VM that hasn't
+/// crashed recently, in milliseconds: as long as a failed task waits for
+/// another worker.
+const STABLE_VM_WAIT_MS: u64 = 1_500;
+
+/// The score that a suspected task gives to a worker near its data, in runs.
+/// It exceeds everything else, since the task takes twice as long elsewhere.
+const DATA_LOCALITY_SCORE: i64 = 1_000;
+
+/// The consecutive crashes under one task.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Crashes {
+pub(crate) struct CrashHistory {
     pub(crate) count: u32,
-    /// How many more runs there were whose end says nothing for sure, most of
-    /// them those of former holders.
+    /// The number of further runs whose outcome is unknown, most of them
+    /// started by previous holders.
     unseen: u32,
-    /// How old a run can have been at most when its worker crashed, in
-    /// milliseconds. Kept when the task is cleared: one that doesn't always
-    /// take the same time is found out in the end.
-    most_age_ms: u64,
-    /// The same for the run that was youngest.
-    least_age_ms: Option<u64>,
-    /// When the last was noticed; 0 for under a former holder.
+    /// The upper bound of a run's age when its worker crashed, in
+    /// milliseconds, over all crashes. It is kept when the task is cleared, so
+    /// that a task whose crashes take varying times is still detected
+    /// eventually.
+    max_age_ms: u64,
+    /// The same upper bound for the youngest run.
+    min_age_ms: Option<u64>,
+    /// When the last crash was noticed; 0 if under a previous holder.
     noticed_ms: u64,
     /// Whether the last run was among those that its worker started last.
     likely: bool,
     /// Whether a run was started since, or is about to be.
-    under_way: bool,
-    /// Whether a former holder may have started the task without a trace.
-    pub(super) may_have_begun: bool,
-    /// How many of the runs whose end says nothing count for workers that were
-    /// lost before they had named theirs.
-    unheard: u32,
-    /// Whether the run under way is on record for that alone.
-    is_told: bool,
-    /// The change by which all of this is stored; 0 for not by this holder.
+    run_in_progress: bool,
+    /// Whether a previous holder may have started the task without recording
+    /// it.
+    pub(super) may_have_started: bool,
+    /// How many of the runs with unknown outcome stand for workers that were
+    /// lost before they had answered this holder.
+    unsynced: u32,
+    /// Whether the run in progress is the only reason for a record.
+    run_recorded: bool,
+    /// The change that stores all of this; 0 if it isn't by this holder.
     sequence: u64,
-    /// The newest change when the run under way was told; 0 for not by this
-    /// holder.
-    told_sequence: u64,
+    /// The newest change when the run in progress was recorded as ordered; 0
+    /// if it wasn't by this holder.
+    run_sequence: u64,
 }
 
-impl Crashes {
-    /// Makes those that a former holder stored; how old the runs were isn't.
-    pub(crate) fn restored(record: &TaskRecord) -> Crashes {
-        // Of a run that nobody was told to start the record says enough.
+impl CrashHistory {
+    /// Restores the crashes that a previous holder stored. The ages of the
+    /// runs aren't stored.
+    pub(crate) fn restored(record: &TaskRecord) -> CrashHistory {
+        // The record alone accounts for a run that no worker was told to
+        // start.
         let announced = record.told.as_deref() == Some("");
         let count = record.crashes;
         let unseen = record.unseen.saturating_sub(u32::from(announced));
-        Crashes {
+        CrashHistory {
             count,
             unseen,
-            most_age_ms: SUSPECTED_MS,
-            is_told: announced && count == 0 && unseen == 0,
-            under_way: announced,
-            ..Crashes::default()
+            max_age_ms: SUSPECT_AGE_MS,
+            run_recorded: announced && count == 0 && unseen == 0,
+            run_in_progress: announced,
+            ..CrashHistory::default()
         }
     }
 
-    /// Makes those of a task that a former holder may have started so often on
-    /// workers that crashed.
-    fn possible(starts: u32) -> Crashes {
-        Crashes {
+    /// Returns the crashes of a task that a previous holder may have started
+    /// this many times on workers that crashed.
+    fn possible(starts: u32) -> CrashHistory {
+        CrashHistory {
             unseen: starts,
-            unheard: starts,
-            most_age_ms: SUSPECTED_MS,
-            may_have_begun: true,
-            ..Crashes::default()
+            unsynced: starts,
+            max_age_ms: SUSPECT_AGE_MS,
+            may_have_started: true,
+            ..CrashHistory::default()
         }
     }
 
-    /// Returns how many starts count of which nothing but workers that were
-    /// lost unheard tells; `None` if something else is known of the task.
-    pub(super) fn only_unheard(&self) -> Option<u32> {
+    /// Returns the number of starts that are counted only because workers were
+    /// lost before they had answered; `None` if anything else is known of the
+    /// task.
+    pub(super) fn only_unsynced(&self) -> Option<u32> {
         let other =
-            self.count > 0 || self.unseen > self.unheard || self.is_told;
-        (self.may_have_begun && !other).then_some(self.unheard)
+            self.count > 0 || self.unseen > self.unsynced || self.run_recorded;
+        (self.may_have_started && !other).then_some(self.unsynced)
     }
 
-    /// Returns whether there is something that a later holder must know.
-    pub(crate) fn are_on_record(&self) -> bool {
-        self.count > 0 || self.unseen > 0 || self.is_told
+    /// Returns whether a later holder must know anything of this.
+    pub(crate) fn is_on_record(&self) -> bool {
+        self.count > 0 || self.unseen > 0 || self.run_recorded
     }
 
-    /// Returns whether the run that is under way is all that a later holder must
+    /// Returns whether the run in progress is all that a later holder must
     /// know of.
-    fn are_only_told(&self) -> bool {
-        self.is_told && self.count == 0 && self.unseen == 0
+    fn has_only_recorded_run(&self) -> bool {
+        self.run_recorded && self.count == 0 && self.unseen == 0
     }
 
-    /// Returns whether a later holder must know of the run that is under way.
-    pub(crate) fn have_a_run_on_record(&self) -> bool {
-        self.are_on_record() && self.under_way
+    /// Returns whether a later holder must know of the run in progress.
+    pub(crate) fn has_recorded_run(&self) -> bool {
+        self.is_on_record() && self.run_in_progress
     }
 
-    /// Returns how many runs a later holder can't know the end of: one that
-    /// is under way may have taken its worker down before that holder looks.
+    /// Returns the number of runs whose end a later holder can't know. A run
+    /// in progress counts, since it may have crashed its worker before that
+    /// holder looks.
     pub(crate) fn unseen_on_record(&self) -> u32 {
-        self.unseen + u32::from(self.have_a_run_on_record())
+        self.unseen + u32::from(self.has_recorded_run())
     }
 
     /// Notes that a run is started; returns whether the record must say so.
     fn start(&mut self) -> bool {
-        self.is_told |= self.may_have_begun && !self.are_on_record();
-        self.under_way |= self.are_on_record();
-        self.under_way
+        self.run_recorded |= self.may_have_started && !self.is_on_record();
+        self.run_in_progress |= self.is_on_record();
+        self.run_in_progress
     }
 
-    /// Notes that the run that was under way is over, and can't have crashed
-    /// its worker; returns whether it was on record.
+    /// Notes that the run in progress is over and can't have crashed its
+    /// worker; returns whether it was on record.
     fn end(&mut self) -> bool {
-        self.is_told = false;
-        std::mem::take(&mut self.under_way)
+        self.run_recorded = false;
+        std::mem::take(&mut self.run_in_progress)
     }
 
-    /// Notes that the run that former holders told of is found where it was to
-    /// start.
+    /// Notes that the run that previous holders recorded was found on its
+    /// worker.
     pub(super) fn found(&mut self) {
         self.unseen = self.unseen.saturating_sub(1);
-        self.is_told = !self.are_on_record();
-        self.under_way = true;
+        self.run_recorded = !self.is_on_record();
+        self.run_in_progress = true;
     }
 
-    /// Notes that the run that former holders told of isn't where it was to
-    /// start, though its worker is.
-    pub(super) fn came_to_nothing(&mut self) {
+    /// Notes that the run that previous holders recorded isn't on its worker,
+    /// although the worker is there.
+    pub(super) fn did_not_start(&mut self) {
         self.unseen = self.unseen.saturating_sub(1);
     }
 
-    /// Adds a run that former holders told of, whose worker is gone.
+    /// Counts a crash for a run that previous holders recorded and whose
+    /// worker is gone.
     ///
-    /// The start that came before the first such run left no trace.
-    pub(super) fn add_unseen(&mut self, sequence: u64, now_ms: u64) {
-        self.came_to_nothing();
-        if !self.are_on_record() {
+    /// The start before the first such run left no record.
+    pub(super) fn add_unseen_crash(&mut self, sequence: u64, now_ms: u64) {
+        self.did_not_start();
+        if !self.is_on_record() {
             self.unseen = 1;
         }
         self.count += 1;
-        self.most_age_ms = SUSPECTED_MS;
+        self.max_age_ms = SUSPECT_AGE_MS;
         self.noticed_ms = now_ms;
         self.likely = false;
-        self.under_way = self.count >= TESTED_CRASHES;
+        self.run_in_progress = self.count >= TEST_AFTER_CRASHES;
         self.sequence = sequence;
     }
 
-    /// Returns whether a start waits until these crashes are stored.
-    fn go_on_record_first(&self) -> bool {
-        self.count >= TESTED_CRASHES || (self.count == 0 && self.unseen > 0)
+    /// Returns whether the next start waits until these crashes are stored.
+    fn must_be_stored_first(&self) -> bool {
+        self.count >= TEST_AFTER_CRASHES
+            || (self.count == 0 && self.unseen > 0)
     }
 
     /// Returns whether the next holder must know of a start before it is
     /// ordered.
-    pub(super) fn is_start_recorded_first(&self) -> bool {
-        self.may_have_begun || self.go_on_record_first()
+    pub(super) fn must_record_start_first(&self) -> bool {
+        self.may_have_started || self.must_be_stored_first()
     }
 
-    /// Adds a run that was lost. One that had lived on for longer than another
-    /// needed for its crash counts as a start alone: a bad task acts alike each
-    /// time.
+    /// Adds a run that was lost. A run that had lived longer than another
+    /// needed to crash its worker counts only as a start, since a bad task
+    /// behaves alike each time.
     fn add(&mut self, run: &LostRun, likely: bool, now_ms: u64) {
-        let least_ms = self.least_age_ms.unwrap_or(SUSPECTED_MS);
-        let alike = run.confirmed_ms <= 2 * least_ms + CLEARED_MARGIN_MS;
+        let least_ms = self.min_age_ms.unwrap_or(SUSPECT_AGE_MS);
+        let alike = run.confirmed_ms <= 2 * least_ms + CLEAR_MARGIN_MS;
         if alike {
             self.count += 1;
         } else {
             self.unseen += 1;
         }
-        self.most_age_ms = self.most_age_ms.max(run.most_age_ms);
-        self.least_age_ms = Some(least_ms.min(run.most_age_ms));
+        self.max_age_ms = self.max_age_ms.max(run.max_age_ms);
+        self.min_age_ms = Some(least_ms.min(run.max_age_ms));
         self.noticed_ms = now_ms;
         self.likely = likely;
-        self.is_told = false;
-        self.under_way = self.count >= TESTED_CRASHES;
+        self.run_recorded = false;
+        self.run_in_progress = self.count >= TEST_AFTER_CRASHES;
     }
 
     /// Returns whether the task is most likely bad.
-    fn show_a_bad_task(&self) -> bool {
-        self.likely && self.count >= TESTED_CRASHES
+    fn is_probably_bad(&self) -> bool {
+        self.likely && self.count >= TEST_AFTER_CRASHES
     }
 
-    /// Returns how old a run can have been at most when its worker crashed, in
+    /// Returns the upper bound of a run's age when its worker crashed, in
     /// milliseconds.
-    pub(super) fn most_age_ms(&self) -> u64 {
-        self.most_age_ms
+    pub(super) fn max_age_ms(&self) -> u64 {
+        self.max_age_ms
     }
 
-    /// Returns whether each run was lost as soon as it was started, which no
-    /// VM that crashes by itself does again and again.
-    fn came_at_once(&self) -> bool {
-        self.most_age_ms <= AT_ONCE_MS
+    /// Returns whether each run was lost right after its start, which a VM
+    /// that crashes by itself doesn't cause repeatedly.
+    fn is_immediate(&self) -> bool {
+        self.max_age_ms <= IMMEDIATE_CRASH_MS
     }
 
-    /// Returns whether the task has been started as often as it may.
-    pub(super) fn are_too_many(&self) -> bool {
-        self.count >= MOST_CRASHES
-            || (self.count >= SURE_CRASHES
-                && self.count + self.unseen >= MOST_STARTS)
+    /// Returns whether the task has used up its starts.
+    pub(super) fn exceeds_limits(&self) -> bool {
+        self.count >= MAX_CRASHES
+            || (self.count >= MAX_CERTAIN_CRASHES
+                && self.count + self.unseen >= MAX_STARTS)
     }
 
     /// Returns how long a run must live to clear its task, in milliseconds.
     fn cleared_after_ms(&self) -> u64 {
         if self.count == 0 {
-            return SUSPECTED_MS;
+            return SUSPECT_AGE_MS;
         }
-        (2 * self.most_age_ms + CLEARED_MARGIN_MS).min(SUSPECTED_MS)
+        (2 * self.max_age_ms + CLEAR_MARGIN_MS).min(SUSPECT_AGE_MS)
     }
 }
 
-/// Beside which runs a task may start.
+/// The runs beside which a task may start.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(super) enum Company {
-    /// Any.
+pub(super) enum Colocation {
+    /// Any run.
     Any,
-    /// Any but one that is being found out about.
+    /// Any run whose task isn't under test.
     Untested,
-    /// None that is suspected.
+    /// No suspected run.
     Unsuspected,
-    /// Only those that their worker has confirmed for a while.
+    /// Only runs that their worker has confirmed for a while.
     Proven,
-    /// Only those that have gone on for longer than most take: the others are
-    /// let end first, as the worker will most likely crash.
-    Lasting,
+    /// Only runs that have lasted longer than most. The others are allowed to
+    /// end first, as the worker will most likely crash.
+    LongProven,
 }
 
-impl Company {
+impl Colocation {
     pub(super) fn allows(self, worker: &Worker) -> bool {
         match self {
-            Company::Any => true,
-            Company::Untested => !worker.tests_a_run(),
-            Company::Unsuspected => !worker.has_suspects(),
-            Company::Proven => has_only_confirmed_for(worker, PROVEN_MS),
-            Company::Lasting => has_only_confirmed_for(worker, LASTING_MS),
+            Colocation::Any => true,
+            Colocation::Untested => !worker.tests_a_run(),
+            Colocation::Unsuspected => !worker.has_suspects(),
+            Colocation::Proven => all_runs_confirmed_for(worker, PROVEN_MS),
+            Colocation::LongProven => {
+                all_runs_confirmed_for(worker, LONG_PROVEN_MS)
+            }
         }
     }
 
-    /// Returns whether a task is being found out about.
+    /// Returns whether this applies to a task under test.
     pub(super) fn is_for_tested(self) -> bool {
-        matches!(self, Company::Proven | Company::Lasting)
+        matches!(self, Colocation::Proven | Colocation::LongProven)
     }
 }
 
-/// Returns whether a worker has confirmed all of its runs for that long, and
-/// none of them is suspected.
-fn has_only_confirmed_for(worker: &Worker, least_ms: u64) -> bool {
+/// Returns whether a worker has confirmed all of its runs for at least this
+/// long, in milliseconds, and none of them is suspected.
+fn all_runs_confirmed_for(worker: &Worker, least_ms: u64) -> bool {
     let reported_ms = worker.latest_report_ms();
     let confirmed = |run: &Run| run.confirmed_ms(reported_ms) >= least_ms;
     !worker.has_suspects() && worker.runs.values().all(confirmed)
 }
 
-/// A run that went down with its worker.
+/// A run that was lost with its worker.
 struct LostRun {
     task: TaskId,
-    /// How long the worker had confirmed it.
+    /// How long the worker had confirmed it, in milliseconds.
     confirmed_ms: u64,
-    /// How old it can have been at most.
-    most_age_ms: u64,
+    /// The upper bound of its age, in milliseconds.
+    max_age_ms: u64,
     suspicion: Suspicion,
 }
 
-/// The runs that went down with one worker.
+/// The runs that were lost with one worker.
 pub(super) struct LostRuns {
-    /// The VM, unless its worker was to go or doesn't name it.
+    /// The VM that crashed; `None` if the worker's end was planned or it
+    /// doesn't name its VM.
     crashed_vm: Option<String>,
-    /// Set if the worker was lost before it had named its runs to this holder.
-    pub(super) unheard: Option<UnheardLoss>,
+    /// Set if the worker was lost before it had reported its runs to this
+    /// holder.
+    pub(super) unsynced: Option<UnsyncedLoss>,
     /// Whether the worker fell silent long before its end was known.
     pub(super) was_silent: bool,
-    /// Whether the worker was about to end anyway.
+    /// Whether the worker was draining.
     was_draining: bool,
     runs: Vec<LostRun>,
 }
 
 impl LostRuns {
-    /// Looks at what a worker had when it was lost.
+    /// Takes stock of a worker's runs when it was lost.
     ///
-    /// One that is draining ends by itself. One that is being emptied doesn't
-    /// before it is empty: whatever it still had was lost in a crash.
+    /// A draining worker ends by itself. A worker that is being emptied ends
+    /// only once it is empty, so whatever it still ran was lost in a crash.
     pub(super) fn of(worker: &Worker, now: Now) -> LostRuns {
         let draining = worker.listing.draining;
-        let planned =
-            draining || (worker.emptying.is_some() && worker.runs.is_empty());
+        let planned = draining
+            || (worker.drain_reason.is_some() && worker.runs.is_empty());
         let answered_ms = worker.answered_worker_ms();
         let over_ms = worker.unanswered_since_ms().unwrap_or(now.steady_ms);
         let lost = |(task, run): (&TaskId, &Run)| LostRun {
             task: *task,
             confirmed_ms: run.confirmed_ms(answered_ms),
-            most_age_ms: over_ms.saturating_sub(run.since_ms),
+            max_age_ms: over_ms.saturating_sub(run.since_ms),
             suspicion: run.suspicion,
         };
-        // The others went down with the process before.
-        let counts = |(_, run): &(&TaskId, &Run)| !run.is_outlived;
+        // The others were lost with the previous process.
+        let counts = |(_, run): &(&TaskId, &Run)| !run.process_has_ended;
         let vm = &worker.listing.vm;
-        let unheard = !worker.synced && !draining;
+        let unsynced = !worker.synced && !draining;
         LostRuns {
-            unheard: unheard.then(|| UnheardLoss::of(worker)),
-            was_silent: now.steady_ms > over_ms + SILENT_MS,
+            unsynced: unsynced.then(|| UnsyncedLoss::of(worker)),
+            was_silent: now.steady_ms > over_ms + MAX_SILENCE_MS,
             crashed_vm: (!planned && !vm.is_empty()).then(|| vm.clone()),
             was_draining: draining,
             runs: worker.runs.iter().filter(counts).map(lost).collect(),
         }
     }
 
-    /// Returns the runs that may have taken the worker down: all that began of
-    /// late, or where some are being found out about, those and what isn't
-    /// proven.
+    /// Returns the runs that may have crashed the worker: all that began
+    /// recently. If some of these are under test, only those and the runs that
+    /// aren't proven yet.
     fn suspects(&self) -> impl Iterator<Item = &LostRun> {
-        let of_late = |run: &&LostRun| run.confirmed_ms < SUSPECTED_MS;
+        let of_late = |run: &&LostRun| run.confirmed_ms < SUSPECT_AGE_MS;
         let young = || self.runs.iter().filter(of_late);
         let most = young().map(|run| run.suspicion.crashes).max().unwrap_or(0);
         let tested = young().any(|run| run.suspicion.tested);
@@ -428,14 +446,14 @@
         })
     }
 
-    /// Returns how old a run may be at most to be a likely cause.
+    /// Returns the age up to which a run is a likely cause, in milliseconds.
     fn likely_age_ms(&self) -> u64 {
-        likely_age_ms(self.runs.iter().map(|run| run.most_age_ms))
+        likely_age_ms(self.runs.iter().map(|run| run.max_age_ms))
     }
 
-    /// Returns whether no other run can have taken the worker down, if this
-    /// task takes as long as it did for that.
-    fn is_only_suspect(&self, task: &TaskId, crashes: &Crashes) -> bool {
+    /// Returns whether no other run can have crashed the worker, assuming that
+    /// the task needs as long for a crash as it did before.
+    fn is_only_suspect(&self, task: &TaskId, crashes: &CrashHistory) -> bool {
         let enough_ms = crashes.cleared_after_ms();
         self.runs.iter().filter(|run| run.task != *task).all(|run| {
             run.suspicion.crashes == 0 && run.confirmed_ms >= enough_ms
@@ -453,68 +471,69 @@
         now: Now,
     ) {
         self.settle_starts_on(worker, lost, now);
-        if let Some(unheard) = &lost.unheard {
-            if self.was_taken_down(unheard, now) {
+        if let Some(unsynced) = &lost.unsynced {
+            if self.was_taken_down(unsynced, now) {
                 return;
             }
-            self.note_unheard_loss(unheard);
+            self.note_unsynced_loss(unsynced);
         }
         let steady = self.note_vm_crash(lost.crashed_vm.as_deref(), now);
         let likely_age_ms = lost.likely_age_ms();
         for run in lost.suspects() {
             if lost.was_silent || lost.was_draining {
-                self.note_suspect_over(&run.task);
+                self.note_suspect_ended(&run.task);
                 continue;
             }
-            let likely = run.most_age_ms <= likely_age_ms;
+            let likely = run.max_age_ms <= likely_age_ms;
             let Some(crashes) = self.count_crash(run, likely, now) else {
                 continue;
             };
-            let certain = steady || crashes.came_at_once();
+            let certain = steady || crashes.is_immediate();
             let alone = certain && lost.is_only_suspect(&run.task, &crashes);
             self.note(Decision::Suspected {
                 task: run.task,
                 worker: worker.clone(),
                 crashes: crashes.count,
-                most_age_ms: run.most_age_ms,
+                most_age_ms: run.max_age_ms,
                 alone,
             });
-            let sure = alone && crashes.count >= SURE_CRASHES;
-            if sure || crashes.are_too_many() {
+            let sure = alone && crashes.count >= MAX_CERTAIN_CRASHES;
+            if sure || crashes.exceeds_limits() {
                 self.give_up(&run.task, crashes.count, now);
             }
         }
     }
 
-    /// Counts a crash; returns all of its task, if that is still to be done.
+    /// Counts a crash; returns all crashes of the task, unless the task is
+    /// done or its job is over.
     fn count_crash(
         &mut self,
         run: &LostRun,
         likely: bool,
         now: Now,
-    ) -> Option<Crashes> {
+    ) -> Option<CrashHistory> {
         let job = self.jobs.get(&run.task.job)?;
         let over = job.phase.is_final();
         let done = job.task(&run.task)?.done;
         if over || done {
             return None;
         }
-        self.knows_suspects = true;
+        self.has_suspects = true;
         let sequence = self.mark_changed(run.task.job);
         let job = self.jobs.get_mut(&run.task.job)?;
         let pool = job.terms.pool.clone();
         let crashes = &mut job.task_mut(&run.task)?.crashes;
         if likely && crashes.likely {
-            self.crash_series.note(&pool, now);
+            self.crash_bursts.note(&pool, now);
         }
         crashes.add(run, likely, now.steady_ms);
         crashes.sequence = sequence;
         Some(*crashes)
     }
 
-    /// Clears a task of which a run lives on for longer than those that were
-    /// lost with their workers.
-    pub(super) fn clear_if_sound(
+    /// Clears a task if its run has outlived those that were lost with their
+    /// workers.
+    pub(super) fn clear_if_outlived(
         &mut self,
         worker_id: &WorkerId,
         task: &TaskId,
@@ -522,7 +541,7 @@
         let Some(worker) = self.workers.get(worker_id) else { return };
         let Some(run) = worker.runs.get(task) else { return };
         let state = self.jobs.get(&task.job).and_then(|job| job.task(task));
-        let known = state.is_some_and(|state| state.crashes.are_on_record());
+        let known = state.is_some_and(|state| state.crashes.is_on_record());
         if run.suspicion.crashes == 0 && !known {
             return;
         }
@@ -534,7 +553,7 @@
         }
     }
 
-    /// Clears a task that a worker has survived.
+    /// Clears a task whose run a worker has survived.
     pub(super) fn clear(&mut self, worker_id: &WorkerId, task: &TaskId) {
         if let Some(worker) = self.workers.get_mut(worker_id) {
             worker.clear_suspicion(task);
@@ -542,23 +561,23 @@
         let job = self.jobs.get_mut(&task.job);
         let state = job.and_then(|job| job.task_mut(task));
         let Some(state) = state else { return };
-        let most_age_ms = state.crashes.most_age_ms;
-        let cleared = Crashes { most_age_ms, ..Crashes::default() };
+        let max_age_ms = state.crashes.max_age_ms;
+        let cleared = CrashHistory { max_age_ms, ..CrashHistory::default() };
         let crashes = std::mem::replace(&mut state.crashes, cleared);
-        if crashes.are_on_record() {
-            self.mark_told_changed(task.job, &crashes);
+        if crashes.is_on_record() {
+            self.mark_run_record_changed(task.job, &crashes);
         }
     }
 
-    /// Notes that what is on record of a task's run has changed, unless only a
-    /// log of starts tells of that run.
-    fn mark_told_changed(&mut self, id: JobId, crashes: &Crashes) {
+    /// Marks the record of a task's run as changed, unless only a start log
+    /// holds that run.
+    fn mark_run_record_changed(&mut self, id: JobId, crashes: &CrashHistory) {
         let stored = self
             .jobs
             .get(&id)
-            .is_some_and(|job| job.stored_sequence >= crashes.told_sequence);
-        let only_logged = self.start_logs.are_on()
-            && crashes.are_only_told()
+            .is_some_and(|job| job.stored_sequence >= crashes.run_sequence);
+        let only_logged = self.start_logs.are_enabled()
+            && crashes.has_only_recorded_run()
             && !stored
             && !self.storing.contains_key(&id);
         if !only_logged {
@@ -566,9 +585,11 @@
         }
     }
 
-    /// Notes that a task is started, so that its run counts for the next holder,
-    /// which can't know how it ends, if it is suspected or a former holder may
-    /// have started it before; returns its crashes.
+    /// Notes that a task is started; returns how its run is suspected.
+    ///
+    /// The run is recorded for the next holder, which can't know how it ends,
+    /// if the task is suspected or a previous holder may have started it
+    /// before.
     pub(super) fn note_suspect_started(
         &mut self,
         task: &TaskId,
@@ -587,37 +608,38 @@
         let mut crashes = state.crashes;
         if crashes.start() {
             self.sequence += 1;
-            crashes.told_sequence = self.sequence;
+            crashes.run_sequence = self.sequence;
             let job = self.jobs.get_mut(&task.job);
             if let Some(state) = job.and_then(|job| job.task_mut(task)) {
                 state.crashes = crashes;
             }
-            self.mark_told_changed(task.job, &crashes);
+            self.mark_run_record_changed(task.job, &crashes);
         }
         suspicion
     }
 
-    /// Notes that a suspected task's run came to nothing, or ended in a way that
-    /// says nothing: it isn't under way.
-    pub(super) fn note_suspect_over(&mut self, task: &TaskId) {
+    /// Notes that a suspected task's run never began, or ended in a way that
+    /// says nothing about the task, so that it is no longer in progress.
+    pub(super) fn note_suspect_ended(&mut self, task: &TaskId) {
         let job = self.jobs.get_mut(&task.job);
         let state = job.and_then(|job| job.task_mut(task));
         let Some(state) = state else { return };
         let before = state.crashes;
         if state.crashes.end() {
-            self.mark_told_changed(task.job, &before);
+            self.mark_run_record_changed(task.job, &before);
         }
     }
 
-    /// Puts the next start of tasks on record, before which they don't start:
-    /// of those that are being found out about, and those that a former holder
-    /// may have started unseen, as many of these as may start now.
+    /// Records the intended next start of tasks that must not start before
+    /// that is stored: those under test, and those that a previous holder may
+    /// have started without a record. Of the latter only as many are recorded
+    /// as may start now.
     pub(super) fn announce_starts(&mut self, tasks: &[TaskId]) {
         let mut room = self.window.room();
         let mut all_are_known = !self.is_loading();
         for task in tasks {
-            // Soon it is known whether that start counts.
-            if self.told_starts.contains_key(task) {
+            // Whether that start counts will be known soon.
+            if self.recorded_starts.contains_key(task) {
                 continue;
             }
             let Some(job) = self.jobs.get(&task.job) else { continue };
@@ -629,13 +651,13 @@
                     all_are_known = false;
                     continue;
                 }
-                crashes = Crashes::possible(starts);
+                crashes = CrashHistory::possible(starts);
                 room -= 1;
             }
-            if !crashes.go_on_record_first() || crashes.under_way {
+            if !crashes.must_be_stored_first() || crashes.run_in_progress {
                 continue;
             }
-            crashes.under_way = true;
+            crashes.run_in_progress = true;
             crashes.sequence = self.mark_changed(task.job);
             self.await_change(task.job, crashes.sequence);
             let job = self.jobs.get_mut(&task.job);
@@ -643,8 +665,8 @@
                 state.crashes = crashes;
             }
         }
-        // Looking through all that waits takes a plan a millisecond where
-        // thousands of jobs do.
+        // Scanning all waiting tasks takes a millisecond per plan with
+        // thousands of waiting jobs.
         if all_are_known {
             self.uncounted_pools.clear();
         }
@@ -655,57 +677,57 @@
         self.finish(task.job, Phase::Failed, now);
     }
 
-    /// Returns beside what a task may start now.
+    /// Returns beside which runs a task may start now.
     ///
-    /// One that is being found out about waits as long as it takes: a worker is
-    /// kept free for it, and each suspect there is cleared or has crashed its
-    /// worker within a second. The members of a gang, which start together,
-    /// can't wait for that.
-    pub(super) fn company(
+    /// A task under test waits for as long as it takes: a worker is reserved
+    /// for it, and each suspect there is cleared or has crashed the worker
+    /// within a second. Members of a gang, which start together, can't wait
+    /// for that.
+    pub(super) fn colocation(
         &self,
         spec: &StepSpec,
         state: &Task,
         pool: &str,
         now: Now,
-    ) -> Company {
+    ) -> Colocation {
         if !self.options.policy.placing.separates_suspects {
-            return Company::Any;
+            return Colocation::Any;
         }
-        let Crashes { count, noticed_ms, .. } = state.crashes;
+        let CrashHistory { count, noticed_ms, .. } = state.crashes;
         let tested = self.is_tested(state, pool, now);
-        let waits = now.steady_ms < noticed_ms + APART_MS;
-        let in_series = self.crash_series.is_on(pool, now);
+        let waits = now.steady_ms < noticed_ms + AVOID_SUSPECTS_MS;
+        let in_burst = self.crash_bursts.is_active(pool, now);
         match (tested, spec.gang) {
-            (true, true) => Company::Any,
-            (true, false) if in_series && state.crashes.show_a_bad_task() => {
-                Company::Lasting
+            (true, true) => Colocation::Any,
+            (true, false) if in_burst && state.crashes.is_probably_bad() => {
+                Colocation::LongProven
             }
-            (true, false) => Company::Proven,
-            (false, false) if count > 0 && waits => Company::Unsuspected,
-            (false, _) => Company::Untested,
+            (true, false) => Colocation::Proven,
+            (false, false) if count > 0 && waits => Colocation::Unsuspected,
+            (false, _) => Colocation::Untested,
         }
     }
 
-    /// Returns whether a task is being found out about: its next run has
-    /// nothing young beside it.
+    /// Returns whether a task is under test: its next run has no recently
+    /// started runs beside it.
     pub(super) fn is_tested(
         &self,
         state: &Task,
         pool: &str,
         now: Now,
     ) -> bool {
-        let Crashes { count, likely, .. } = state.crashes;
-        count >= TESTED_CRASHES
-            || (count > 0 && likely && self.crash_series.is_on(pool, now))
+        let CrashHistory { count, likely, .. } = state.crashes;
+        count >= TEST_AFTER_CRASHES
+            || (count > 0 && likely && self.crash_bursts.is_active(pool, now))
     }
 
-    /// Keeps workers free from other starts for as long as tasks wait that are
-    /// to be found out about: one in each pool, several while a series of
-    /// crashes is on there. Else those would have to wait until nothing starts
-    /// in a busy pool for a while.
+    /// Reserves workers for as long as tasks under test wait: one in each
+    /// pool, several during a burst of crashes there. Otherwise such tasks
+    /// would have to wait until nothing starts in a busy pool for a while.
     pub(super) fn reserve_workers(&mut self, waiting: &[TaskId], now: Now) {
-        let mut kept: BTreeMap<&str, (WorkerId, KeptFor)> = BTreeMap::new();
-        let mut guests = Vec::new();
+        let mut kept: BTreeMap<&str, (WorkerId, ReservedFor)> =
+            BTreeMap::new();
+        let mut requests = Vec::new();
         for task in waiting {
             let Some(job) = self.jobs.get(&task.job) else { continue };
             let (Some(spec), Some(state)) =
@@ -718,56 +740,69 @@
             if !tested || kept.contains_key(pool) {
                 continue;
             }
-            if self.crash_series.is_on(pool, now) {
-                let is_bad = state.crashes.show_a_bad_task();
-                guests.push(Guest { task: *task, pool, is_bad });
+            if self.crash_bursts.is_active(pool, now) {
+                let is_bad = state.crashes.is_probably_bad();
+                requests.push(ReservationRequest {
+                    task: *task,
+                    pool,
+                    is_bad,
+                });
                 continue;
             }
             let same = self.reserved.keys().find_map(|id| {
                 let worker = self.workers.get(id)?;
                 let here = worker.listing.pool == pool;
-                (here && self.may_be_kept(worker, task, now)).then_some(worker)
+                (here && self.can_be_reserved(worker, task, now))
+                    .then_some(worker)
             });
             let suitable = self.workers.values().filter(|worker| {
                 worker.listing.pool == pool
-                    && self.may_be_kept(worker, task, now)
+                    && self.can_be_reserved(worker, task, now)
             });
             let chosen = same.or_else(|| {
                 suitable.min_by_key(|worker| (worker.runs.len(), worker.id()))
             });
             if let Some(worker) = chosen {
-                kept.insert(pool, (worker.id().clone(), KeptFor::Tested));
+                kept.insert(pool, (worker.id().clone(), ReservedFor::Tested));
             }
         }
-        let mut reserved: BTreeMap<WorkerId, KeptFor> =
+        let mut reserved: BTreeMap<WorkerId, ReservedFor> =
             kept.into_values().collect();
-        reserved.extend(self.keep_apart_workers(guests, |guest, worker| {
-            self.may_be_kept(worker, &guest.task, now)
-        }));
+        reserved.extend(
+            self.reserve_burst_workers(requests, |request, worker| {
+                self.can_be_reserved(worker, &request.task, now)
+            }),
+        );
         self.reserved = reserved;
     }
 
-    /// Returns whether a worker may be kept free for a task that is to be found
-    /// out about.
-    fn may_be_kept(&self, worker: &Worker, task: &TaskId, now: Now) -> bool {
+    /// Returns whether a worker may be reserved for a task under test.
+    fn can_be_reserved(
+        &self,
+        worker: &Worker,
+        task: &TaskId,
+        now: Now,
+    ) -> bool {
         let Some(job) = self.jobs.get(&task.job) else { return false };
         let (Some(spec), Some(state)) = (job.step_spec(task), job.task(task))
         else {
             return false;
         };
-        let wanted = self.steadiness_wanted(spec, state, &job.terms.pool, now);
-        // One with a kept place would be closed to the task that was stopped for
-        // it: that was without work for 1.65 s in a random run.
+        let wanted =
+            self.required_stability(spec, state, &job.terms.pool, now);
+        // A worker with a reserved place would be closed to the task that was
+        // stopped to take that place: in a randomized run the task had no
+        // worker for 1.65 s.
         worker.is_usable()
-            && !worker.keeps_room()
-            && worker.listing.capacity.holds(&demand(spec))
+            && !worker.has_reservations()
+            && worker.listing.capacity.contains(&demand(spec))
             && !worker.has_suspects()
-            && self.is_as_steady(worker, wanted, now)
+            && self.is_stable_enough(worker, wanted, now)
     }
 
-    /// Returns whether a worker is kept free for other tasks, or this task has
-    /// to wait for one that is kept free for it.
-    pub(super) fn is_kept_from(
+    /// Returns whether a worker is reserved for other tasks, or this task has
+    /// to wait for a worker that is reserved for it.
+    pub(super) fn is_reserved_for_others(
         &self,
         worker: &Worker,
         task: &TaskId,
@@ -777,31 +812,32 @@
         match self.reserved.get(worker.id()) {
             Some(kept_for) => !kept_for.allows(task, tested),
             None => {
-                tested && self.crash_series.is_on(&worker.listing.pool, now)
+                tested
+                    && self.crash_bursts.is_active(&worker.listing.pool, now)
             }
         }
     }
 
-    /// Returns how steady the VM must be on which a task starts.
+    /// Returns the stability that the VM must have on which a task starts.
     ///
     /// A sound task that was lost twice must not end up on the one VM of a
-    /// full pool that has room since it goes up and down.
-    pub(super) fn steadiness_wanted(
+    /// full pool that has capacity because it is flapping.
+    pub(super) fn required_stability(
         &self,
         spec: &StepSpec,
         state: &Task,
         pool: &str,
         now: Now,
-    ) -> Steadiness {
-        let Crashes { count, noticed_ms, .. } = state.crashes;
+    ) -> VmStability {
+        let CrashHistory { count, noticed_ms, .. } = state.crashes;
         let separates = self.options.policy.placing.separates_suspects;
-        if count < TESTED_CRASHES || !separates {
-            return Steadiness::GoesUpAndDown;
+        if count < TEST_AFTER_CRASHES || !separates {
+            return VmStability::Flapping;
         }
-        let wanted = if now.steady_ms < noticed_ms + STEADY_WAIT_MS {
-            Steadiness::Steady
+        let wanted = if now.steady_ms < noticed_ms + STABLE_VM_WAIT_MS {
+            VmStability::Stable
         } else {
-            Steadiness::Doubtful
+            VmStability::Unproven
         };
         let demand = demand(spec);
         let best = self
@@ -810,62 +846,69 @@
             .filter(|worker| {
                 worker.listing.pool == pool
                     && worker.is_usable()
-                    && worker.listing.capacity.holds(&demand)
+                    && worker.listing.capacity.contains(&demand)
             })
-            .map(|worker| self.steadiness(&worker.listing.vm, now))
+            .map(|worker| self.vm_stability(&worker.listing.vm, now))
             .max();
-        wanted.min(best.unwrap_or(Steadiness::GoesUpAndDown))
+        wanted.min(best.unwrap_or(VmStability::Flapping))
     }
 
-    /// Returns whether a worker's VM is as steady as that.
-    pub(super) fn is_as_steady(
+    /// Returns whether a worker's VM is at least this stable.
+    pub(super) fn is_stable_enough(
         &self,
         worker: &Worker,
-        wanted: Steadiness,
+        wanted: VmStability,
         now: Now,
     ) -> bool {
-        wanted == Steadiness::GoesUpAndDown
-            || self.steadiness(&worker.listing.vm, now) >= wanted
+        wanted == VmStability::Flapping
+            || self.vm_stability(&worker.listing.vm, now) >= wanted
     }
 
-    /// Returns whether a task goes where it does least harm, and not where it
-    /// suits best.
-    pub(super) fn is_kept_apart(&self, spec: &StepSpec, state: &Task) -> bool {
-        // One that lasts stays where it is put: not for a single crash.
-        let least = if spec.long_running { TESTED_CRASHES } else { 1 };
+    /// Returns whether a task is placed where it does the least harm instead
+    /// of where it fits best.
+    pub(super) fn is_isolated(&self, spec: &StepSpec, state: &Task) -> bool {
+        // A long-running task stays where it is placed, so a single crash
+        // doesn't suffice.
+        let least = if spec.long_running { TEST_AFTER_CRASHES } else { 1 };
         self.options.policy.placing.separates_suspects
             && state.crashes.count >= least
     }
 
-    /// Returns how well a worker suits a task that may crash it: the fewer
-    /// runs it would lose, the better.
-    pub(super) fn score_apart(&self, worker: &Worker, spec: &StepSpec) -> i64 {
+    /// Returns the score of a worker for a task that may crash it: the fewer
+    /// runs it would lose, the higher.
+    pub(super) fn isolation_score(
+        &self,
+        worker: &Worker,
+        spec: &StepSpec,
+    ) -> i64 {
         let mut score = -(worker.runs.len() as i64);
         let near = !spec.data_rack.is_empty()
             && worker.listing.rack == spec.data_rack;
         if near {
-            score += NEAR_DATA_SCORE;
+            score += DATA_LOCALITY_SCORE;
         }
         score
     }
 }
 
 impl Job {
-    /// Returns whether all that must be on record before a task starts is.
+    /// Returns whether everything is stored that must be on record before a
+    /// task starts.
     ///
-    /// A holder that can't store its crashes may start a task once more; its
-    /// successor, which knows of none, must not go on as if there were none.
+    /// A holder that can't store its crashes may start a task once more. Its
+    /// successor, which knows of none, must not continue as if there were
+    /// none.
     pub(super) fn may_start(&self, state: &Task) -> bool {
-        !state.crashes.go_on_record_first()
+        !state.crashes.must_be_stored_first()
             || self.stored_sequence >= state.crashes.sequence
     }
 }
 
-impl Crashes {
-    /// Returns how a run that is found, or that starts together with others, is
-    /// suspected.
+impl CrashHistory {
+    /// Returns how a run is suspected that is found on a worker or starts
+    /// together with others.
     pub(crate) fn suspicion(&self) -> Suspicion {
-        let tested = self.count >= TESTED_CRASHES;
+        let tested = self.count >= TEST_AFTER_CRASHES;
         Suspicion { crashes: self.count, tested }
     }
 }
--- a/crates/dewspar/src/schedule/unseen_starts.rs
+++ b/crates/dewspar/src/schedule/unseen_starts.rs
@@ -1,92 +1,100 @@
 /*!
-Starts of which no holder saw how they ended.
+Starts whose outcome no holder observed.
 
 A holder that is lost right after it has ordered a start can't tell whether the
-task crashed its worker. To have each start on record would take a write a start.
-But what waits when a holder takes over is little, and among it is all whose last
-start no holder saw the end of. So the starts of these tasks are on record before
-they are ordered, with the worker that is told (see
-[`write_ahead`](super::write_ahead)). A holder that finds such a start looks at that
-worker:
+task crashed its worker. Recording every start would cost one write per start.
+But few tasks wait at a takeover, and they include all tasks whose last start
+had no observed end. So only the starts of these tasks are recorded before they
+are ordered, with the worker that is told (see
+[`write_ahead`](super::write_ahead)). A holder that finds such a record checks
+the worker:
 
-- It runs the task: all is well.
-- It answers and doesn't: the order never arrived, or the run has ended.
-- It is gone, or another process has taken its place: it was lost soon after the start, as a record is cleared once a run
-  lives on. That is a crash like one that a holder has seen, and the start before
-  the first one on record counts as well, since it left no trace.
+- It runs the task: the start is accounted for.
+- It answers and doesn't run the task: the order never arrived, or the run has
+  ended.
+- It is gone, or another process has taken its place: it was lost soon after
+  the start, since a record is cleared once the run lives on. That counts like
+  a crash that a holder has seen. The start before the first recorded one
+  counts as well, since it left no record.
 
-What was started before anything was on record is unknown where a worker is gone
-before it has named its runs. So each task that waited in that pool when the
-holder took over counts as started once for each such worker, twice at most, and
-its next start waits until that is on record.
+If a worker is gone before it has reported its runs, nothing is known of the
+starts that came before any record. So each task that waited in that pool at
+the takeover counts as started once per such worker, twice at most, and its
+next start waits until that is stored.
 
-A worker whose VM the former holder had taken down, to move or to maintain it,
-is gone too. It was empty, since a VM is only ordered to change once nothing
-runs there, so this says nothing of any task. The list of VMs shows what the VM
-does, and the record of the changes that were ordered names it once it is back.
+A worker is also gone if the previous holder had taken its VM down to move or
+maintain it. Such a worker was empty, since a VM is only ordered to change once
+nothing runs there, so its absence says nothing about any task. The VM list
+shows what the VM is doing, and the record of ordered changes names it once it
+is back.
 */
 
 use crate::{
     job::{JobId, Progress, TaskId, TaskRecord},
     schedule::{
-        Decision, Incarnation, Now, Scheduler, VmLife, WorkerId,
+        Decision, Incarnation, Now, Scheduler, VmStatus, WorkerId,
         job_state::{Job, Task},
-        processes::Succession,
-        suspects::{Crashes, LostRuns},
+        processes::IncarnationOrder,
+        suspects::{CrashHistory, LostRuns},
         worker::Worker,
     },
 };
 
-/// How many starts of a task count at most for workers that were lost unheard:
-/// with its second crash on record a holder starts nothing.
-const MOST_UNSEEN: u32 = 2;
+/// How many starts of a task count at most for workers that were lost before
+/// they had answered. A holder starts nothing of a task whose second crash
+/// isn't stored.
+const MAX_UNSEEN: u32 = 2;
 
-/// What became of a start that is on record.
+/// The outcome of a recorded start.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Outcome {
     /// Its worker hasn't answered yet.
-    Open,
-    /// It isn't found out in time.
+    Pending,
+    /// It can't be determined in time.
     Unknown,
-    /// The run is where it was started.
+    /// The run is on the worker on which it was started.
     Found,
     /// There is no such run.
-    Nothing,
+    NotRunning,
     /// Its worker is gone.
     Crashed,
 }
 
-/// A start that is on record, with the process that was told.
+/// A recorded start, with the process that was told.
 #[derive(Debug)]
-pub(super) struct ToldStart {
+pub(super) struct RecordedStart {
     worker: WorkerId,
     process: Incarnation,
 }
 
-impl ToldStart {
-    pub(super) fn of(worker: WorkerId, process: Incarnation) -> ToldStart {
-        ToldStart { worker, process }
+impl RecordedStart {
+    pub(super) fn of(worker: WorkerId, process: Incarnation) -> RecordedStart {
+        RecordedStart { worker, process }
     }
 }
 
-/// A worker that was lost before it had named its runs to this holder.
+/// A worker that was lost before it had reported its runs to this holder.
 #[derive(Debug)]
-pub(super) struct UnheardLoss {
+pub(super) struct UnsyncedLoss {
     pool: String,
     /// The VM; empty if the worker doesn't name it.
     vm: String,
 }
 
-impl UnheardLoss {
-    pub(super) fn of(worker: &Worker) -> UnheardLoss {
+impl UnsyncedLoss {
+    pub(super) fn of(worker: &Worker) -> UnsyncedLoss {
         let listing = &worker.listing;
-        UnheardLoss { pool: listing.pool.clone(), vm: listing.vm.clone() }
+        UnsyncedLoss { pool: listing.pool.clone(), vm: listing.vm.clone() }
     }
 }
 
 impl Scheduler {
-    /// Keeps in mind which workers former holders told to start tasks of a job.
-    pub(super) fn note_told_starts(&mut self, id: JobId, progress: &Progress) {
+    /// Remembers which workers previous holders told to start tasks of a job.
+    pub(super) fn note_recorded_starts(
+        &mut self,
+        id: JobId,
+        progress: &Progress,
+    ) {
         for record in progress.tasks.iter().filter(|record| !record.done) {
             let TaskRecord { round, step, index, .. } = *record;
             let told = record.told.as_ref().filter(|told| !told.is_empty());
@@ -94,78 +102,90 @@
             let task = TaskId { job: id, round, step, index };
             let born = record.told_born_unix_ms;
             let process =
-                born.map_or(Incarnation::UNKNOWN, Incarnation::born_at);
-            let start = ToldStart::of(WorkerId::new(told), process);
-            self.note_told_start(task, start, "");
+                born.map_or(Incarnation::UNKNOWN, Incarnation::started_at);
+            let start = RecordedStart::of(WorkerId::new(told), process);
+            self.note_recorded_start(task, start, "");
         }
     }
 
-    /// Keeps in mind which worker a former holder told to start a task, on a VM
-    /// whose name is empty where it isn't known.
-    pub(super) fn note_told_start(
+    /// Remembers which worker a previous holder told to start a task, on a VM
+    /// whose name is empty if it isn't known.
+    pub(super) fn note_recorded_start(
         &mut self,
         task: TaskId,
-        start: ToldStart,
+        start: RecordedStart,
         vm: &str,
     ) {
         if start.process != Incarnation::UNKNOWN {
-            self.note_told_in_doubt(&task, &start.worker, vm);
+            self.note_recorded_in_doubt(&task, &start.worker, vm);
         }
-        self.told_starts.insert(task, start);
+        self.recorded_starts.insert(task, start);
     }
 
-    /// Finds out what became of the starts that former holders told of.
-    pub(super) fn settle_told_starts(&mut self, now: Now) {
-        let settled = self.told_starts.iter().filter_map(|(task, start)| {
-            let outcome = self.outcome(task, start, now);
-            (outcome != Outcome::Open).then_some((*task, outcome))
-        });
+    /// Determines the outcome of the starts that previous holders recorded.
+    pub(super) fn settle_recorded_starts(&mut self, now: Now) {
+        let settled =
+            self.recorded_starts.iter().filter_map(|(task, start)| {
+                let outcome = self.outcome(task, start, now);
+                (outcome != Outcome::Pending).then_some((*task, outcome))
+            });
         for (task, outcome) in settled.collect::<Vec<_>>() {
-            if let Some(start) = self.told_starts.remove(&task) {
+            if let Some(start) = self.recorded_starts.remove(&task) {
                 self.settle_start(&task, &start.worker, outcome, now);
             }
         }
     }
 
-    /// Settles the starts on a worker that is lost.
+    /// Settles the recorded starts on a worker that is lost.
     pub(super) fn settle_starts_on(
         &mut self,
         worker: &WorkerId,
         lost: &LostRuns,
         now: Now,
     ) {
-        let outcome = match &lost.unheard {
-            // What it had is known: a run that was lost counts by itself.
-            None => Outcome::Nothing,
-            Some(unheard) if self.was_taken_down(unheard, now) => {
-                Outcome::Nothing
+        let outcome = match &lost.unsynced {
+            // The worker's runs are known, and a lost run counts by itself.
+            None => Outcome::NotRunning,
+            Some(unsynced) if self.was_taken_down(unsynced, now) => {
+                Outcome::NotRunning
             }
             // It may have lived on for long.
             Some(_) if lost.was_silent => Outcome::Unknown,
             Some(_) => Outcome::Crashed,
         };
-        let here = |_: &TaskId, told: &mut ToldStart| told.worker == *worker;
-        let starts: Vec<TaskId> =
-            self.told_starts.extract_if(.., here).map(|(t, _)| t).collect();
+        let here =
+            |_: &TaskId, told: &mut RecordedStart| told.worker == *worker;
+        let starts: Vec<TaskId> = self
+            .recorded_starts
+            .extract_if(.., here)
+            .map(|(t, _)| t)
+            .collect();
         for task in starts {
             self.settle_start(&task, worker, outcome, now);
         }
     }
 
-    fn outcome(&self, task: &TaskId, start: &ToldStart, now: Now) -> Outcome {
+    fn outcome(
+        &self,
+        task: &TaskId,
+        start: &RecordedStart,
+        now: Now,
+    ) -> Outcome {
         let Some(told) = self.workers.get(&start.worker) else {
-            let known = self.lives_known;
-            return if known { Outcome::Crashed } else { Outcome::Open };
+            let known = self.workers_known;
+            return if known { Outcome::Crashed } else { Outcome::Pending };
         };
         if told.runs.contains_key(task) {
             return Outcome::Found;
         }
         let known = told.listing.incarnation;
-        if Succession::of(known, start.process) == Succession::Newer {
+        if IncarnationOrder::compare(known, start.process)
+            == IncarnationOrder::Newer
+        {
             return Outcome::Crashed;
         }
-        if told.is_accounted_for() {
-            return Outcome::Nothing;
+        if told.runs_are_known() {
+            return Outcome::NotRunning;
         }
         let settled = self.taken_over_ms + self.copy_after_ms();
         let job = self.jobs.get(&task.job);
@@ -174,7 +194,7 @@
         if copies && now.steady_ms >= settled {
             return Outcome::Unknown;
         }
-        Outcome::Open
+        Outcome::Pending
     }
 
     fn settle_start(
@@ -190,15 +210,15 @@
         let Some(state) = state.filter(|state| !state.done) else { return };
         let mut crashes = state.crashes;
         match outcome {
-            Outcome::Open | Outcome::Unknown => return,
+            Outcome::Pending | Outcome::Unknown => return,
             Outcome::Found => crashes.found(),
-            Outcome::Nothing => {
-                crashes.came_to_nothing();
+            Outcome::NotRunning => {
+                crashes.did_not_start();
                 self.mark_changed(task.job);
             }
             Outcome::Crashed => {
                 let sequence = self.mark_changed(task.job);
-                crashes.add_unseen(sequence, now.steady_ms);
+                crashes.add_unseen_crash(sequence, now.steady_ms);
             }
         }
         let job = self.jobs.get_mut(&task.job);
@@ -206,27 +226,28 @@
             state.crashes = crashes;
         }
         if outcome == Outcome::Crashed {
-            self.judge_unseen(task, worker, crashes, now);
+            self.judge_unseen_crash(task, worker, crashes, now);
         }
     }
 
-    /// Gives a task up that has crashed too many workers.
-    fn judge_unseen(
+    /// Counts the crash as suspected, and gives up a task that has crashed too
+    /// many workers.
+    fn judge_unseen_crash(
         &mut self,
         task: &TaskId,
         worker: &WorkerId,
-        crashes: Crashes,
+        crashes: CrashHistory,
         now: Now,
     ) {
-        self.knows_suspects = true;
+        self.has_suspects = true;
         self.note(Decision::Suspected {
             task: *task,
             worker: worker.clone(),
             crashes: crashes.count,
-            most_age_ms: crashes.most_age_ms(),
+            most_age_ms: crashes.max_age_ms(),
             alone: false,
         });
-        if crashes.are_too_many() {
+        if crashes.exceeds_limits() {
             self.give_up(task, crashes.count, now);
         }
     }
@@ -235,26 +256,30 @@
         self.options.policy.placing.copy_after_ms
     }
 
-    /// Returns whether a worker is gone since a former holder moved or
+    /// Returns whether a worker is gone because a previous holder moved or
     /// maintained its VM.
-    pub(super) fn was_taken_down(&self, lost: &UnheardLoss, now: Now) -> bool {
+    pub(super) fn was_taken_down(
+        &self,
+        lost: &UnsyncedLoss,
+        now: Now,
+    ) -> bool {
         let changes = self.vms.get(&lost.vm).is_some_and(|vm| {
-            matches!(vm.life, VmLife::Moving | VmLife::Maintenance)
+            matches!(vm.status, VmStatus::Moving | VmStatus::Maintenance)
                 || vm.pool != lost.pool
         });
-        changes || self.was_ordered_before(&lost.vm, now)
+        changes || self.was_ordered_by_former(&lost.vm, now)
     }
 
-    /// Notes that a worker may have crashed under starts of former holders.
-    pub(super) fn note_unheard_loss(&mut self, lost: &UnheardLoss) {
-        *self.unheard_losses.entry(lost.pool.clone()).or_insert(0) += 1;
+    /// Notes that a worker may have crashed under starts of previous holders.
+    pub(super) fn note_unsynced_loss(&mut self, lost: &UnsyncedLoss) {
+        *self.unsynced_losses.entry(lost.pool.clone()).or_insert(0) += 1;
         self.uncounted_pools.insert(lost.pool.clone());
-        self.knows_suspects = true;
+        self.has_suspects = true;
     }
 
-    /// Returns whether a former holder may have started a task on a worker
-    /// that crashed before this holder had heard of it: it waits, and nothing
-    /// is known of any run.
+    /// Returns whether a previous holder may have started a task on a worker
+    /// that crashed before this holder had reached it: the task waits, and
+    /// nothing is known of any run.
     pub(super) fn may_have_crashed_unseen(
         &self,
         job: &Job,
@@ -263,17 +288,17 @@
         self.unseen_starts(job, task) > 0
     }
 
-    /// Returns how often a former holder may have started a task on workers that
-    /// crashed before this holder had heard of them, if not all of that counts
-    /// yet; 0 otherwise.
+    /// Returns how often a previous holder may have started a task on workers
+    /// that crashed before this holder had reached them, if not all of these
+    /// starts are counted yet; 0 otherwise.
     pub(super) fn unseen_starts(&self, job: &Job, task: &Task) -> u32 {
         let pool = &job.terms.pool;
         if !self.uncounted_pools.contains(pool) {
             return 0;
         }
-        let lost = self.unheard_losses.get(pool);
-        let starts = lost.map_or(0, |lost| (*lost).min(MOST_UNSEEN));
-        let counted = task.crashes.only_unheard();
+        let lost = self.unsynced_losses.get(pool);
+        let starts = lost.map_or(0, |lost| (*lost).min(MAX_UNSEEN));
+        let counted = task.crashes.only_unsynced();
         let waits = task.run == task.ended_run;
         let more = waits && counted.is_some_and(|counted| counted < starts);
         if more { starts } else { 0 }
--- a/crates/dewspar/src/schedule/worker/succession.rs
+++ b/crates/dewspar/src/schedule/worker/restart.rs
@@ -1,11 +1,10 @@
 /*!
-What a worker's next process takes over from the one before: nothing that was
-known of that one, but the room that is kept there, and the orders that may still
-be carried out.
+State that a worker's next process inherits: only the room that is reserved
+there and the orders that may still be carried out.
 */
 
 use {
-    super::{FENCES_A_LEASE, Run, RunState, TokensUsed, Worker},
+    super::{Run, RunState, TOKENS_PER_LEASE, TokensUsed, Worker},
     crate::{
         job::TaskId,
         schedule::{Now, Options, WorkerListing},
@@ -14,13 +13,13 @@
 };
 
 impl Worker {
-    /// Makes a worker that is listed again after its lease was over or its
-    /// process had ended: nothing runs there, and nothing starts before it
+    /// Returns a worker that is listed again after its lease was over or its
+    /// process had ended. Nothing runs there, and nothing starts before it
     /// answers.
     ///
-    /// It goes on from the tokens of before: an order under one of these may
-    /// still be on its way.
-    pub(crate) fn listed_again(
+    /// Its tokens continue from the earlier ones, since an order under one of
+    /// these may still be in transit.
+    pub(crate) fn relisted(
         listing: WorkerListing,
         lease_revision: u64,
         tokens_used: TokensUsed,
@@ -29,7 +28,7 @@
     ) -> Worker {
         let TokensUsed(fences) = tokens_used;
         Worker {
-            fences: (fences + 1).min(FENCES_A_LEASE - 1),
+            fences: (fences + 1).min(TOKENS_PER_LEASE - 1),
             synced: true,
             lease_over_ms: now_ms,
             silent_since_ms: Some(now_ms),
@@ -38,17 +37,18 @@
         }
     }
 
-    /// Takes out the runs that its process has listed: they end with it.
+    /// Takes the runs that the worker's process has listed and that end with
+    /// it.
     pub(crate) fn take_listed_runs(&mut self) -> BTreeMap<TaskId, Run> {
         let listed = |_: &TaskId, run: &mut Run| run.is_listed;
         self.runs.extract_if(.., listed).collect()
     }
 
-    /// Makes the worker as it is with its next process.
+    /// Returns the worker as it is with its next process.
     ///
-    /// The runs that are left are those whose orders the next process may carry
-    /// out in place of this one.
-    pub(crate) fn followed_by(
+    /// The remaining runs are those whose orders the next process may carry
+    /// out instead of this one.
+    pub(crate) fn next_process(
         self,
         listing: WorkerListing,
         now: Now,
@@ -56,24 +56,24 @@
     ) -> Worker {
         let now_ms = now.steady_ms;
         let mut next = Worker {
-            fences: (self.fences + 1).min(FENCES_A_LEASE - 1),
+            fences: (self.fences + 1).min(TOKENS_PER_LEASE - 1),
             synced: self.synced,
-            kept: self.kept,
+            reserved: self.reserved,
             listed: self.listed,
             ..Worker::new(listing, self.lease_revision, now_ms, options)
         };
-        next.sum_kept();
+        next.sum_reserved();
         for (task, run) in self.runs {
-            next.insert(task, run.outliving_its_process());
+            next.insert(task, run.carried_over());
         }
         next
     }
 }
 
 impl Run {
-    /// Makes it one that was ordered of a process that has ended, and may begin
-    /// on the next.
-    fn outliving_its_process(self) -> Run {
+    /// Turns the run into one that was ordered from a process that has ended,
+    /// and that may begin on the next process.
+    fn carried_over(self) -> Run {
         let state = match self.state {
             RunState::Starting | RunState::Running => RunState::Starting,
             RunState::Stopping(mut stop) => {
@@ -81,6 +81,6 @@
                 RunState::Stopping(stop)
             }
         };
-        Run { state, confirmed_from_ms: None, is_outlived: true, ..self }
+        Run { state, confirmed_from_ms: None, process_has_ended: true, ..self }
     }
 }
--- a/crates/dewspar/tests/newer_fields.rs
+++ b/crates/dewspar/tests/newer_fields.rs
@@ -8,7 +8,7 @@
     dewspar::{
         job::{JobId, JobSpec, Progress, StepSpec},
         schedule::{
-            AcceptedJob, Now, Options, OrderedVms, Orderer, Scheduler,
+            AcceptedJob, Now, Options, OrderIssuer, OrderedVms, Scheduler,
         },
     },
     serde_json::{Value, json},
@@ -62,7 +62,7 @@
     let mut scheduler = scheduler(Some(&read(&record())));
     // A change of this holder's own.
     let change = json!({ "phase": "running", "done": ["0.0:6"] });
-    scheduler.go_on_from(id(), &read(&change), NOW);
+    scheduler.merge_record(id(), &read(&change), NOW);
     let mut expected = record();
     expected["done"] = json!(["0.0:1-2", "0.0:6"]);
     assert_eq!(stored(&mut scheduler), expected);
@@ -71,7 +71,7 @@
 #[test]
 fn a_holder_that_meets_another_record_takes_in_what_it_does_not_know() {
     let mut scheduler = scheduler(None);
-    scheduler.go_on_from(id(), &read(&record()), NOW);
+    scheduler.merge_record(id(), &read(&record()), NOW);
     assert_eq!(stored(&mut scheduler), record());
 }
 
@@ -86,7 +86,7 @@
     let mut over = record();
     over["phase"] = json!("failed");
     let mut scheduler = self::scheduler(None);
-    scheduler.go_on_from(id(), &read(&over), NOW);
+    scheduler.merge_record(id(), &read(&over), NOW);
     let stored = self::stored(&mut scheduler);
     assert_eq!(stored["phase"], "failed");
     assert_eq!(stored["newer"], record()["newer"]);
@@ -106,8 +106,8 @@
     assert_eq!(written, orders);
 
     let mut scheduler = Scheduler::new(7, Options::default());
-    let holder = Orderer { node: "n2".to_owned(), incarnation: 1 };
-    scheduler.leave_vms_alone(NOW, &holder, Some(read));
+    let holder = OrderIssuer { node: "n2".to_owned(), incarnation: 1 };
+    scheduler.hold_off_vm_orders(NOW, &holder, Some(read));
     let kept = scheduler.ordered_vms(NOW, &holder);
     assert_eq!(serde_json::to_value(&kept).expect("plain JSON"), orders);
 }
@@ -128,8 +128,8 @@
     // Another node holds the lease, then that process again.
     for node in ["n2", "n1"] {
         let mut scheduler = Scheduler::new(7, Options::default());
-        let holder = Orderer { node: node.to_owned(), incarnation: 1 };
-        scheduler.leave_vms_alone(NOW, &holder, Some(read.clone()));
+        let holder = OrderIssuer { node: node.to_owned(), incarnation: 1 };
+        scheduler.hold_off_vm_orders(NOW, &holder, Some(read.clone()));
         let kept = scheduler.ordered_vms(NOW, &holder);
         assert_eq!(serde_json::to_value(&kept).expect("plain JSON"), orders);
     }
--- a/crates/dewspar/tests/schedule/chain.rs
+++ b/crates/dewspar/tests/schedule/chain.rs
@@ -1,64 +1,66 @@
-//! Holders that follow each other after a second or so, each loading what is
-//! open while it schedules.
+//! A chain of holders that follow each other after about a second, each
+//! loading the open jobs while it schedules.
 
 use {
     crate::world::{World, at, id},
     dewspar::{
         job::JobId,
-        schedule::{AcceptedJob, Action, Held, OrderError, Refusal, WorkerId},
+        schedule::{
+            AcceptedJob, Action, OrderError, Refusal, SentHold, WorkerId,
+        },
     },
     std::collections::{BTreeMap, BTreeSet},
 };
 
-/// How long each holder lasts, in milliseconds, and how long of that it loads.
-/// Holders that lost their lease to a refused write lasted 0.8 to 2.5 s; they
-/// loaded 1.5 MB in 0.74 s.
-const LASTS_MS: u64 = 1_200;
-const LOADS_MS: u64 = 700;
+/// How long each holder lasts, and how much of that it spends loading, in
+/// milliseconds. Holders that lost their lease to a refused write lasted 0.8
+/// to 2.5 s; they loaded 1.5 MB in 0.74 s.
+const HOLDER_MS: u64 = 1_200;
+const LOAD_MS: u64 = 700;
 
 /// How often a holder plans, in milliseconds.
-const PLAN_MS: u64 = 25;
+const PLAN_INTERVAL_MS: u64 = 25;
 
-/// What becomes of orders to stop.
+/// How orders to stop are delivered.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Stops {
-    Arrive,
+pub enum StopDelivery {
+    Delivered,
     /// Neither the order nor an answer arrives.
     Lost,
-    /// The worker is unhealthy and says so.
+    /// The worker refuses them as unhealthy.
     Refused,
 }
 
-/// A question whose answer the worker holds back until something ends.
+/// A hold whose answer the worker delays until something ends.
 struct Waiting {
     until_ms: u64,
     worker: WorkerId,
-    held: Held,
+    held: SentHold,
 }
 
-/// A fleet, a store, and the holder that has the lease.
-pub struct Chain {
+/// A fleet, a store, and the current holder of the lease.
+pub struct HolderChain {
     pub world: World,
-    pub stops: Stops,
-    /// How many orders a holder can have answered in a plan's time.
+    pub stops: StopDelivery,
+    /// The number of orders that a holder can complete per plan.
     pub orders_a_plan: usize,
     accepted: BTreeMap<JobId, (AcceptedJob, u64)>,
     cancelled: BTreeSet<JobId>,
     revision: u64,
     waiting: Vec<Waiting>,
-    /// The orders that the holder hasn't had the time to send.
+    /// The orders that the holder hasn't had time to send.
     queue: Vec<Action>,
 }
 
-impl Chain {
-    /// Begins with a holder that knows everything.
-    pub fn new(names: &[&str]) -> Chain {
+impl HolderChain {
+    /// Starts with a holder that has loaded everything.
+    pub fn new(names: &[&str]) -> HolderChain {
         let mut world = World::new(7, names);
         world.list();
         world.expect_all();
-        Chain {
+        HolderChain {
             world,
-            stops: Stops::Arrive,
+            stops: StopDelivery::Delivered,
             orders_a_plan: usize::MAX,
             accepted: BTreeMap::new(),
             cancelled: BTreeSet::new(),
@@ -75,30 +77,30 @@
         self.world.scheduler.submit(id, job, self.revision, None);
     }
 
-    /// A node stores that a job is cancelled, and the holder hears of it.
+    /// Stores the cancellation of a job, and passes it to the holder.
     pub fn cancel(&mut self, number: u64) {
         self.cancelled.insert(id(number));
         let now = at(self.world.now_ms);
         self.world.scheduler.cancel(id(number), now);
     }
 
-    /// Forgets jobs that were over for long, as the store does.
+    /// Forgets a job that was over for long, as the store does.
     pub fn forget(&mut self, number: u64) {
         self.world.stored.remove(&id(number));
         self.world.phases.remove(&id(number));
         self.cancelled.remove(&id(number));
     }
 
-    /// The holder is gone, with all that it meant to send; another one lasts
-    /// for a while and is gone as well.
+    /// Replaces the holder, whose unsent orders are lost, by one that lasts
+    /// for `HOLDER_MS` and loads all jobs.
     pub fn next_holder(&mut self) {
         self.begin();
-        self.schedule_for(LOADS_MS);
+        self.schedule_for(LOAD_MS);
         self.load();
-        self.schedule_for(LASTS_MS - LOADS_MS);
+        self.schedule_for(HOLDER_MS - LOAD_MS);
     }
 
-    /// Lets holders follow each other for so long.
+    /// Lets holders follow each other for this long.
     pub fn holders_for(&mut self, ms: u64) {
         let end_ms = self.world.now_ms + ms;
         while self.world.now_ms < end_ms {
@@ -106,7 +108,7 @@
         }
     }
 
-    /// Lets another holder begin, which has loaded no job yet.
+    /// Starts another holder, which has loaded no job yet.
     pub fn begin(&mut self) {
         self.revision += 1;
         self.waiting.clear();
@@ -121,7 +123,7 @@
         self.world.expect_all();
     }
 
-    /// Loads all that the store has.
+    /// Loads everything in the store.
     pub fn load(&mut self) {
         let world = &mut self.world;
         for (id, (job, revision)) in &self.accepted {
@@ -137,11 +139,11 @@
         world.scheduler.finish_loading(at(world.now_ms));
     }
 
-    /// Lets the holder go on for so long.
+    /// Lets the holder schedule for this long.
     pub fn schedule_for(&mut self, ms: u64) {
         let end_ms = self.world.now_ms + ms;
         while self.world.now_ms < end_ms {
-            self.world.now_ms += PLAN_MS;
+            self.world.now_ms += PLAN_INTERVAL_MS;
             self.round();
         }
     }
@@ -162,11 +164,15 @@
         let now = at(self.world.now_ms);
         match action {
             Action::Stop { worker, order, .. }
-                if self.stops != Stops::Arrive =>
+                if self.stops != StopDelivery::Delivered =>
             {
                 let error = match self.stops {
-                    Stops::Refused => OrderError::Refused(Refusal::Unhealthy),
-                    Stops::Lost | Stops::Arrive => OrderError::Unknown,
+                    StopDelivery::Refused => {
+                        OrderError::Refused(Refusal::Unhealthy)
+                    }
+                    StopDelivery::Lost | StopDelivery::Delivered => {
+                        OrderError::Unknown
+                    }
                 };
                 let (task, scheduler) =
                     (order.task, &mut self.world.scheduler);
@@ -180,7 +186,7 @@
         }
     }
 
-    /// Answers questions whose time is up, or on whose worker something has
+    /// Answers the holds that have timed out, or on whose worker something has
     /// ended.
     fn answer_waiting(&mut self) {
         let now = at(self.world.now_ms);
@@ -188,7 +194,7 @@
             let Waiting { until_ms, worker, held } = &waiting;
             let acknowledged = held.order().acknowledged;
             let ended = self.world.reach(worker).is_some_and(|reached| {
-                // What ends with time does so by now.
+                // Lets the worker end the runs that are due by now.
                 reached.running(now.steady_ms);
                 let mut ended = reached.ended().iter();
                 ended.any(|end| end.number > acknowledged)
@@ -217,12 +223,12 @@
             }
         }
         world.scheduler.changes_stored(&changes, now);
-        for id in world.scheduler.take_settled_cancellings(now, 31) {
+        for id in world.scheduler.take_settled_cancellations(now, 31) {
             self.cancelled.remove(&id);
         }
     }
 
-    /// Returns whether anything of a job runs anywhere.
+    /// Returns whether any run of a job is active on any worker.
     pub fn runs(&mut self, number: u64) -> bool {
         let job = id(number).to_string();
         self.world.running().iter().any(|task| task.starts_with(&job))
--- a/crates/dewspar/tests/schedule/readings.rs
+++ b/crates/dewspar/tests/schedule/directory_reads.rs
@@ -1,10 +1,11 @@
-//! A reading of the directory tells what was there when it was asked for.
+//! A read of the directory describes its content at the time of the request.
 //!
-//! Single workers are looked up beside the readings of the whole directory,
-//! which take a small link half a second or more. A reading that was asked for
-//! before a worker was looked up, and answered after it, doesn't know that
-//! worker: where its VM's former worker was still listed, the new one counted
-//! as replaced by the old one, and stayed so for as long as the lease lasted.
+//! Single workers are looked up in addition to reads of the whole directory,
+//! which take half a second or more on a small link. These tests guard against
+//! a read that is requested before such a lookup and answered after it. It
+//! doesn't contain the new worker and may still list the VM's former worker;
+//! the new one then counted as replaced by the old one for the rest of the
+//! lease.
 
 use {
     crate::world::{ROOM, at, id, job, listing, step},
@@ -14,14 +15,14 @@
     dewspar_standin::task_worker::TaskWorker,
 };
 
-/// The entry of a life of the worker on the one VM.
-fn life(name: &str) -> WorkerListing {
+/// Returns the entry of a worker on the only VM.
+fn listing_on_vm(name: &str) -> WorkerListing {
     WorkerListing { vm: "vm-1".to_owned(), ..listing(name) }
 }
 
 fn scheduler() -> Scheduler {
     let mut scheduler = Scheduler::new(7, Options::default());
-    scheduler.list_workers_as_of(1_000, at(1_000), vec![life("old")]);
+    scheduler.list_workers_as_of(1_000, at(1_000), vec![listing_on_vm("old")]);
     scheduler
 }
 
@@ -35,18 +36,18 @@
 }
 
 #[test]
-fn an_older_reading_does_not_end_a_worker_that_was_looked_up_since() {
+fn an_older_read_does_not_end_a_worker_that_was_looked_up_since() {
     let mut scheduler = scheduler();
-    scheduler.list_worker(at(2_000), life("new"));
-    scheduler.list_workers_as_of(1_500, at(2_500), vec![life("old")]);
+    scheduler.list_worker(at(2_000), listing_on_vm("new"));
+    scheduler.list_workers_as_of(1_500, at(2_500), vec![listing_on_vm("old")]);
     assert!(gone(&mut scheduler).is_empty());
-    // The next reading shows which of the two lives.
-    scheduler.list_workers_as_of(3_000, at(3_100), vec![life("new")]);
+    // The next read shows which of the two is alive.
+    scheduler.list_workers_as_of(3_000, at(3_100), vec![listing_on_vm("new")]);
     assert_eq!(gone(&mut scheduler), ["old"]);
 }
 
-/// Plans twice, with every question answered by the one worker, and counts the
-/// starts.
+/// Plans twice, lets the only worker answer each hold, and returns the number
+/// of starts.
 fn starts(
     scheduler: &mut Scheduler,
     worker: &mut TaskWorker,
@@ -68,20 +69,21 @@
 }
 
 #[test]
-fn an_older_reading_does_not_replace_a_newer_entry() {
+fn an_older_read_does_not_replace_a_newer_entry() {
     let mut scheduler = Scheduler::new(7, Options::default());
     let mut worker = TaskWorker::new(ROOM);
-    let draining = WorkerListing { draining: true, ..life("one") };
+    let draining = WorkerListing { draining: true, ..listing_on_vm("one") };
     scheduler.list_worker(at(2_000), draining);
-    scheduler.list_workers_as_of(1_500, at(2_500), vec![life("one")]);
+    scheduler.list_workers_as_of(1_500, at(2_500), vec![listing_on_vm("one")]);
     scheduler.expect_workers(at(2_500), []);
     scheduler.submit(id(1), job(vec![step(1)]), 8, None);
     let mut starts_at = |scheduler: &mut Scheduler, now| {
-        // The first answer also says that it is the holder's now.
+        // The first answer also shows that the worker accepts this holder's
+        // token.
         starts(scheduler, &mut worker, now)
             + starts(scheduler, &mut worker, now)
     };
     assert_eq!(starts_at(&mut scheduler, at(2_500)), 0, "it is draining");
-    scheduler.list_workers_as_of(3_000, at(3_100), vec![life("one")]);
+    scheduler.list_workers_as_of(3_000, at(3_100), vec![listing_on_vm("one")]);
     assert_eq!(starts_at(&mut scheduler, at(3_100)), 1, "it no longer is");
 }
--- a/crates/dewspar/tests/schedule/loading.rs
+++ b/crates/dewspar/tests/schedule/loading.rs
@@ -15,10 +15,10 @@
     std::collections::BTreeMap,
 };
 
-/// What the tasks of job 1 do.
+/// The outcome of the tasks of job 1.
 const WORK: Fate = Fate::done(2_000);
 
-/// A fleet on which a former holder has started two tasks of job 1.
+/// A fleet on which a previous holder has started two tasks of job 1.
 fn world_with_a_running_job(names: &[&str], fate: Fate) -> World {
     let mut world = World::new(7, names);
     world.fate = fate;
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn the_end_of_an_unknown_jobs_run_is_told_again_once_the_job_is_known() {
+fn the_end_of_an_unknown_jobs_run_is_repeated_once_the_job_is_known() {
     let mut world = world_with_a_running_job(&["w1"], WORK);
     // Both end while their job is unknown.
     world.run_for(3_000);
@@ -61,9 +61,9 @@
     assert!(world.starts.is_empty(), "neither ran again: {:?}", world.starts);
 }
 
-// A copy goes on while its job isn't loaded, though another one has done the
-// task. Its end is told again until the job is known, counts once, and starts
-// nothing.
+// A copy keeps running while its job isn't loaded, although another copy has
+// completed the task. Its end is repeated until the job is known, counts once,
+// and starts nothing.
 #[test]
 fn the_end_of_a_copy_whose_task_is_done_is_acknowledged_once() {
     let mut world = World::new(9, &["w1"]);
@@ -114,7 +114,7 @@
 #[test]
 fn the_lease_of_unknown_runs_is_renewed() {
     let mut world = world_with_a_running_job(&["w1"], Fate::endless());
-    // Longer than any lease that the former holder has given.
+    // Longer than any lease that the previous holder has granted.
     world.run_for(20_000);
     assert_eq!(world.running().len(), 2);
 }
@@ -143,7 +143,7 @@
 fn a_loaded_job_waits_while_its_tasks_may_be_among_unknown_runs() {
     let mut world = world_with_a_running_job(&["w1", "w2"], WORK);
     world.run_for(200);
-    // Another job of a former holder, of which nothing runs.
+    // Another job of a previous holder, which has no runs.
     world.scheduler.submit(id(2), job(vec![step(1)]), 5, None);
     world.run_for(300);
     assert!(world.starts.is_empty(), "{:?}", world.starts);
@@ -156,14 +156,14 @@
 }
 
 #[test]
-fn a_cancellation_counts_that_comes_before_its_job() {
+fn a_cancellation_that_comes_before_its_job_counts() {
     let mut world = World::new(9, &["w1"]);
     world.scheduler.begin_loading();
     world.list();
     world.expect_all();
     world.scheduler.cancel(id(1), at(world.now_ms));
     world.scheduler.submit(id(1), job(vec![step(2)]), 5, None);
-    // Not even planned before it is known.
+    // The cancellation isn't applied before loading is complete.
     let phase = world.scheduler.phase(id(1));
     assert_eq!(phase, Some(Phase::Queued));
     world.scheduler.finish_loading(at(world.now_ms));
@@ -215,7 +215,7 @@
     let decisions = world.scheduler.take_decisions();
     let emptied = decisions
         .iter()
-        .any(|decision| matches!(decision, Decision::Emptying { .. }));
+        .any(|decision| matches!(decision, Decision::DrainStarted { .. }));
     assert!(!emptied, "nothing is known of what it runs");
 }
 
@@ -226,15 +226,15 @@
 }
 
 #[test]
-fn lives_that_only_the_list_of_vms_names_are_to_be_looked_up() {
+fn workers_named_only_by_the_vm_list_are_looked_up() {
     let mut world = World::new(9, &["w1"]);
     world.list();
     let new = listing("w9");
     let vms: Vec<_> =
         world.listings.iter().chain([&new]).map(managed).collect();
     world.scheduler.list_vms(at(world.now_ms), world.now_ms, &vms);
-    let unlisted = world.scheduler.unlisted_lives();
+    let unlisted = world.scheduler.unlisted_workers();
     assert_eq!(unlisted, std::slice::from_ref(&new.id));
     world.scheduler.list_worker(at(world.now_ms), new);
-    assert!(world.scheduler.unlisted_lives().is_empty());
+    assert!(world.scheduler.unlisted_workers().is_empty());
 }
--- a/crates/dewspar/tests/schedule/long_running_capacity.rs
+++ b/crates/dewspar/tests/schedule/long_running_capacity.rs
@@ -1,14 +1,18 @@
-//! Two tasks that were to last didn't run for more than ten seconds. Their
-//! pool lacked a few VMs, and every VM that came went to the pool of a queue
-//! in its peak, which lacked hundreds. Besides, pools were sized by processors
-//! alone, though what such tasks lack first is memory, or a worker without
-//! another of their step.
+//! Sizing of pools for long-running tasks.
+//!
+//! Two failures are guarded against. A pool that lacks a few VMs for
+//! long-running tasks gets none while another pool with a backlog of short
+//! tasks lacks hundreds; two such tasks were down for more than ten seconds.
+//! And a pool sized by processors alone is too small for tasks that need
+//! memory, or a worker without another task of their step.
 
 use {
     crate::world::{POOL, World, at, id, job, listing, managed, step},
     dewspar::{
         job::StepSpec,
-        schedule::{ManagedVm, Room, VmOrder, WaveRequest, WorkerListing},
+        schedule::{
+            ManagedVm, Resources, VmOrder, WaveRequest, WorkerListing,
+        },
     },
     dewspar_standin::task_worker::{Fate, TaskWorker},
     std::collections::BTreeMap,
@@ -17,7 +21,7 @@
 const OTHER: &str = "other";
 const OFF: &str = "off";
 
-/// Two pools that have queues, and VMs that are switched off.
+/// Two pools with queues, and VMs that are switched off.
 struct Fleet {
     world: World,
     off: Vec<ManagedVm>,
@@ -52,8 +56,8 @@
         self.world.scheduler.submit(id(number), job, 5 + number, None);
     }
 
-    /// Asks for the maintenance of all VMs that are switched off but so many,
-    /// which are left alone until then.
+    /// Requests the maintenance of all VMs that are switched off but `free`
+    /// ones. They can't be used until then.
     fn await_maintenance_but_for(&mut self, free: usize) {
         let off = self.off.iter().skip(free);
         let request = WaveRequest {
@@ -66,8 +70,8 @@
         self.world.scheduler.request_waves(now, &[request], &none, &[]);
     }
 
-    /// Plans for so long and counts the moves to each pool; VMs that move
-    /// don't come.
+    /// Makes scheduling passes for a while and counts the VM moves to each
+    /// pool. The moved VMs don't arrive.
     fn moves_within(&mut self, ms: u64) -> Moves {
         let end_ms = self.world.now_ms + ms;
         let mut moves = Moves::default();
@@ -92,7 +96,7 @@
     WorkerListing { pool, capacity: ROOM, ..listing }
 }
 
-/// How many VMs were ordered to move to each pool.
+/// The number of VMs ordered to move to each pool.
 #[derive(Debug, Default, Eq, PartialEq)]
 struct Moves {
     here: u32,
@@ -111,48 +115,49 @@
     }
 }
 
-const ROOM: Room = Room { cpu_millis: 4_000, memory_mb: 4_000, gpus: 2 };
+const ROOM: Resources =
+    Resources { cpu_millis: 4_000, memory_mb: 4_000, gpus: 2 };
 
-/// A step of so many tasks that are to last, at most one on a worker.
-fn lasting(count: u32) -> StepSpec {
+/// A step of `count` long-running tasks, at most one on a worker.
+fn long_running(count: u32) -> StepSpec {
     StepSpec { long_running: true, max_per_worker: 1, ..step(count) }
 }
 
-/// A step of so many tasks that are to last and ask for little processor.
-fn hungry(count: u32, memory_mb: u64, gpus: u64) -> StepSpec {
+/// A step of `count` long-running tasks that need little processor.
+fn low_cpu(count: u32, memory_mb: u64, gpus: u64) -> StepSpec {
     let cpu_millis = 100;
-    let long = StepSpec { max_per_worker: 0, ..lasting(count) };
+    let long = StepSpec { max_per_worker: 0, ..long_running(count) };
     StepSpec { cpu_millis, memory_mb, gpus, ..long }
 }
 
 #[test]
-fn a_vm_that_a_lasting_task_lacks_comes_before_those_of_a_peak() {
+fn a_vm_for_a_long_running_task_comes_before_those_for_a_backlog() {
     let mut fleet = Fleet::new(2, 2, 7);
     fleet.await_maintenance_but_for(1);
     fleet.world.fate = Fate::endless();
     fleet.submit(1, OTHER, vec![step(100)]);
-    fleet.submit(2, POOL, vec![lasting(3)]);
+    fleet.submit(2, POOL, vec![long_running(3)]);
     fleet.world.run_for(100);
     let moves = fleet.moves_within(1_000);
     assert_eq!(moves, Moves { here: 1, ..Moves::default() });
 }
 
 #[test]
-fn lasting_tasks_of_one_pool_come_before_short_ones_of_another() {
-    // Its equal share of the six VMs would be three.
+fn long_running_tasks_of_one_pool_come_before_short_ones_of_another() {
+    // An equal share of the six VMs would be three.
     let mut fleet = Fleet::new(2, 4, 0);
     fleet.submit(1, OTHER, vec![step(200)]);
-    fleet.submit(2, POOL, vec![lasting(4)]);
+    fleet.submit(2, POOL, vec![long_running(4)]);
     fleet.world.run_for(100);
     let moves = fleet.moves_within(1_000);
     assert_eq!(moves, Moves { here: 2, ..Moves::default() });
 }
 
 #[test]
-fn a_short_fleet_leaves_each_pool_what_its_lasting_tasks_need() {
+fn a_fleet_short_of_vms_leaves_each_pool_enough_for_long_running_tasks() {
     let mut fleet = Fleet::new(4, 2, 0);
     fleet.world.fate = Fate::endless();
-    fleet.submit(1, POOL, vec![hungry(4, 3_000, 0)]);
+    fleet.submit(1, POOL, vec![low_cpu(4, 3_000, 0)]);
     fleet.world.run_for(500);
     fleet.world.fate = Fate::done(500);
     fleet.submit(2, OTHER, vec![step(200)]);
@@ -161,11 +166,11 @@
 }
 
 #[test]
-fn a_pool_gets_all_vms_at_once_that_its_lasting_tasks_lack() {
+fn a_pool_gets_all_vms_for_its_long_running_tasks_at_once() {
     for (memory_mb, gpus) in [(3_000, 0), (100, 2)] {
         let mut fleet = Fleet::new(2, 2, 6);
         fleet.world.fate = Fate::endless();
-        fleet.submit(1, POOL, vec![hungry(6, memory_mb, gpus)]);
+        fleet.submit(1, POOL, vec![low_cpu(6, memory_mb, gpus)]);
         fleet.world.run_for(100);
         let moves = fleet.moves_within(400);
         assert_eq!(moves, Moves { here: 4, ..Moves::default() });
@@ -173,11 +178,11 @@
 }
 
 #[test]
-fn siblings_apart_are_packed_beside_other_steps_as_they_fit() {
-    // Of each step one fits on a worker, and no two of different steps.
+fn anti_affine_tasks_are_packed_beside_those_of_other_steps() {
+    // A worker holds one task of each step, and never two of different steps.
     let mut fleet = Fleet::new(2, 2, 6);
     fleet.world.fate = Fate::endless();
-    let apart = StepSpec { memory_mb: 2_500, ..lasting(3) };
+    let apart = StepSpec { memory_mb: 2_500, ..long_running(3) };
     fleet.submit(1, POOL, vec![apart.clone(), apart]);
     fleet.world.run_for(100);
     let moves = fleet.moves_within(400);
@@ -185,10 +190,10 @@
 }
 
 #[test]
-fn no_vm_moves_for_lasting_tasks_that_have_a_place() {
+fn no_vm_moves_for_placed_long_running_tasks() {
     let mut fleet = Fleet::new(3, 2, 6);
     fleet.world.fate = Fate::endless();
-    let apart = StepSpec { memory_mb: 1_900, ..lasting(3) };
+    let apart = StepSpec { memory_mb: 1_900, ..long_running(3) };
     fleet.submit(1, POOL, vec![apart.clone(), apart]);
     fleet.world.run_for(300);
     assert_eq!(fleet.world.running().len(), 6);
@@ -196,11 +201,11 @@
 }
 
 #[test]
-fn a_pool_keeps_the_vms_that_its_lasting_tasks_will_need() {
+fn a_pool_keeps_the_vms_that_later_long_running_steps_need() {
     let mut fleet = Fleet::new(6, 2, 0);
     fleet.world.fate = Fate::done(8_000);
     let first = StepSpec { estimate_ms: 8_000, ..step(1) };
-    let then = StepSpec { after: vec![0], ..hungry(4, 3_000, 0) };
+    let then = StepSpec { after: vec![0], ..low_cpu(4, 3_000, 0) };
     fleet.submit(1, POOL, vec![first, then]);
     let moves = fleet.moves_within(7_000);
     assert_eq!(moves, Moves { off: 2, ..Moves::default() });
@@ -210,7 +215,7 @@
 fn a_pool_gets_vms_for_the_memory_of_jobs_that_keep_coming() {
     let mut fleet = Fleet::new(2, 2, 1);
     fleet.world.fate = Fate::done(2_000);
-    // Two jobs a second of 10 task-seconds each keep 20 tasks going.
+    // Two jobs a second of 10 task-seconds each keep 20 tasks running.
     let long = StepSpec {
         cpu_millis: 100,
         memory_mb: 400,
@@ -227,12 +232,12 @@
 }
 
 #[test]
-fn a_pool_that_lacks_little_gets_its_turn_beside_one_that_lacks_much() {
+fn a_pool_short_of_few_vms_is_served_beside_one_short_of_many() {
     let mut fleet = Fleet::new(2, 2, 16);
     fleet.await_maintenance_but_for(8);
     fleet.world.fate = Fate::endless();
     fleet.submit(1, OTHER, vec![step(100)]);
-    // So many that one VM more has room for all.
+    // One additional VM has room for all of them.
     fleet.submit(2, POOL, vec![step(9)]);
     fleet.world.run_for(100);
     let moves = fleet.moves_within(1_000);
--- a/crates/dewspar/tests/schedule/reservation_priority.rs
+++ b/crates/dewspar/tests/schedule/reservation_priority.rs
@@ -1,20 +1,21 @@
-//! Room that is kept for a task that is to last ignored priority: while a task
-//! of a queue that goes last waited for one long run to end, the rest of that
-//! worker stood idle for as long, though tasks of a queue that goes first waited
-//! for it.
+//! Reservations and priorities.
+//!
+//! If reservations ignore priorities, a low-priority task that waits for one
+//! long run to end keeps the rest of that worker idle for as long, although
+//! tasks of a queue with a higher priority are waiting for it.
 
 use {
     crate::{
-        task_moves::lasting,
+        task_moves::long_running,
         world::{ROOM, RunKind, World, id, job, step},
     },
-    dewspar::{job::StepSpec, schedule::Room},
+    dewspar::{job::StepSpec, schedule::Resources},
     dewspar_standin::task_worker::Fate,
 };
 
-/// How long room may stand idle for a task that goes last, and a little more,
+/// How long capacity may be idle for a low-priority task, with a small margin,
 /// in milliseconds.
-const IDLE_MS: u64 = 7_000;
+const MAX_IDLE_MS: u64 = 7_000;
 
 fn submit(
     world: &mut World,
@@ -24,16 +25,17 @@
     priority: u32,
 ) {
     let cpu_millis = spec.cpu_millis;
-    let demand = Room { cpu_millis, ..Room::default() };
+    let demand = Resources { cpu_millis, ..Resources::default() };
     world.kinds.insert(id(number), RunKind { demand, fate });
     let mut job = job(vec![spec]);
     job.terms.priority = priority;
     world.scheduler.submit(id(number), job, number, None);
 }
 
-/// Lets a task of this priority that takes a whole worker wait beside a run of a
-/// minute and a peak of small tasks of priority 1; returns the longest for which
-/// most of the worker was idle within 30 s, in milliseconds.
+/// Lets a task of the given priority that takes a whole worker wait beside a
+/// run of one minute and a load of small tasks of priority 1. Returns the
+/// longest time for which most of the worker was idle within 30 s, in
+/// milliseconds.
 fn longest_idle_ms(priority: u32) -> u64 {
     let mut world = World::new(5, &["w1"]);
     world.list();
@@ -41,7 +43,7 @@
     world.run_for(100);
     submit(&mut world, 10, step(1), Fate::done(60_000), 1);
     world.run_for(100);
-    let whole = StepSpec { cpu_millis: ROOM.cpu_millis, ..lasting() };
+    let whole = StepSpec { cpu_millis: ROOM.cpu_millis, ..long_running() };
     submit(&mut world, 11, whole, Fate::endless(), priority);
     let (mut idle_since_ms, mut longest_ms) = (world.now_ms, 0);
     for number in 100..100 + 30_000 / 50 {
@@ -57,13 +59,16 @@
 }
 
 #[test]
-fn room_for_a_task_that_goes_last_does_not_stand_idle_for_long() {
+fn room_reserved_for_a_low_priority_task_is_not_idle_for_long() {
     let idle_ms = longest_idle_ms(9);
-    assert!(idle_ms <= IDLE_MS, "it stands idle for {idle_ms} ms");
+    assert!(idle_ms <= MAX_IDLE_MS, "capacity was idle for {idle_ms} ms");
 }
 
 #[test]
-fn room_is_kept_on_for_a_task_that_goes_as_early_as_others() {
+fn room_stays_reserved_for_a_task_of_equal_priority() {
     let idle_ms = longest_idle_ms(1);
-    assert!(idle_ms > 2 * IDLE_MS, "it was given up after {idle_ms} ms");
+    assert!(
+        idle_ms > 2 * MAX_IDLE_MS,
+        "the reservation was released after {idle_ms} ms"
+    );
 }
--- a/crates/dewspar/tests/schedule/restarted_workers.rs
+++ b/crates/dewspar/tests/schedule/restarted_workers.rs
@@ -1,38 +1,40 @@
-//! Workers whose processes start again under their identifiers.
+//! Workers whose processes restart under the same identifiers.
 
 use {
     crate::{
-        crashing::{MOST_STARTS, first_task, starts_of},
-        task_moves::look,
+        crashing::{MAX_STARTS, first_task, starts_of},
+        task_moves::plan_round,
         world::{RunKind, World, at, id, job, next_hold, step},
     },
     dewspar::{
         job::StepSpec,
         schedule::{
-            Decision, Held, HoldReport, Incarnation, OrderError, Room,
-            StartOrder, WorkerId,
+            Decision, HoldReport, Incarnation, OrderError, Resources,
+            SentHold, StartOrder, WorkerId,
         },
     },
     dewspar_standin::task_worker::Fate,
     std::collections::BTreeMap,
 };
 
-/// How soon a task runs again once its worker is back, in milliseconds: a
-/// question, one under a new token, a start, and the pauses between them.
-const AGAIN_WITHIN_MS: u64 = 1_000;
+/// The maximum time until a task runs again once its worker is back, in
+/// milliseconds: a hold, a hold under a new token, a start, and the pauses
+/// between them.
+const RERUN_WITHIN_MS: u64 = 1_000;
 
 /// How often the directory is read, in milliseconds.
 const DIRECTORY_MS: u64 = 1_000;
 
-/// How soon a process is used that says that it is older than the one before, in
-/// milliseconds: the longest lease, on a clock that is slow, and a margin.
-const OLDER_USED_WITHIN_MS: u64 = 12_000;
+/// The maximum time until a process is used whose reported start is earlier
+/// than that of the previous one, in milliseconds: the longest lease, on a
+/// slow clock, and a margin.
+const EARLIER_USED_WITHIN_MS: u64 = 12_000;
 
 fn w(name: &str) -> WorkerId {
     WorkerId::new(name)
 }
 
-fn lasting(count: u32) -> StepSpec {
+fn long_step(count: u32) -> StepSpec {
     StepSpec { long_running: true, ..step(count) }
 }
 
@@ -44,8 +46,8 @@
     world
 }
 
-/// Goes on for so long, with the directory read again and again.
-fn go_on(world: &mut World, ms: u64) {
+/// Runs for this long, reading the directory periodically.
+fn run_reading_directory(world: &mut World, ms: u64) {
     let end_ms = world.now_ms + ms;
     while world.now_ms < end_ms {
         world.run_for(50);
@@ -55,7 +57,7 @@
     }
 }
 
-/// Cuts a worker off for so long, and starts it again at the end.
+/// Cuts a worker off for this long, then starts it again.
 fn cut_and_start_again(world: &mut World, name: &str, away_ms: u64) {
     world.cut.push(w(name));
     world.workers.remove(&w(name));
@@ -64,7 +66,7 @@
     world.start_again(&w(name));
 }
 
-/// Goes on until a task runs; returns for how long it didn't.
+/// Runs until a task is running; returns how long that took, in milliseconds.
 fn runs_after_ms(world: &mut World, task: &str, most_ms: u64) -> u64 {
     let from_ms = world.now_ms;
     while !world.running().iter().any(|running| running == task) {
@@ -74,27 +76,29 @@
     world.now_ms - from_ms
 }
 
-// A young process's answers were taken for old ones of the former.
+// Guards against taking a new process's answers for old ones of the former
+// process.
 #[test]
-fn a_lasting_task_runs_again_soon_after_its_worker_started_again() {
+fn a_long_running_task_runs_again_soon_after_its_worker_restarted() {
     for up_ms in [3_000, 12_000, 30_000, 120_000] {
         for away_ms in [0, 500, 2_000, 8_000] {
             let mut world = restarting(&["w1"]);
             world.fate = Fate::endless();
-            world.scheduler.submit(id(1), job(vec![lasting(1)]), 6, None);
+            world.scheduler.submit(id(1), job(vec![long_step(1)]), 6, None);
             world.run_for(up_ms);
             cut_and_start_again(&mut world, "w1", away_ms);
             let task = first_task(id(1)).to_string();
             let after_ms = runs_after_ms(&mut world, &task, 2 * up_ms);
             assert!(
-                after_ms <= AGAIN_WITHIN_MS,
+                after_ms <= RERUN_WITHIN_MS,
                 "up for {up_ms} ms, away for {away_ms} ms: {after_ms} ms"
             );
         }
     }
 }
 
-// Ends numbered as low as the former process's were passed over.
+// Guards against ignoring ends because the former process had used the same
+// numbers.
 #[test]
 fn tasks_done_by_a_restarted_worker_are_not_done_again() {
     let mut world = restarting(&["w1"]);
@@ -114,7 +118,8 @@
     assert!(world.now_ms >= from_ms);
 }
 
-// A failure of a young process didn't count: the job was tried without end.
+// Guards against ignoring the failures of a new process, so that the job is
+// tried without end.
 #[test]
 fn failures_on_a_restarted_worker_count() {
     let mut world = restarting(&["w1", "w2"]);
@@ -130,29 +135,31 @@
     assert_eq!(world.phases[&id(2)], "failed");
 }
 
-// An identifier whose process had ended stayed ended.
+// Guards against an identifier that can't be used again once its process had
+// ended.
 #[test]
 fn a_worker_known_to_have_ended_is_used_again_under_its_identifier() {
     let mut world = restarting(&["w1"]);
     world.fate = Fate::endless();
-    world.scheduler.submit(id(1), job(vec![lasting(1)]), 6, None);
-    go_on(&mut world, 5_000);
+    world.scheduler.submit(id(1), job(vec![long_step(1)]), 6, None);
+    run_reading_directory(&mut world, 5_000);
     world.cut.push(w("w1"));
     world.workers.remove(&w("w1"));
     world.run_for(2_000);
     let reason = "the VM service says that it ended";
     world.scheduler.worker_gone(&w("w1"), reason, at(world.now_ms));
-    // The former process's entry is still there for a while.
-    go_on(&mut world, 2_000);
+    // The former process's entry remains for a while.
+    run_reading_directory(&mut world, 2_000);
     world.cut.clear();
     world.start_again(&w("w1"));
     world.list();
     let task = first_task(id(1)).to_string();
     let after_ms = runs_after_ms(&mut world, &task, 10_000);
-    assert!(after_ms <= AGAIN_WITHIN_MS, "{after_ms} ms");
+    assert!(after_ms <= RERUN_WITHIN_MS, "{after_ms} ms");
 }
 
-// A task that crashed each process of a worker was never blamed.
+// Guards against a task that crashes each process of a worker without being
+// suspected.
 #[test]
 fn a_task_that_crashes_restarted_workers_is_given_up() {
     let mut world = restarting(&["w1", "w2", "w3", "w4"]);
@@ -160,15 +167,16 @@
     let bad = first_task(id(1));
     world.crashing.push(bad);
     world.scheduler.submit(id(1), job(vec![step(1)]), 6, None);
-    go_on(&mut world, 60_000);
+    run_reading_directory(&mut world, 60_000);
     assert_eq!(world.phases.get(&id(1)), Some(&"failed"));
     let starts = starts_of(&world, &bad);
-    assert!(starts <= MOST_STARTS, "started {starts} times");
+    assert!(starts <= MAX_STARTS, "started {starts} times");
 }
 
-// One crash that the entry, an answer and the list of VMs tell of is one.
+// Guards against counting a crash more than once if the directory entry, an
+// answer and the VM list all report it.
 #[test]
-fn a_restart_that_several_sources_tell_of_counts_once() {
+fn a_restart_that_several_sources_report_counts_once() {
     let mut world = restarting(&["w1", "w2"]);
     world.fate = Fate::endless();
     world.scheduler.submit(id(1), job(vec![step(1)]), 6, None);
@@ -187,12 +195,12 @@
     assert_eq!(suspected.collect::<Vec<_>>(), [1]);
 }
 
-// The entry alone told of the new process, and nobody read it.
+// Guards against ignoring a new process that only the directory entry reports.
 #[test]
-fn an_entry_of_a_new_process_gives_its_former_runs_up() {
+fn an_entry_of_a_new_process_ends_the_former_runs() {
     let mut world = restarting(&["w1", "w2"]);
     world.fate = Fate::endless();
-    world.scheduler.submit(id(1), job(vec![lasting(1)]), 6, None);
+    world.scheduler.submit(id(1), job(vec![long_step(1)]), 6, None);
     world.run_for(5_000);
     let on = world.starts[0].0.clone();
     world.cut.push(on.clone());
@@ -200,12 +208,12 @@
     world.list();
     let task = first_task(id(1)).to_string();
     let after_ms = runs_after_ms(&mut world, &task, 30_000);
-    assert!(after_ms <= AGAIN_WITHIN_MS, "{after_ms} ms");
+    assert!(after_ms <= RERUN_WITHIN_MS, "{after_ms} ms");
     assert_eq!(world.starts.len(), 2);
     assert_ne!(world.starts[1].0, on);
 }
 
-/// Loses a start on its way; returns it, with the worker that it was sent to.
+/// Loses a start in transit; returns it, with the worker to which it was sent.
 fn unanswered_start(world: &mut World) -> (WorkerId, StartOrder) {
     world.fate = Fate::endless();
     world.loses_starts = true;
@@ -222,10 +230,10 @@
 }
 
 /// Carries out a start that was sent to a former process.
-fn arrive(world: &mut World, id: &WorkerId, order: &StartOrder) -> bool {
+fn deliver(world: &mut World, id: &WorkerId, order: &StartOrder) -> bool {
     let clock = world.clock_of(id);
-    let demand = Room { cpu_millis: 1_000, ..Room::default() };
-    // OK because the worker was started a moment ago.
+    let demand = Resources { cpu_millis: 1_000, ..Resources::default() };
+    // OK because the worker was just started.
     let worker = world.workers.get_mut(id).expect("started");
     worker.start(clock, order, demand, Fate::endless()).is_ok()
 }
@@ -240,7 +248,8 @@
     }
 }
 
-// The task was started elsewhere while its order could still be carried out.
+// Guards against starting the task elsewhere while its order can still be
+// carried out.
 #[test]
 fn a_late_start_on_a_new_process_doesnt_run_beside_another() {
     for late_ms in [0, 50, 150, 300, 600, 1_500] {
@@ -253,7 +262,7 @@
                 world.list();
             }
             world.run_for(late_ms);
-            arrive(&mut world, &on, &order);
+            deliver(&mut world, &on, &order);
             for _ in 0..100 {
                 world.run_for(50);
                 assert_none_twice(&mut world);
@@ -264,12 +273,12 @@
     }
 }
 
-// What a former process said brought its runs back.
+// Guards against a late report of a former process that brings its runs back.
 #[test]
 fn a_late_answer_of_a_former_process_is_passed_over() {
     let mut world = restarting(&["w1", "w2"]);
     world.fate = Fate::endless();
-    world.scheduler.submit(id(1), job(vec![lasting(1)]), 6, None);
+    world.scheduler.submit(id(1), job(vec![long_step(1)]), 6, None);
     world.run_for(3_000);
     let on = world.starts[0].0.clone();
     let held = next_hold(&mut world, &on);
@@ -287,13 +296,14 @@
     world.run_for(2_000);
     assert_eq!(world.running(), runs);
     assert_eq!(world.starts.len(), 2, "{:?}", world.starts);
-    // An older entry doesn't bring it back either.
+    // An older entry doesn't bring the former process back either.
     world.scheduler.list_workers(at(world.now_ms), entries);
     world.run_for(2_000);
     assert_eq!(world.starts.len(), 2, "{:?}", world.starts);
 }
 
-// A start on record whose worker had started again since counted for nothing.
+// Guards against a recorded start that counts for nothing because its worker
+// has restarted since.
 #[test]
 fn a_start_on_record_is_lost_with_the_process_that_was_told() {
     let names = ["w1", "w2", "w3", "w4", "w5", "w6"];
@@ -310,9 +320,10 @@
     while world.now_ms < end_ms {
         let crashes = world.crashes;
         while world.crashes == crashes && world.now_ms < end_ms {
-            go_on(&mut world, 50);
+            run_reading_directory(&mut world, 50);
         }
-        // One that is lost before it has loaded any job: the worker is back.
+        // This holder is lost before it has loaded any job; meanwhile the
+        // worker comes back.
         world.take_over(revision + 2);
         world.run_for(2_100);
         revision += 4;
@@ -327,15 +338,15 @@
         world.expect_all();
     }
     let starts = starts_of(&world, &bad);
-    assert!(starts <= MOST_STARTS, "started {starts} times");
+    assert!(starts <= MAX_STARTS, "started {starts} times");
     assert_eq!(world.phases.get(&id(1)), Some(&"failed"));
     for sound in [id(2), id(3)] {
         assert_eq!(world.phases[&sound], "completed", "{sound}");
     }
 }
 
-// A crash that a holder had counted was counted again by the next one: the record
-// still named the process that had ended.
+// Guards against a crash that the next holder counts again because the record
+// still names the process that had ended.
 #[test]
 fn a_crash_that_was_counted_is_not_counted_by_the_next_holder() {
     let mut world = restarting(&["w1"]);
@@ -346,7 +357,7 @@
         while world.starts.len() == starts {
             world.run_for(50);
         }
-        // It isn't heard that the order never arrived.
+        // The holder doesn't learn that the order never arrived.
         world.cut.push(w("w1"));
         world.start_again(&w("w1"));
         world.list();
@@ -367,17 +378,17 @@
     assert_eq!(world.stored[&id(1)].tasks[0].crashes, 2);
 }
 
-// An entry or an answer that doesn't say which process it is from, or names an
-// earlier one, changes nothing; the others hold.
+// An entry or an answer that names no process, or an earlier one, changes
+// nothing.
 #[test]
-fn a_process_that_is_not_told_is_none() {
+fn an_unnamed_or_earlier_process_changes_nothing() {
     let mut world = restarting(&["w1", "w2"]);
     world.fate = Fate::endless();
-    world.scheduler.submit(id(1), job(vec![lasting(2)]), 6, None);
-    go_on(&mut world, 3_000);
+    world.scheduler.submit(id(1), job(vec![long_step(2)]), 6, None);
+    run_reading_directory(&mut world, 3_000);
     let starts = world.starts.len();
     let on = world.starts[0].0.clone();
-    let earlier = Incarnation::born_at(1);
+    let earlier = Incarnation::started_at(1);
     for told in [Incarnation::UNKNOWN, earlier] {
         let mut entries = world.listings.clone();
         for entry in &mut entries {
@@ -391,29 +402,30 @@
             HoldReport { incarnation: told, clock_ms, ..Default::default() };
         let now = at(world.now_ms);
         world.scheduler.hold_answered(&on, &held, &report, now);
-        go_on(&mut world, 3_000);
+        run_reading_directory(&mut world, 3_000);
         assert_eq!(world.running().len(), 2, "{told}");
         assert_eq!(world.starts.len(), starts, "{told}");
     }
 }
 
-// A VM's time of day was set back before its worker started again.
+// The VM's wall clock was set back before its worker restarted.
 #[test]
-fn a_process_that_says_it_is_older_is_used_in_the_end() {
+fn a_process_with_an_earlier_start_time_is_used_eventually() {
     let mut world = restarting(&["w1"]);
     world.fate = Fate::endless();
-    world.scheduler.submit(id(1), job(vec![lasting(1)]), 6, None);
-    go_on(&mut world, 3_000);
-    world.start_again_as(&w("w1"), Incarnation::born_at(1));
+    world.scheduler.submit(id(1), job(vec![long_step(1)]), 6, None);
+    run_reading_directory(&mut world, 3_000);
+    world.start_again_as(&w("w1"), Incarnation::started_at(1));
     let task = first_task(id(1)).to_string();
-    let end_ms = world.now_ms + OLDER_USED_WITHIN_MS;
+    let end_ms = world.now_ms + EARLIER_USED_WITHIN_MS;
     while world.now_ms < end_ms && !world.running().contains(&task) {
-        go_on(&mut world, 50);
+        run_reading_directory(&mut world, 50);
     }
     assert_eq!(world.running(), [task]);
 }
 
-// A worker that nobody reached was waited for as if a former holder's runs were there.
+// Guards against waiting for an unreachable restarted worker as if it might
+// run a previous holder's tasks.
 #[test]
 fn inherited_tasks_dont_wait_for_a_restarted_worker() {
     let mut world = restarting(&["w1", "w2"]);
@@ -424,22 +436,23 @@
     world.scheduler.submit(id(1), job(vec![step(1)]), 4, None);
     let task = first_task(id(1)).to_string();
     let after_ms = runs_after_ms(&mut world, &task, 20_000);
-    assert!(after_ms <= AGAIN_WITHIN_MS, "{after_ms} ms");
+    assert!(after_ms <= RERUN_WITHIN_MS, "{after_ms} ms");
 }
 
-// Short tasks took the place of one that was being stopped for it.
+// Guards against short tasks that take the place of a task that is being
+// stopped to take that place.
 #[test]
-fn a_place_stays_kept_on_a_worker_that_started_again() {
+fn a_reservation_survives_a_worker_restart() {
     let mut world = restarting(&["w1", "w2"]);
     world.stops_take_ms = 900;
     world.fate = Fate::endless();
     let large =
-        StepSpec { cpu_millis: 3_000, max_unavailable: 1, ..lasting(1) };
-    let demand = Room { cpu_millis: 3_000, ..Room::default() };
+        StepSpec { cpu_millis: 3_000, max_unavailable: 1, ..long_step(1) };
+    let demand = Resources { cpu_millis: 3_000, ..Resources::default() };
     let kind = RunKind { demand, fate: Fate::endless() };
     world.kinds.insert(id(1), kind);
     world.scheduler.submit(id(1), job(vec![large]), 6, None);
-    // Later than any stop that a former holder may have ordered.
+    // Later than any stop that a previous holder may have ordered.
     world.run_for(3_500);
     let from = world.starts[0].0.clone();
     let to = if from == w("w1") { w("w2") } else { w("w1") };
@@ -449,7 +462,7 @@
     }
     world.list();
     for _ in 0..4 {
-        look(&mut world);
+        plan_round(&mut world);
     }
     world.start_again(&to);
     world.list();
@@ -462,14 +475,15 @@
     assert_eq!((on, order.run), (&to, 2), "{:?}", world.starts);
 }
 
-// An acknowledgement to the former process made the next one forget its ends.
+// Guards against an acknowledgement for the former process that makes the next
+// one forget its ends.
 #[test]
-fn ends_are_heard_before_they_are_acknowledged() {
+fn ends_are_received_before_they_are_acknowledged() {
     let mut world = restarting(&["w1"]);
     world.scheduler.submit(id(1), job(vec![step(4)]), 6, None);
     world.run_for(3_000);
     world.start_again(&w("w1"));
-    // It is done when the first question to the new process arrives.
+    // It is done when the first hold reaches the new process.
     world.fate = Fate::done(0);
     world.scheduler.submit(id(2), job(vec![step(1)]), 7, None);
     world.run_for(3_000);
@@ -477,9 +491,9 @@
     assert_eq!(world.phases[&id(2)], "completed");
 }
 
-/// Asks a worker of which some ends are acknowledged, and starts it again before
-/// the question arrives; the directory tells of that.
-fn question_to_former_process(world: &mut World) -> Held {
+/// Sends a hold to a worker some of whose ends are acknowledged, and restarts
+/// the worker before the hold arrives; the directory lists the new process.
+fn hold_for_former_process(world: &mut World) -> SentHold {
     world.scheduler.submit(id(1), job(vec![step(4)]), 6, None);
     world.run_for(3_000);
     world.fate = Fate::endless();
@@ -492,11 +506,12 @@
     held
 }
 
-// What the former process had acknowledged counted for the next one.
+// Guards against applying the former process's acknowledgements to the next
+// one.
 #[test]
 fn ends_of_a_restarted_worker_are_acknowledged() {
     let mut world = restarting(&["w1"]);
-    let held = question_to_former_process(&mut world);
+    let held = hold_for_former_process(&mut world);
     let next = world.workers.get_mut(&w("w1")).expect("started");
     let report = next.hold(0, held.order()).expect("an answer");
     let now = at(world.now_ms);
@@ -506,11 +521,12 @@
     assert_eq!(world.workers[&w("w1")].ended(), []);
 }
 
-// Questions to the former process that failed made the next one silent.
+// Guards against counting the new process as silent because holds of the
+// former one failed.
 #[test]
-fn failed_questions_to_a_former_process_dont_silence_the_next() {
+fn failed_holds_of_a_former_process_dont_count_for_the_next() {
     let mut world = restarting(&["w1"]);
-    let held = question_to_former_process(&mut world);
+    let held = hold_for_former_process(&mut world);
     world.run_for(1_000);
     let now = at(world.now_ms);
     for _ in 0..2 {
--- a/crates/dewspar/tests/schedule/start_log.rs
+++ b/crates/dewspar/tests/schedule/start_log.rs
@@ -1,8 +1,8 @@
-//! Starts that are put on record together.
+//! Starts that are recorded together.
 
 use {
     crate::{
-        crashing::{MOST_STARTS, first_task, starts_of},
+        crashing::{MAX_STARTS, first_task, starts_of},
         world::{World, at, id, job, step},
     },
     dewspar::{
@@ -13,23 +13,23 @@
 };
 
 /// A world whose holders log starts, and the logs in its store.
-struct Logging {
+struct LoggingWorld {
     world: World,
     logs: Vec<StartLog>,
-    /// How many starts were logged in all.
+    /// The number of starts that were logged in all.
     logged: usize,
 }
 
-impl Logging {
-    fn new(names: &[&str]) -> Logging {
+impl LoggingWorld {
+    fn new(names: &[&str]) -> LoggingWorld {
         let mut world = World::new(5, names);
-        world.scheduler.log_starts();
+        world.scheduler.enable_start_log();
         world.list();
         world.expect_all();
-        Logging { world, logs: Vec::new(), logged: 0 }
+        LoggingWorld { world, logs: Vec::new(), logged: 0 }
     }
 
-    /// Plans once, and stores what changed unless the holder is lost with its
+    /// Plans once, and stores the changes unless the holder is lost with its
     /// starts.
     fn round(&mut self) {
         let starts = self.world.starts.len();
@@ -58,18 +58,18 @@
         }
     }
 
-    /// Lets another holder take over, with nothing left of the workers that have
-    /// crashed.
+    /// Lets another holder take over after the entries of the crashed workers
+    /// have expired.
     fn take_over(&mut self, revision: u64, jobs: &[JobId]) {
         let world = &mut self.world;
         let workers = &world.workers;
         let lives = |worker: &WorkerListing| workers.contains_key(&worker.id);
         world.listings.retain(lives);
         world.take_over(revision);
-        world.scheduler.log_starts();
+        world.scheduler.enable_start_log();
         let logs = std::mem::take(&mut self.logs);
         let starts = logs.iter().flat_map(|log| log.starts().to_vec());
-        world.scheduler.take_logged_starts(starts.collect());
+        world.scheduler.inherit_logged_starts(starts.collect());
         for number in jobs {
             let progress = world.stored.get(number).cloned();
             let accepted = job(vec![step(1)]);
@@ -80,11 +80,11 @@
     }
 }
 
-// Where nothing but the log told of a start, and each holder was lost with one, the
-// next knew of none.
+// Guards against starts that only the log records: if each holder is lost
+// right after a start, the next one must still know of it.
 #[test]
-fn holders_that_are_lost_with_a_start_leave_a_log_of_it() {
-    let mut logging = Logging::new(&["w1", "w2", "w3", "w4", "w5", "w6"]);
+fn a_start_is_logged_before_its_holder_is_lost() {
+    let mut logging = LoggingWorld::new(&["w1", "w2", "w3", "w4", "w5", "w6"]);
     logging.world.lost_with_starts = true;
     let bad = first_task(id(1));
     logging.world.crashing.push(bad);
@@ -105,7 +105,7 @@
         logging.take_over(revision, &jobs);
     }
     let starts = starts_of(&logging.world, &bad);
-    assert!(starts <= MOST_STARTS, "started {starts} times");
+    assert!(starts <= MAX_STARTS, "started {starts} times");
     assert_eq!(logging.world.phases[&id(1)], "failed");
     for sound in [id(2), id(3)] {
         assert_eq!(logging.world.phases[&sound], "completed", "{sound}");
@@ -113,9 +113,9 @@
     assert!(logging.logged > 0);
 }
 
-/// Makes a holder that has taken over with one job whose run goes on.
-fn inherit_and_start() -> Logging {
-    let mut logging = Logging::new(&["w1", "w2"]);
+/// Returns a holder that has taken over with one job, whose run continues.
+fn take_over_and_start() -> LoggingWorld {
+    let mut logging = LoggingWorld::new(&["w1", "w2"]);
     logging.world.fate = Fate::endless();
     logging.take_over(8, &[id(1)]);
     logging.run_for(200);
@@ -123,25 +123,26 @@
     logging
 }
 
-// Each start cost a write of its job's record.
+// Guards against writing the job's record for each start.
 #[test]
 fn a_sound_start_is_logged_and_its_job_not_written_for_it() {
-    let mut logging = inherit_and_start();
+    let mut logging = take_over_and_start();
     assert_eq!(logging.logs.len(), 1);
     assert_eq!(logging.logged, 1);
-    // Its record says that it has begun, and nothing else is written of it.
+    // The job's record says that it has begun; nothing else of it is written.
     logging.run_for(3_000);
     assert_eq!(logging.world.stored[&id(1)].tasks, []);
     assert!(logging.logs.is_empty(), "the run has lived on");
 }
 
-// What a former holder had logged of a job was forgotten with the next record.
+// Guards against losing a previous holder's logged starts with the next write
+// of the job's record.
 #[test]
-fn what_was_logged_is_on_record_with_its_job_before_the_logs_can_go() {
-    let mut logging = inherit_and_start();
+fn inherited_starts_are_stored_with_their_jobs_before_logs_are_deleted() {
+    let mut logging = take_over_and_start();
     let starts = logging.logs[0].starts().to_vec();
     let on = logging.world.starts[0].0.clone();
-    // It isn't heard what became of it.
+    // The outcome of the start stays unknown.
     logging.world.cut.push(on.clone());
     logging.world.stored.clear();
     logging.take_over(10, &[id(1)]);
@@ -154,10 +155,10 @@
     assert_eq!(logged.worker, on.as_str());
 }
 
-// A write that wasn't done left its starts waiting.
+// Guards against starts that wait forever after the write of their log failed.
 #[test]
 fn starts_whose_log_was_not_written_are_logged_again() {
-    let mut logging = Logging::new(&["w1", "w2"]);
+    let mut logging = LoggingWorld::new(&["w1", "w2"]);
     logging.take_over(8, &[id(1)]);
     let mut lost = None;
     while lost.is_none() {
--- a/crates/dewspar/tests/schedule/write_ahead.rs
+++ b/crates/dewspar/tests/schedule/write_ahead.rs
@@ -1,4 +1,4 @@
-//! Starts that are on record before they are ordered.
+//! Starts that are recorded before they are ordered.
 
 use {
     crate::{
@@ -8,19 +8,20 @@
     dewspar::{
         job::{JobId, Phase},
         schedule::{
-            Action, Changes, Decision, Options, Room, Scheduler, WorkerId,
-            WorkerListing,
+            Action, Changes, Decision, Options, Resources, Scheduler,
+            WorkerId, WorkerListing,
         },
     },
     dewspar_standin::task_worker::{Fate, TaskWorker},
     std::collections::{BTreeMap, VecDeque},
 };
 
-/// How long a start waits for its record at most, in milliseconds, and a plan.
+/// The maximum time that a start waits for its record, plus one plan, in
+/// milliseconds.
 const RECORD_WAIT_MS: u64 = 300 + 50;
 
-/// Makes a holder that has just taken over with one job.
-fn inherit(names: &[&str]) -> World {
+/// Returns a holder that has just taken over with one job.
+fn take_over_with_a_job(names: &[&str]) -> World {
     let mut world = World::new(5, names);
     world.take_over(8);
     world.scheduler.submit(id(1), job(vec![step(1)]), 6, None);
@@ -29,7 +30,7 @@
     world
 }
 
-/// Plans for so long, while the store has no answer to anything.
+/// Plans for this long while the store doesn't answer.
 fn run_without_answers(world: &mut World, ms: u64) {
     let end_ms = world.now_ms + ms;
     while world.now_ms < end_ms {
@@ -41,11 +42,11 @@
     }
 }
 
-// A start that had its place and was never ordered counted as one under which its
-// worker had crashed.
+// Guards against counting a crash under a start that had its place but was
+// never ordered.
 #[test]
 fn a_worker_lost_before_a_start_is_on_record_counts_for_nothing() {
-    let mut world = inherit(&["w1"]);
+    let mut world = take_over_with_a_job(&["w1"]);
     run_without_answers(&mut world, 150);
     assert_eq!(world.starts.len(), 0);
     world.crash_vm("vm-of-w1");
@@ -60,10 +61,10 @@
     assert!(!decisions.iter().any(counted), "{decisions:?}");
 }
 
-// Callers waited for as long as the store didn't answer.
+// Guards against callers that wait for as long as the store doesn't answer.
 #[test]
-fn a_start_waits_for_its_record_for_a_moment_only() {
-    let mut world = inherit(&["w1"]);
+fn a_start_waits_for_its_record_for_a_bounded_time() {
+    let mut world = take_over_with_a_job(&["w1"]);
     run_without_answers(&mut world, 200);
     assert_eq!(world.starts.len(), 0);
     run_without_answers(&mut world, RECORD_WAIT_MS);
@@ -72,7 +73,7 @@
 
 #[test]
 fn a_start_that_waits_for_its_record_is_cancelled_with_its_job() {
-    let mut world = inherit(&["w1"]);
+    let mut world = take_over_with_a_job(&["w1"]);
     run_without_answers(&mut world, 150);
     world.scheduler.cancel(id(1), at(world.now_ms));
     world.run_for(2_000);
@@ -80,14 +81,14 @@
     assert_eq!(world.phases[&id(1)], "cancelled");
 }
 
-// Nothing was ordered on a worker that takes one run at a time, its own place being
-// taken for another run.
+// Guards against a start that is never ordered on a worker that takes one run
+// at a time, because its own reserved place looks like another run.
 #[test]
 fn a_start_on_a_worker_that_may_be_at_fault_is_ordered_once_on_record() {
-    let room = Room { cpu_millis: 1_000, memory_mb: 1_000, gpus: 0 };
+    let room = Resources { cpu_millis: 1_000, memory_mb: 1_000, gpus: 0 };
     let mut world = World::with_room(5, &["w1"], room);
     world.take_over(8);
-    let demand = Room { cpu_millis: 1_000, ..Room::default() };
+    let demand = Resources { cpu_millis: 1_000, ..Resources::default() };
     for number in [1, 2] {
         let fails = RunKind { demand, fate: Fate::failed(100) };
         world.kinds.insert(id(number), fails);
@@ -112,9 +113,9 @@
 /// How often the holder plans, in milliseconds.
 const PLAN_MS: u64 = 5;
 
-/// How many writes a second the store takes, how long its answer takes, in
-/// milliseconds, how many the holder has under way, and how many entries one holds
-/// beside the lease's.
+/// The store's writes per second and response time in milliseconds, the
+/// holder's maximum number of writes in flight, and the number of entries per
+/// write beside the lease's.
 const WRITES_A_SECOND: u64 = 400;
 const ANSWER_MS: u64 = 50;
 const MOST_WRITES: usize = 8;
@@ -125,13 +126,13 @@
     if phase.is_final() { 4 } else { 2 }
 }
 
-/// A holder that takes over a peak, with a store that is far away.
+/// A holder that takes over at peak load, with a distant store.
 struct Takeover {
     scheduler: Scheduler,
     workers: BTreeMap<WorkerId, TaskWorker>,
     now_ms: u64,
     starts: u64,
-    /// The starts that went out before their job's record said so.
+    /// The starts that were ordered before their job's record said so.
     starts_not_on_record: u64,
     writes: u64,
     under_way: VecDeque<(u64, Changes)>,
@@ -141,7 +142,7 @@
 impl Takeover {
     fn new() -> Takeover {
         let mut scheduler = Scheduler::new(7, Options::default());
-        let room = Room { cpu_millis: 8_000, memory_mb: 8_000, gpus: 0 };
+        let room = Resources { cpu_millis: 8_000, memory_mb: 8_000, gpus: 0 };
         let listings: Vec<WorkerListing> = (0..WORKERS)
             .map(|number| WorkerListing {
                 capacity: room,
@@ -175,7 +176,7 @@
         let now = at(self.now_ms);
         while self.under_way.front().is_some_and(|(at, _)| *at <= self.now_ms)
         {
-            // OK because it was seen a moment ago.
+            // OK because the queue was just seen to have an entry.
             let (_, changes) = self.under_way.pop_front().expect("a write");
             for (id, progress) in &changes.progress {
                 let told = progress.tasks.iter().map(|t| t.told.clone());
@@ -209,7 +210,8 @@
                     told.iter().any(|told| told == worker.as_str())
                 });
                 self.starts_not_on_record += u64::from(!on_record);
-                let demand = Room { cpu_millis: 1_000, ..Room::default() };
+                let demand =
+                    Resources { cpu_millis: 1_000, ..Resources::default() };
                 // OK because there are only these workers.
                 let at_worker = self.workers.get_mut(&worker).expect("known");
                 let clock_ms = now.steady_ms;
@@ -231,10 +233,11 @@
     }
 }
 
-// Starts that wait for their records held a takeover up: 96 in the first second
-// where 4,251 had gone out before.
+// Guards against a takeover that is delayed by starts that wait for their
+// records: 96 starts were ordered in the first second, against 4,251 without
+// records.
 #[test]
-fn a_takeover_at_size_is_not_held_up_by_its_records() {
+fn a_large_takeover_is_not_delayed_by_its_records() {
     let mut takeover = Takeover::new();
     while takeover.now_ms < 2_000 {
         takeover.plan();
--- a/crates/dewspard/src/jobs/feeds.rs
+++ b/crates/dewspard/src/jobs/feeds.rs
@@ -1,6 +1,6 @@
 /*!
-What the holder is told without asking: changes of the feed, the directory of
-workers, the list of VMs, and renewals of its lease.
+Background tasks that feed the holder with events: the watch of the feed, polls
+of the directory of workers and of the list of VMs, and renewals of the lease.
 */
 
 use {
@@ -8,7 +8,7 @@
         election::HeldLease,
         event::{Event, EventSender},
         keys,
-        progress::{FeedEvent, load_feed, read_event},
+        progress::{FeedEvent, load_feed, parse_event},
         settings::Machine,
         worker_lookups::LookupOutcome,
     },
@@ -27,34 +27,35 @@
     tokio::time::sleep,
 };
 
-/// How often the directory of workers is read: it takes 300 bytes a worker,
-/// and new lives are looked up one by one meanwhile. What changes otherwise,
-/// such as that a worker drains, may be known so much later; from 2 s on the
-/// directory counts as not read for a while.
-const DIRECTORY_PACE: PollPace =
+/// The pace of reads of the directory of workers. A read takes 300 bytes for
+/// each worker, and new workers are looked up individually in between. Other
+/// changes, such as that a worker drains, are noticed with this delay; from 2
+/// s on the directory counts as out of date.
+const DIRECTORY_POLL_PACE: PollPace =
     PollPace { least_ms: 250, most_ms: 1_500, share_percent: 5 };
 
-/// How often the list of VMs is read: it takes 190 bytes a VM. What is
-/// ordered of VMs needs one that isn't older than 2 s.
-const VM_PACE: PollPace =
+/// The pace of reads of the list of VMs. A read takes 190 bytes for each VM.
+/// Orders to the VM service need a list that isn't older than 2 s.
+const VM_POLL_PACE: PollPace =
     PollPace { least_ms: 500, most_ms: 1_200, share_percent: 5 };
 
-/// The share of the lease after which it is renewed.
-const RENEWALS_A_LEASE: u64 = 4;
+/// The number of renewals within the duration of the lease.
+const RENEWALS_PER_LEASE: u64 = 4;
 
-/// How often it is checked whether the feed has gone silent: a watch may hear
-/// nothing for a second before it fails, which is longer than a quick job may
-/// wait.
-const SILENCE_CHECK: Duration = Duration::from_millis(200);
+/// The interval of checks whether the feed's watch is silent, that is, whether
+/// it misses changes without failing. A broken watch may take a second to
+/// fail, which is longer than a quick job may wait.
+const SILENCE_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// How far the feed may be behind what the store has, in time: some answers
-/// of a slow store.
+/// How long the feed may lag behind the store before it counts as silent: a
+/// few round trips of a slow store.
 const SILENCE_GRACE: Duration = Duration::from_millis(100);
 
-/// The pause after a call to the store that gave no result.
-const RETRY: Duration = Duration::from_millis(100);
+/// The delay before a failed call to the store is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// What a node's readings cost it.
+/// The means to measure the cost of a node's reads: its machine and its
+/// network traffic.
 #[derive(Clone, Debug)]
 pub(super) struct PollCost {
     pub(super) machine: Machine,
@@ -62,10 +63,10 @@
 }
 
 impl PollCost {
-    /// Begins a reading whose calls count for this purpose.
+    /// Begins a read whose calls are counted under this purpose.
     fn begin(&self, purpose: Purpose) -> Poll<'_> {
         let received = self.received(purpose);
-        Poll { cost: self, purpose, received, asked_ms: clock::now_ms() }
+        Poll { cost: self, purpose, received, requested_ms: clock::now_ms() }
     }
 
     fn received(&self, purpose: Purpose) -> u64 {
@@ -73,76 +74,76 @@
     }
 }
 
-/// A reading under way.
+/// A read in progress.
 struct Poll<'a> {
     cost: &'a PollCost,
     purpose: Purpose,
-    /// What was received for its purpose before.
+    /// The bytes that were received for its purpose before it began.
     received: u64,
-    asked_ms: u64,
+    requested_ms: u64,
 }
 
 impl Poll<'_> {
-    /// Pauses as long as its cost asks for.
+    /// Pauses for as long as the pace requires after a read of this cost.
     async fn pause(self, pace: PollPace) {
         let bytes = self.cost.received(self.purpose) - self.received;
         let cost_ms = self.cost.machine.list_read_ms(bytes);
-        let took_ms = clock::now_ms().saturating_sub(self.asked_ms);
+        let took_ms = clock::now_ms().saturating_sub(self.requested_ms);
         sleep(Duration::from_millis(pace.pause_ms(cost_ms, took_ms))).await;
     }
 }
 
-/// Reads the list of VMs again and again.
-pub(super) async fn read_vms<F: Fleet>(
+/// Polls the list of VMs until the holder stops.
+pub(super) async fn poll_vms<F: Fleet>(
     fleet: F,
     cost: PollCost,
     sender: EventSender,
 ) {
     loop {
-        let reading = cost.begin(Purpose::Vms);
-        let asked_ms = reading.asked_ms;
+        let poll = cost.begin(Purpose::Vms);
+        let requested_ms = poll.requested_ms;
         match fleet.vms().await {
             Ok(vms) => {
-                let event = Event::VmsRead { asked_ms, vms };
+                let event = Event::VmsRead { requested_ms, vms };
                 if sender.send(event).await.is_err() {
                     return;
                 }
             }
             Err(error) => counters::platform_failure(&error),
         }
-        reading.pause(VM_PACE).await;
+        poll.pause(VM_POLL_PACE).await;
     }
 }
 
 /// Reports every change of the feed, in the store's order.
 ///
-/// A watch that fails or falls silent is followed by another that goes on
-/// from where it stood: a whole reading takes some 2 kB for each open job, and
-/// most of all when many are open, which is when it is needed least.
+/// A watch that fails or is silent is replaced by one that resumes at the last
+/// version. A full read is avoided because it takes some 2 kB for each open
+/// job, and so costs most when many jobs are open and the load is highest.
 pub(super) async fn follow_feed<K: KeyValue>(
     store: K,
     version: u64,
     sender: EventSender,
     log: Logger,
 ) {
-    let heard = SharedFeedProgress::new(version);
-    let mut silent_at = None;
+    let progress = SharedFeedProgress::new(version);
+    let mut last_silent_version = None;
     loop {
         let next = tokio::select! {
-            error = watch_feed(&store, &heard, &sender, &log) => {
+            error = watch_feed(&store, &progress, &sender, &log) => {
                 counters::platform_failure(&error);
                 info!(log, "holder: feed interrupted";
-                    "version" => heard.version(), "error" => %error);
-                sleep(RETRY).await;
+                    "version" => progress.version(), "error" => %error);
+                sleep(RETRY_DELAY).await;
                 after_failure(&error)
             }
-            newest = silence(&store, &heard, &sender) => {
+            newest = wait_for_silence(&store, &progress, &sender) => {
                 counters::count(counters::SILENT_FEEDS);
-                let version = heard.version();
+                let version = progress.version();
                 info!(log, "holder: feed silent";
                     "version" => version, "newest" => newest);
-                let was_silent_at = silent_at.replace(version);
-                after_silence(version, was_silent_at)
+                let previous = last_silent_version.replace(version);
+                after_silence(version, previous)
             }
         };
         match next {
@@ -155,22 +156,22 @@
                     if sender.send(Event::Feed(feed)).await.is_err() {
                         return;
                     }
-                    heard.note(read_at);
+                    progress.advance(read_at);
                     break;
                 }
                 Err(error) => counters::platform_failure(&error),
             }
-            sleep(RETRY).await;
+            sleep(RETRY_DELAY).await;
         }
     }
 }
 
-/// How the feed is read once a watch of it has ended.
+/// How the feed is read after a watch of it has ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum FeedResume {
-    /// By another watch, from where the last one stood.
+    /// By another watch that resumes at the last version.
     Watch,
-    /// As a whole.
+    /// By a full read.
     FullRead,
 }
 
@@ -181,27 +182,27 @@
     }
 }
 
-/// A watch that took the place of a silent one and heard nothing either won't
-/// be helped by a third.
-fn after_silence(version: u64, was_silent_at: Option<u64>) -> FeedResume {
-    if was_silent_at == Some(version) {
+/// Chooses a full read if a new watch was silent at the same version as the
+/// one that it replaced: a third watch wouldn't help either.
+fn after_silence(version: u64, previous: Option<u64>) -> FeedResume {
+    if previous == Some(version) {
         FeedResume::FullRead
     } else {
         FeedResume::Watch
     }
 }
 
-/// Returns once the store has accepted a job of which the feed doesn't tell,
-/// with the version at which it did; until then it reports when the feed was
-/// current.
-async fn silence<K: KeyValue>(
+/// Waits until the feed has missed a job that was accepted, and returns the
+/// version at which that was stored. Until then, reports the times up to which
+/// the feed is current.
+async fn wait_for_silence<K: KeyValue>(
     store: &K,
-    heard: &SharedFeedProgress,
+    progress: &SharedFeedProgress,
     sender: &EventSender,
 ) -> u64 {
     loop {
-        sleep(SILENCE_CHECK).await;
-        let asked_ms = clock::now_ms();
+        sleep(SILENCE_CHECK_INTERVAL).await;
+        let requested_ms = clock::now_ms();
         let newest = match store.version(keys::ACCEPTED_LAST).await {
             Ok(newest) => newest,
             Err(error) => {
@@ -209,14 +210,14 @@
                 continue;
             }
         };
-        if newest > heard.version() {
+        if newest > progress.version() {
             sleep(SILENCE_GRACE).await;
         }
-        match heard.judge(newest, asked_ms) {
+        match progress.state(newest, requested_ms) {
             FeedState::Current => {
-                // Behind what the feed has told, in the same channel. A holder
-                // that is gone ends this task.
-                let _ = sender.send(Event::FeedCurrent { asked_ms }).await;
+                // Queued after the feed's events in the same channel. If the
+                // holder has stopped, this task is aborted.
+                let _ = sender.send(Event::FeedCurrent { requested_ms }).await;
             }
             FeedState::Behind => {}
             FeedState::Silent => return newest,
@@ -224,8 +225,8 @@
     }
 }
 
-/// Up to where and when the feed was heard; the tasks that watch it and look
-/// for silence share it.
+/// The version and time of the last change received from the feed, shared by
+/// the watch and the check for silence.
 #[derive(Debug)]
 struct SharedFeedProgress(Mutex<FeedProgress>);
 
@@ -236,7 +237,7 @@
     }
 
     fn progress(&self) -> MutexGuard<'_, FeedProgress> {
-        // OK after a panic: each change of it is whole.
+        // OK after a panic: each update of it is complete.
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -244,22 +245,22 @@
         self.progress().version()
     }
 
-    fn note(&self, version: u64) {
+    fn advance(&self, version: u64) {
         self.progress().heard(version, clock::now_ms());
     }
 
-    fn judge(&self, newest: u64, asked_ms: u64) -> FeedState {
-        self.progress().judge(newest, asked_ms)
+    fn state(&self, newest: u64, requested_ms: u64) -> FeedState {
+        self.progress().judge(newest, requested_ms)
     }
 }
 
 async fn watch_feed<K: KeyValue>(
     store: &K,
-    heard: &SharedFeedProgress,
+    progress: &SharedFeedProgress,
     sender: &EventSender,
     log: &Logger,
 ) -> Error {
-    let from = heard.version();
+    let from = progress.version();
     let mut watch = match store.watch(keys::FEED, from).await {
         Ok(watch) => watch,
         Err(error) => return error,
@@ -272,25 +273,25 @@
         let feed: Vec<FeedEvent> = batch
             .events
             .iter()
-            .filter_map(|event| read_event(event, log))
+            .filter_map(|event| parse_event(event, log))
             .collect();
         if !feed.is_empty() {
-            // A holder that is gone ends this task.
+            // If the holder has stopped, this task is aborted.
             let _ = sender.send(Event::Feed(feed)).await;
         }
-        // Not before it is on its way: who finds the feed current says so in
-        // the same channel.
-        heard.note(batch.version);
+        // Only after the events are queued: the check for silence reports the
+        // feed as current in the same channel, which must come after them.
+        progress.advance(batch.version);
     }
 }
 
-/// Renews the lease, a few times within its length.
-pub(super) async fn renew<K: KeyValue>(
+/// Renews the lease several times within its duration, until the holder stops.
+pub(super) async fn renew_lease<K: KeyValue>(
     store: K,
     held: HeldLease,
     sender: EventSender,
 ) {
-    let pause = Duration::from_millis(held.lease_ms / RENEWALS_A_LEASE);
+    let pause = Duration::from_millis(held.lease_ms / RENEWALS_PER_LEASE);
     loop {
         sleep(pause).await;
         let sent_ms = clock::now_ms();
@@ -308,44 +309,44 @@
     }
 }
 
-/// Reads the directory of workers again and again.
-pub(super) async fn read_directory<F: Fleet>(
+/// Polls the directory of workers until the holder stops.
+pub(super) async fn poll_directory<F: Fleet>(
     fleet: F,
     cost: PollCost,
     sender: EventSender,
 ) {
     loop {
-        let reading = cost.begin(Purpose::Directory);
+        let poll = cost.begin(Purpose::Directory);
         match fleet.workers().await {
             Ok(listings) => {
-                let asked_ms = reading.asked_ms;
-                let event = Event::DirectoryRead { asked_ms, listings };
+                let requested_ms = poll.requested_ms;
+                let event = Event::DirectoryRead { requested_ms, listings };
                 if sender.send(event).await.is_err() {
                     return;
                 }
             }
             Err(error) => counters::platform_failure(&error),
         }
-        reading.pause(DIRECTORY_PACE).await;
+        poll.pause(DIRECTORY_POLL_PACE).await;
     }
 }
 
 /// Looks a worker up in the directory.
-pub(super) async fn look_up<F: Fleet>(
+pub(super) async fn look_up_worker<F: Fleet>(
     fleet: &F,
     id: &WorkerId,
     sender: &EventSender,
 ) -> LookupOutcome {
-    let asked_ms = clock::now_ms();
+    let requested_ms = clock::now_ms();
     match fleet.worker(id).await {
         Ok(Some(listing)) => {
-            let event = Event::WorkerFound { asked_ms, listing };
-            // A holder that is gone has no use for it.
+            let event = Event::WorkerFound { requested_ms, listing };
+            // If the holder has stopped, the result isn't needed.
             let _ = sender.send(event).await;
             LookupOutcome::Done
         }
         Ok(None) if sender.is_closed() => LookupOutcome::Done,
-        // It has gone again, or it enters itself in a moment.
+        // It has ended already, or it will register soon.
         Ok(None) => LookupOutcome::Retry,
         Err(error) => {
             counters::platform_failure(&error);
--- a/crates/dewspard/src/jobs/intake.rs
+++ b/crates/dewspard/src/jobs/intake.rs
@@ -1,11 +1,11 @@
 /*!
-What the holder makes of the feed and of the list of VMs: jobs that are new,
-cancelled or over, and who else would like to schedule.
+How the holder processes the feed and the list of VMs: accepted, cancelled and
+finished jobs, and requests of other nodes for the lease.
 */
 
 use {
     super::{
-        holder::{Holder, json, now},
+        holder::{Holder, now, to_json},
         progress::FeedEvent,
         takeover::LoadedJobs,
     },
@@ -19,68 +19,69 @@
     std::collections::BTreeMap,
 };
 
-/// Where news of jobs comes from.
+/// Where an event about a job comes from.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum FeedOrigin {
-    /// The feed, which doesn't tell how far jobs have come.
+    /// The feed, which has no progress of jobs.
     Feed,
-    /// What was loaded, with the progress of each job.
+    /// The jobs loaded at takeover, with the progress of each.
     Loaded,
 }
 
 impl<K: KeyValue, W: JobWorkers, F: Fleet> Holder<'_, K, W, F> {
-    /// Takes in what the feed tells, or what was loaded of it.
-    pub(super) fn take_feed(
+    /// Applies events of the feed, or jobs that were loaded from it.
+    pub(super) fn apply_feed(
         &mut self,
         feed: Vec<FeedEvent>,
         origin: FeedOrigin,
     ) {
         for event in feed {
             match event {
-                // All of it may have been done: it isn't run again.
+                // Its tasks may all be done, so it isn't run again.
                 FeedEvent::Accepted { id, .. }
                     if self.unreadable.contains(&id) => {}
                 FeedEvent::Accepted { id, job, revision } => {
-                    // A whole reading of the feed doesn't tell how far a job
-                    // has come under former holders.
+                    // A full read of the feed lacks the progress that a job
+                    // made under former holders; the loading brings both.
                     if origin == FeedOrigin::Feed
                         && self.scheduler.is_loading()
                         && revision < self.held.revision
                     {
                         continue;
                     }
-                    self.note_taken_in(id, &job, revision);
-                    let progress = self.restored.remove(&id);
+                    self.log_accepted_job(id, &job, revision);
+                    let progress = self.loaded_progress.remove(&id);
                     let progress = progress.as_ref();
                     self.scheduler.submit(id, *job, revision, progress);
-                    self.take_in_ends(id);
+                    self.apply_deferred_ends(id);
                 }
-                FeedEvent::Unreadable(id) => self.leave_unread(id),
+                FeedEvent::Unreadable(id) => self.skip_unreadable(id),
                 FeedEvent::Cancelled(id) => self.scheduler.cancel(id, now()),
                 FeedEvent::Claimed(claim) => {
-                    self.claimed |= self.candidate.is_much_weaker_than(&claim);
+                    self.is_claimed |=
+                        self.candidate.is_much_weaker_than(&claim);
                 }
                 FeedEvent::LeaseChanged { revision } => {
                     if revision > self.held.revision {
-                        self.lost = Some("the lease's key has changed");
+                        self.lost_reason = Some("the lease's key has changed");
                     }
                 }
             }
         }
     }
 
-    /// Takes in jobs that former holders left.
-    pub(super) fn take_loaded(&mut self, jobs: LoadedJobs) {
+    /// Applies jobs that former holders left in the store.
+    pub(super) fn apply_loaded_jobs(&mut self, jobs: LoadedJobs) {
         for (id, version) in &jobs.versions {
             self.versions.note_loaded(*id, *version);
         }
         for id in jobs.unreadable {
-            self.leave_unread(id);
+            self.skip_unreadable(id);
         }
-        self.restored = jobs.progress;
-        self.take_feed(jobs.feed, FeedOrigin::Loaded);
-        // Jobs that are over have no entry in the feed any more.
-        let left = std::mem::take(&mut self.restored);
+        self.loaded_progress = jobs.progress;
+        self.apply_feed(jobs.feed, FeedOrigin::Loaded);
+        // Finished jobs no longer have an entry in the feed.
+        let left = std::mem::take(&mut self.loaded_progress);
         let over = left.iter().filter(|(_, p)| p.phase.is_final());
         for (id, progress) in over {
             let job = AcceptedJob::default();
@@ -88,8 +89,8 @@
         }
     }
 
-    /// Logs what a job asks for, and how old the news of it is.
-    fn note_taken_in(&self, id: JobId, job: &AcceptedJob, revision: u64) {
+    /// Logs what a job requests, and the time since it was accepted.
+    fn log_accepted_job(&self, id: JobId, job: &AcceptedJob, revision: u64) {
         let age_ms = clock::unix_ms().saturating_sub(job.accepted_at_ms);
         let steps = &job.spec.steps;
         let tasks: u32 = steps.iter().map(|step| step.count).sum();
@@ -104,22 +105,22 @@
             "stretch" => job.terms.stretch);
     }
 
-    /// Logs how many VMs each pool has, when that has changed.
-    pub(super) fn note_pools(&mut self, vms: &[ManagedVm]) {
+    /// Logs the number of VMs of each pool by state, if it has changed.
+    pub(super) fn log_pool_changes(&mut self, vms: &[ManagedVm]) {
         let mut pools: BTreeMap<String, BTreeMap<&'static str, u32>> =
             BTreeMap::new();
         for vm in vms {
             let pool = pools.entry(vm.pool.clone()).or_default();
-            *pool.entry(vm.life.name()).or_default() += 1;
+            *pool.entry(vm.status.name()).or_default() += 1;
         }
-        if pools != self.pools {
+        if pools != self.pool_vms {
             let capacities = vms.iter().map(|vm| vm.capacity.cpu_millis);
             let reading = self.candidate.reader.borrow();
             let free = reading.intent.queues.as_ref().map(|q| q.free_pools());
-            info!(self.candidate.log, "vms: listed"; "pools" => json(&pools),
-                "free_pools" => json(&free),
+            info!(self.candidate.log, "vms: listed";
+                "pools" => to_json(&pools), "free_pools" => to_json(&free),
                 "vm_cpu_millis" => capacities.max());
-            self.pools = pools;
+            self.pool_vms = pools;
         }
     }
 }
--- a/crates/dewspard/src/jobs/orders.rs
+++ b/crates/dewspard/src/jobs/orders.rs
@@ -1,10 +1,11 @@
 /*!
-Carrying out what the scheduler decides: one task for each order.
+Execution of the scheduler's orders to workers: one task for each order.
 
-An order is sent by the lease as the holder knew it when it decided. If the VM
-is suspended before the order goes out, another node may hold the lease by then:
-the order isn't sent, which its result says. The clocks are read once for each
-order, for when it was sent as well: a busy holder sends thousands a second.
+An order is valid under the lease as the holder knew it when it planned. If the
+VM is suspended before the order is sent, another node may hold the lease by
+then. In that case the order isn't sent, and its result is
+[`OrderError::NotSent`]. The clocks are read only once for each order, which
+also gives its time of sending, because a busy holder sends thousands a second.
 */
 
 use {
@@ -20,53 +21,54 @@
 
 /// Sends an order and reports its result as an event.
 ///
-/// `decided` is what was known of suspensions when the order was decided on.
+/// `suspensions` are those known when the order was planned.
 pub(super) fn send<W: JobWorkers, F: Fleet>(
     workers: &W,
     fleet: &F,
     action: Action,
-    decided: Suspensions,
+    suspensions: Suspensions,
     events: &EventSender,
 ) {
     let (workers, fleet) = (workers.clone(), fleet.clone());
     let events = events.clone();
     tokio::spawn(async move {
-        let event = carry_out(&workers, &fleet, action, decided).await;
-        // A holder that is gone has no use for it.
+        let event = execute(&workers, &fleet, action, suspensions).await;
+        // If the holder has stopped, the result isn't needed.
         let _ = events.send(event).await;
     });
 }
 
-async fn carry_out<W: JobWorkers, F: Fleet>(
+async fn execute<W: JobWorkers, F: Fleet>(
     workers: &W,
     fleet: &F,
     action: Action,
-    decided: Suspensions,
+    suspensions: Suspensions,
 ) -> Event {
-    let reading = clock::read();
-    let outdated = is_outdated(decided, reading);
+    let time = clock::read();
+    let outdated = is_outdated(suspensions, time);
     match action {
         Action::Start { worker, address, order } => {
             let sending = workers.start(&address, &worker, &order);
-            let result = unless(outdated, sending).await;
-            let took_ms = clock::now_ms().saturating_sub(reading.now_ms);
-            count("start", result.as_ref().err());
+            let result = send_unless(outdated, sending).await;
+            let took_ms = clock::now_ms().saturating_sub(time.now_ms);
+            count_order("start", result.as_ref().err());
             let (task, run) = (order.task, order.run);
             Event::StartAnswered { worker, task, run, took_ms, result }
         }
         Action::Stop { worker, address, order } => {
             let sending = workers.stop(&address, &worker, &order);
-            let result = unless(outdated, sending).await;
-            count("stop", result.as_ref().err());
+            let result = send_unless(outdated, sending).await;
+            count_order("stop", result.as_ref().err());
             Event::StopAnswered { worker, task: order.task, result }
         }
         Action::Hold { worker, address, held } => {
             let sending = workers.hold(&address, &worker, held.order());
-            let result = unless(outdated, sending).await;
-            count("hold", result.as_ref().err());
+            let result = send_unless(outdated, sending).await;
+            count_order("hold", result.as_ref().err());
             Event::HoldAnswered { worker, held, result }
         }
-        // It orders nothing, and its answer counts from when it was decided on.
+        // Sent even if outdated: it changes nothing, and its answer counts as
+        // of when it was planned.
         Action::Advise { step, workers, asked_ms } => {
             let answer = fleet.advise(&step, &workers).await;
             if let Err(error) = &answer {
@@ -76,22 +78,28 @@
         }
         Action::Pace { worker, address, order } => {
             let sending = workers.pace(&address, &worker, &order);
-            let result = unless(outdated, sending).await;
-            count("pace", result.as_ref().err());
+            let result = send_unless(outdated, sending).await;
+            count_order("pace", result.as_ref().err());
             Event::PaceAnswered { worker, order, result }
         }
     }
 }
 
-/// Returns whether this VM was suspended since an order was decided on.
+/// Returns whether this VM was suspended since an order was planned.
 ///
-/// Workers refuse such an order by its token only where another holder has been.
-fn is_outdated(mut decided: Suspensions, reading: Reading) -> bool {
-    decided.noticed_ms(reading.suspended_ms).is_some()
+/// Workers refuse such an order by its fencing token only if another holder
+/// has already contacted them.
+fn is_outdated(mut suspensions: Suspensions, time: Reading) -> bool {
+    suspensions.noticed_ms(time.suspended_ms).is_some()
 }
 
 /// Sends an order, unless it is outdated.
-async fn unless<T>(
+///
+/// # Errors
+///
+/// [`OrderError::NotSent`] for an outdated order, otherwise the error of the
+/// call.
+async fn send_unless<T>(
     outdated: bool,
     sending: impl Future<Output = Result<T, OrderError>>,
 ) -> Result<T, OrderError> {
@@ -101,7 +109,7 @@
     sending.await
 }
 
-fn count(order: &'static str, error: Option<&OrderError>) {
+fn count_order(order: &'static str, error: Option<&OrderError>) {
     let result = error.map_or("done", |error| error.name());
     metrics::counter!(
         counters::ORDERS, "order" => order, "result" => result
--- a/crates/dewspard/src/jobs/start_logs.rs
+++ b/crates/dewspard/src/jobs/start_logs.rs
@@ -1,11 +1,12 @@
 /*!
-Logs of starts, as they lie in the store (see [`dewspar::schedule`]'s `start_log`).
+Storage of start logs: write-ahead logs of the tasks that are about to be
+started (see [`dewspar::schedule`]'s `start_log`).
 
-Each has a key of its own under the revision of its holder's lease, so that what
-two holders have logged can't be mixed up, and a write that is done late replaces
-nothing. They are read before the jobs, and deleted once nobody needs them: this
-lease's as soon as their starts are settled, those of former ones once the jobs'
-records hold what they say.
+Each log has its own key under the revision of its holder's lease, so that logs
+of two holders can't be mixed up, and a delayed write replaces nothing. Logs
+are read before the jobs. Those of this lease are deleted as soon as their
+starts are settled, those of former leases once the jobs' records include their
+starts.
 */
 
 use {
@@ -23,36 +24,42 @@
     slog::{Logger, info, warn},
 };
 
-/// How many logs may be written at once: a store whose answers take 50 ms still
-/// takes what is planned every 15 ms.
-const MAX_WRITES: usize = 4;
+/// The maximum number of writes in flight: with this, a store with a latency
+/// of 50 ms keeps up with a plan every 15 ms.
+const MAX_WRITES_IN_FLIGHT: usize = 4;
 
-/// The pause after a write that wasn't done, in milliseconds.
-const RETRY_MS: u64 = 50;
+/// The delay before a failed write is retried, in milliseconds.
+const RETRY_DELAY_MS: u64 = 50;
 
-/// How many logs are deleted at once: the store takes 32 entries, and one is the
-/// lease's condition.
-const DELETED_A_WRITE: usize = 31;
+/// The maximum number of logs that one write deletes: the store accepts 32
+/// entries, and one is the condition on the lease.
+const MAX_DELETIONS_PER_WRITE: usize = 31;
 
-/// What former holders have logged.
+/// The start logs of former holders.
 #[derive(Debug, Default)]
 pub(super) struct LoadedStartLogs {
     starts: Vec<LoggedStart>,
-    /// The keys of their logs.
+    /// The keys of the logs.
     keys: Vec<String>,
 }
 
-/// The writes of this holder's logs, and which of former holders are left.
+/// The state of this holder's writes of logs.
 #[derive(Debug, Default)]
 pub(super) struct StartLogWrites {
-    under_way: usize,
-    /// From when the next write may begin.
-    write_from_ms: u64,
-    former: Vec<String>,
+    /// The number of writes in flight.
+    in_flight: usize,
+    /// The earliest time of the next write.
+    next_write_ms: u64,
+    /// The keys of former holders' logs that aren't deleted yet.
+    former_keys: Vec<String>,
 }
 
-/// Reads what former holders have logged; a start that can't be read is passed
-/// over.
+/// Reads the start logs of former holders; an unreadable start is logged and
+/// skipped, without affecting the others of its log.
+///
+/// # Errors
+///
+/// An error of the store.
 pub(super) async fn load_starts<K: KeyValue>(
     store: &K,
     log: &Logger,
@@ -67,7 +74,7 @@
 }
 
 fn read_starts(item: &Versioned, log: &Logger) -> Vec<LoggedStart> {
-    let pass_over = |error: &serde_json::Error| {
+    let log_skipped = |error: &serde_json::Error| {
         passed_over::record(
             log,
             "logged start",
@@ -79,31 +86,31 @@
     let rows: Vec<Value> = match serde_json::from_slice(&item.value) {
         Ok(rows) => rows,
         Err(error) => {
-            pass_over(&error);
+            log_skipped(&error);
             return Vec::new();
         }
     };
-    let read = |row| serde_json::from_value(row).inspect_err(pass_over).ok();
+    let read = |row| serde_json::from_value(row).inspect_err(log_skipped).ok();
     rows.into_iter().filter_map(read).collect()
 }
 
 impl<K: KeyValue, W: JobWorkers, F: Fleet> Holder<'_, K, W, F> {
-    /// Takes in what former holders have logged.
-    pub(super) fn take_loaded_starts(&mut self, loaded: LoadedStartLogs) {
+    /// Passes the start logs of former holders to the scheduler.
+    pub(super) fn apply_start_logs(&mut self, loaded: LoadedStartLogs) {
         let LoadedStartLogs { starts, keys } = loaded;
         if !keys.is_empty() {
             info!(self.candidate.log, "holder: logged starts loaded";
                 "logs" => keys.len(), "starts" => starts.len());
         }
-        self.start_logs.former = keys;
-        self.scheduler.take_logged_starts(starts);
+        self.start_logs.former_keys = keys;
+        self.scheduler.inherit_logged_starts(starts);
     }
 
-    /// Writes the starts that wait to be on record, and deletes the logs that
-    /// nobody needs.
-    pub(super) fn store_start_logs(&mut self, now: Now) {
-        while self.start_logs.under_way < MAX_WRITES
-            && now.steady_ms >= self.start_logs.write_from_ms
+    /// Writes the logs of planned starts, and deletes logs that are no longer
+    /// needed.
+    pub(super) fn write_start_logs(&mut self, now: Now) {
+        while self.start_logs.in_flight < MAX_WRITES_IN_FLIGHT
+            && now.steady_ms >= self.start_logs.next_write_ms
         {
             let Some(log) = self.scheduler.take_start_log() else { break };
             self.write_start_log(log);
@@ -112,22 +119,22 @@
         let revision = self.held.revision;
         let keys = settled.iter().map(|n| keys::start_log(revision, *n));
         let mut keys: Vec<String> = keys.collect();
-        if !self.start_logs.former.is_empty()
+        if !self.start_logs.former_keys.is_empty()
             && self.scheduler.are_logged_starts_stored()
         {
-            keys.append(&mut self.start_logs.former);
+            keys.append(&mut self.start_logs.former_keys);
         }
-        for some in keys.chunks(DELETED_A_WRITE) {
+        for chunk in keys.chunks(MAX_DELETIONS_PER_WRITE) {
             let lease = Expected::Version(revision);
             let batch = Batch::default().when(keys::OWNER, lease);
-            let batch = some.iter().fold(batch, |b, key| b.delete(key));
-            self.write(batch, "deletion of logs of starts");
+            let batch = chunk.iter().fold(batch, |b, key| b.delete(key));
+            self.spawn_write(batch, "deletion of logs of starts");
         }
     }
 
     fn write_start_log(&mut self, log: StartLog) {
-        self.start_logs.under_way += 1;
-        // OK because it holds only what JSON can write.
+        self.start_logs.in_flight += 1;
+        // OK because it has only values that JSON can represent.
         let value = serde_json::to_vec(log.starts()).expect("plain JSON");
         let revision = self.held.revision;
         let batch = Batch::default()
@@ -145,28 +152,29 @@
                     "error" => %error);
             }
             let written = record_written(&answer, keys::OWNER);
-            // A holder that is gone has no use for it.
+            // If the holder has stopped, the result isn't needed.
             let _ = sender.send(Event::StartLogWritten { log, written }).await;
         });
     }
 
-    /// Takes in what became of a write of a log.
+    /// Handles the result of a write of a log.
     pub(super) fn start_log_written(
         &mut self,
         log: &StartLog,
         written: RecordWritten,
         now: Now,
     ) {
-        self.start_logs.under_way -= 1;
+        self.start_logs.in_flight -= 1;
         match written {
             RecordWritten::Done(_) => self.scheduler.start_log_stored(log),
             RecordWritten::Failed => {
-                self.start_logs.write_from_ms = now.steady_ms + RETRY_MS;
+                self.start_logs.next_write_ms = now.steady_ms + RETRY_DELAY_MS;
                 self.scheduler.start_log_failed(log);
             }
-            // Nothing but the lease's key has to be as it was.
+            // The only condition is that on the lease's key.
             RecordWritten::Conflict { .. } => {
-                self.lost = Some("the store refused this holder's write");
+                self.lost_reason =
+                    Some("the store refused this holder's write");
             }
         }
     }
