--- a/crates/dewspard/src/jobs/takeover.rs
+++ b/crates/dewspard/src/jobs/takeover.rs
@@ -1,16 +1,17 @@
 /*!
-Loading what former holders left, beside scheduling.
+Loading the stored state after a takeover, concurrently with scheduling.
 
-The holder schedules new jobs from the first moment; what is open already
-comes in by and by. Cancellations come first, so that nothing starts that was
-cancelled. Jobs then come in slices by the first digit of their identifiers,
+A new holder schedules new jobs immediately; jobs that are already open are
+loaded in the background. Cancellations are loaded first, so that no cancelled
+job is started. Jobs follow in slices by the first digit of their identifiers,
 which is random, each with its progress.
 
-How much there is isn't known before. The first slice tells: where the rest
-takes little longer, as on any usual link, it is read at once. Else it comes
-slice by slice with pauses, so that orders and renewals find the link free
-between them. A reading that fails is tried again, and what was loaded stays
-loaded: nothing begins anew as long as the lease is held.
+The amount of data isn't known in advance and is estimated from the first
+slice. If the remaining slices take little longer, as on any usual link, they
+are read at once. Otherwise they are read one by one with pauses, so that
+orders and lease renewals find the link free in between. A failed read is
+retried, and slices that were loaded aren't read again as long as the lease is
+held.
 */
 
 use {
@@ -18,9 +19,9 @@
         deferred_ends::load_ends,
         event::{Event, EventSender, HolderGone},
         keys,
-        progress::{FeedEvent, read_feed},
+        progress::{FeedEvent, parse_feed},
         start_logs::load_starts,
-        vm_orders::{LoadedVmOrders, LoadedWaves, load_ordered, load_waves},
+        vm_orders::{LoadedVmOrders, LoadedWaves, load_vm_orders, load_waves},
     },
     crate::{clock, counters, passed_over},
     dewspar::{
@@ -36,48 +37,50 @@
     tokio::time::sleep,
 };
 
-/// The slices: the digits that identifiers of jobs begin with.
+/// The slices: the first digits of job identifiers.
 const SLICES: [&str; 16] = [
     "0", "1", "2", "3", "4", "5", "6", "7", "8", "9", "a", "b", "c", "d", "e",
     "f",
 ];
 
-/// How long all the rest may take to be read at once, in milliseconds: less
-/// than a lease lasts without renewal, and not much more than orders may take.
-const AT_ONCE_MS: u64 = 600;
+/// The maximum time in which all remaining slices are read at once, in
+/// milliseconds: less than a lease lasts without renewal, and not much more
+/// than the time allowed for an order.
+const MAX_FULL_READ_MS: u64 = 600;
 
-/// How slices follow each other: half of the link is left for orders.
+/// The pace of single slices: half of the link's time is left for orders.
 const SLICE_PACE: PollPace =
     PollPace { least_ms: 0, most_ms: 1_000, share_percent: 50 };
 
-/// The pause after a reading that failed.
-const RETRY: Duration = Duration::from_millis(100);
+/// The delay before a failed read is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Jobs that were loaded, with all that is stored of them.
+/// A slice of loaded jobs, with everything that is stored about them.
 #[derive(Debug, Default)]
 pub(super) struct LoadedJobs {
     pub(super) feed: Vec<FeedEvent>,
     pub(super) progress: BTreeMap<JobId, Progress>,
-    /// The version of each job's progress in the store.
+    /// The store version of each job's progress.
     pub(super) versions: BTreeMap<JobId, u64>,
-    /// Jobs whose progress can't be read: what is done of them isn't known.
+    /// Jobs whose progress can't be read, so that it isn't known which of
+    /// their tasks are done.
     pub(super) unreadable: BTreeSet<JobId>,
 }
 
-/// What former holders left beside the jobs.
+/// What former holders stored besides the jobs.
 #[derive(Debug)]
 pub(super) struct LoadedFleetState {
-    /// What they kept of each wave.
+    /// The state of each wave.
     pub(super) waves: LoadedWaves,
-    /// The waves that were reported as completed.
-    pub(super) completed: Vec<u64>,
-    /// The VMs of which the former holder ordered changes of late.
-    pub(super) ordered: LoadedVmOrders,
-    /// The version of the counts of waiting jobs; 0 for none.
+    /// The waves that were reported to the operator as completed.
+    pub(super) completed_waves: Vec<u64>,
+    /// The VMs of which the former holder recently ordered changes.
+    pub(super) vm_orders: LoadedVmOrders,
+    /// The version of the counts of waiting jobs; 0 if there are none.
     pub(super) counts_version: u64,
 }
 
-/// Loads everything and reports it, until it is complete.
+/// Loads the stored state and sends it to the holder, until it is complete.
 pub(super) async fn load<K: KeyValue, F: Fleet>(
     store: K,
     fleet: F,
@@ -85,51 +88,52 @@
     log: Logger,
 ) {
     let began_ms = clock::now_ms();
-    let duties = load_duties(&store, &fleet, &sender, &log);
+    let fleet_state = load_fleet_state(&store, &fleet, &sender, &log);
     let jobs = load_jobs(&store, &sender, &log);
-    let (duties, jobs) = tokio::join!(duties, jobs);
-    // A holder that is gone has no use for the rest.
-    let (Ok(()), Ok(loaded)) = (duties, jobs) else { return };
+    let (fleet_state, jobs) = tokio::join!(fleet_state, jobs);
+    // Errors mean that the holder has stopped.
+    let (Ok(()), Ok(loaded)) = (fleet_state, jobs) else { return };
     info!(log, "holder: jobs loaded"; "jobs" => loaded.jobs,
-        "bytes" => loaded.bytes, "readings" => loaded.readings,
+        "bytes" => loaded.bytes, "readings" => loaded.reads,
         "took_ms" => clock::now_ms().saturating_sub(began_ms));
     let _ = sender.send(Event::AllLoaded).await;
 }
 
-async fn load_duties<K: KeyValue, F: Fleet>(
+async fn load_fleet_state<K: KeyValue, F: Fleet>(
     store: &K,
     fleet: &F,
     sender: &EventSender,
     log: &Logger,
 ) -> Result<(), HolderGone> {
-    let duties = until_read(|| read_duties(store, fleet, log)).await;
-    sender.send(Event::FleetStateLoaded(duties)).await
+    let fleet_state =
+        retry_until_read(|| read_fleet_state(store, fleet, log)).await;
+    sender.send(Event::FleetStateLoaded(fleet_state)).await
 }
 
-async fn read_duties<K: KeyValue, F: Fleet>(
+async fn read_fleet_state<K: KeyValue, F: Fleet>(
     store: &K,
     fleet: &F,
     log: &Logger,
 ) -> Result<LoadedFleetState, Error> {
-    // All at once: one after the other they take a slow store seconds.
-    let (waves, completed, ordered, counts_version) = tokio::try_join!(
+    // Concurrently, because one after the other takes seconds on a slow store.
+    let (waves, completed_waves, vm_orders, counts_version) = tokio::try_join!(
         load_waves(store, log),
         fleet.completed_waves(),
-        load_ordered(store, log),
+        load_vm_orders(store, log),
         store.version(keys::PENDING),
     )?;
-    Ok(LoadedFleetState { waves, completed, ordered, counts_version })
+    Ok(LoadedFleetState { waves, completed_waves, vm_orders, counts_version })
 }
 
-/// How much was loaded.
+/// The amount of data that was loaded, for the log.
 #[derive(Debug, Default)]
 struct LoadTotals {
     jobs: usize,
     bytes: usize,
-    readings: usize,
+    reads: usize,
 }
 
-/// How what is left is read.
+/// How the remaining slices are read.
 enum RemainingRead {
     AtOnce,
     BySlices,
@@ -141,21 +145,21 @@
     log: &Logger,
 ) -> Result<LoadTotals, HolderGone> {
     let mut loaded = LoadTotals::default();
-    let asked_ms = clock::now_ms();
+    let requested_ms = clock::now_ms();
     let ((_, cancelled), ends, starts) = tokio::join!(
-        until_read(|| store.list(keys::CANCELLED)),
-        until_read(|| load_ends(store, log)),
-        until_read(|| load_starts(store, log)),
+        retry_until_read(|| store.list(keys::CANCELLED)),
+        retry_until_read(|| load_ends(store, log)),
+        retry_until_read(|| load_starts(store, log)),
     );
-    let call_ms = clock::now_ms().saturating_sub(asked_ms);
-    sender.send(Event::Feed(read_feed(&cancelled, log))).await?;
+    let call_ms = clock::now_ms().saturating_sub(requested_ms);
+    sender.send(Event::Feed(parse_feed(&cancelled, log))).await?;
     sender.send(Event::DeferredEndsLoaded(ends)).await?;
-    // Before any job of which they tell.
+    // Sent before any of the jobs that they refer to.
     sender.send(Event::StartLogsLoaded(starts)).await?;
 
     let [first, rest @ ..] = &SLICES;
     let took_ms = load_slice(store, first, sender, log, &mut loaded).await?;
-    match how_to_read_on(took_ms, call_ms, rest.len() as u64) {
+    match choose_remaining_read(took_ms, call_ms, rest.len() as u64) {
         RemainingRead::AtOnce => {
             load_slice(store, "", sender, log, &mut loaded).await?;
         }
@@ -171,23 +175,24 @@
     Ok(loaded)
 }
 
-/// Decides by how much longer the first slice took than a call that brings
-/// hardly anything, all in milliseconds.
-fn how_to_read_on(
+/// Chooses how to read the remaining slices. The estimate is the time of the
+/// first slice beyond that of calls with little data, in milliseconds, times
+/// the number of remaining slices.
+fn choose_remaining_read(
     took_ms: u64,
     call_ms: u64,
     slices_left: u64,
 ) -> RemainingRead {
-    let more_ms = took_ms.saturating_sub(call_ms) * slices_left;
-    if more_ms <= AT_ONCE_MS {
+    let extra_ms = took_ms.saturating_sub(call_ms) * slices_left;
+    if extra_ms <= MAX_FULL_READ_MS {
         RemainingRead::AtOnce
     } else {
         RemainingRead::BySlices
     }
 }
 
-/// Loads the jobs whose identifiers begin so; returns how long the store took
-/// to tell them, in milliseconds.
+/// Loads the jobs whose identifiers begin with the slice's digit, or all jobs
+/// for an empty slice; returns the time that the read took, in milliseconds.
 async fn load_slice<K: KeyValue>(
     store: &K,
     slice: &str,
@@ -197,32 +202,32 @@
 ) -> Result<u64, HolderGone> {
     let accepted = format!("{}{slice}", keys::ACCEPTED);
     let progress = format!("{}{slice}", keys::PROGRESS);
-    let asked_ms = clock::now_ms();
+    let requested_ms = clock::now_ms();
     let read = || async {
         tokio::try_join!(store.list(&accepted), store.list(&progress))
     };
-    let ((_, accepted), (_, progress)) = until_read(read).await;
-    let took_ms = clock::now_ms().saturating_sub(asked_ms);
+    let ((_, accepted), (_, progress)) = retry_until_read(read).await;
+    let took_ms = clock::now_ms().saturating_sub(requested_ms);
     let size = |items: &[Versioned]| -> usize {
         items.iter().map(|item| item.key.len() + item.value.len()).sum()
     };
     loaded.jobs += accepted.len();
     loaded.bytes += size(&accepted) + size(&progress);
-    loaded.readings += 1;
+    loaded.reads += 1;
     let mut jobs = LoadedJobs {
-        feed: read_feed(&accepted, log),
+        feed: parse_feed(&accepted, log),
         ..LoadedJobs::default()
     };
     for item in &progress {
-        jobs.note_progress(item, log);
+        jobs.add_progress(item, log);
     }
     sender.send(Event::JobsLoaded(jobs)).await?;
     Ok(took_ms)
 }
 
 impl LoadedJobs {
-    fn note_progress(&mut self, item: &Versioned, log: &Logger) {
-        let Some(id) = keys::job_of_progress(&item.key) else { return };
+    fn add_progress(&mut self, item: &Versioned, log: &Logger) {
+        let Some(id) = keys::parse_progress(&item.key) else { return };
         match serde_json::from_slice::<Progress>(&item.value) {
             Ok(found) => {
                 self.progress.insert(id, found);
@@ -237,8 +242,8 @@
     }
 }
 
-/// Reads until there is a result.
-async fn until_read<T, R>(mut read: impl FnMut() -> R) -> T
+/// Retries a read until it succeeds.
+async fn retry_until_read<T, R>(mut read: impl FnMut() -> R) -> T
 where
     R: Future<Output = Result<T, Error>>,
 {
@@ -247,6 +252,6 @@
             Ok(result) => return result,
             Err(error) => counters::platform_failure(&error),
         }
-        sleep(RETRY).await;
+        sleep(RETRY_DELAY).await;
     }
 }
--- a/crates/dewspard/src/jobs/vm_orders.rs
+++ b/crates/dewspard/src/jobs/vm_orders.rs
@@ -1,12 +1,13 @@
 /*!
-Orders to the VM service: maintenance, moves, and telling the operator.
+Orders to the VM service: maintenance, moves between pools, and reports of
+waves to the operator.
 */
 
 use {
     super::{
         event::{Event, EventSender},
         keys,
-        records::{record_written, version_among},
+        records::{find_version, record_written},
     },
     crate::{
         clock::{self, Suspensions},
@@ -24,58 +25,60 @@
     std::collections::BTreeMap,
 };
 
-/// Orders to send, once they are on record.
+/// Orders that are sent once they are recorded.
 pub(super) struct VmOrderBatch {
     /// The node that sends them.
     pub(super) holder: String,
     /// Their fencing token.
     pub(super) fence: u64,
     pub(super) orders: Vec<VmOrder>,
-    /// What was known of suspensions when they were planned.
-    pub(super) planned: Suspensions,
-    /// Of which VMs changes are ordered by now.
+    /// The suspensions known when the orders were planned.
+    pub(super) suspensions: Suspensions,
+    /// The VMs with recently ordered changes, including these.
     pub(super) vms: OrderedVms,
-    /// The version of the last such record; 0 for none.
+    /// The version of the current record; 0 if there is none.
     pub(super) record_version: u64,
 }
 
-/// Records orders and sends them; results come back as events.
+/// Records orders and then sends them; results are reported as events.
 ///
-/// The record tells the next holder which VMs to leave alone for a while,
-/// and its condition shows that this node still holds the lease.
+/// The record tells the next holder which VMs to leave unchanged for a while.
+/// Since its write is conditional on the lease, its success also shows that
+/// this node still holds the lease.
 pub(super) fn send<K: KeyValue, F: Fleet>(
     store: &K,
     fleet: &F,
-    burst: VmOrderBatch,
+    order_batch: VmOrderBatch,
     events: &EventSender,
     log: &Logger,
 ) {
     let (store, fleet) = (store.clone(), fleet.clone());
     let (events, log) = (events.clone(), log.clone());
     tokio::spawn(async move {
-        let event = match record_orders(&store, &burst, &log).await {
+        let event = match record_orders(&store, &order_batch, &log).await {
             RecordResult::Answered(written) => Event::VmOrdersWritten(written),
             RecordResult::LeaseLost => Event::LeaseLost,
         };
         let recorded =
             matches!(event, Event::VmOrdersWritten(RecordWritten::Done(_)));
         let lease_gone = matches!(event, Event::LeaseLost);
-        // A holder that is gone has no use for it.
+        // If the holder has stopped, the event isn't needed.
         if events.send(event).await.is_err() || lease_gone {
             return;
         }
-        for order in burst.orders {
-            let change = OrderContext {
-                holder: burst.holder.clone(),
-                fence: burst.fence,
+        for order in order_batch.orders {
+            let context = OrderContext {
+                holder: order_batch.holder.clone(),
+                fence: order_batch.fence,
                 recorded,
-                planned: burst.planned,
+                suspensions: order_batch.suspensions,
             };
-            let sending = send_one(fleet.clone(), change, order, log.clone());
+            let sending =
+                send_order(fleet.clone(), context, order, log.clone());
             let events = events.clone();
             tokio::spawn(async move {
                 if let Some(event) = sending.await {
-                    // A holder that is gone has no use for it.
+                    // If the holder has stopped, the result isn't needed.
                     let _ = events.send(event).await;
                 }
             });
@@ -83,12 +86,12 @@
     });
 }
 
-/// How often a record of orders is written anew that was found changed: once
-/// for a write of this holder whose answer was lost, and once more in case
-/// that is done just then.
-const RECORD_TRIES: u32 = 3;
+/// The maximum number of attempts to write the record of orders. One retry
+/// covers an earlier write of this holder whose answer was lost, another one a
+/// write of that kind that takes effect only during the retry.
+const MAX_RECORD_ATTEMPTS: u32 = 3;
 
-/// What became of recording orders.
+/// The result of recording orders.
 enum RecordResult {
     Answered(RecordWritten),
     /// Another node holds the lease, or may.
@@ -97,33 +100,34 @@
 
 /// Records orders before they are sent.
 ///
-/// Depends on the record's version as well as on the lease: an older record
-/// that is done late must not replace this one.
+/// The write is conditional on the record's version as well as on the lease,
+/// so that a delayed older write can't replace it.
 async fn record_orders<K: KeyValue>(
     store: &K,
-    burst: &VmOrderBatch,
+    order_batch: &VmOrderBatch,
     log: &Logger,
 ) -> RecordResult {
     let mut written =
-        RecordWritten::Conflict { version: burst.record_version };
-    for _ in 0..RECORD_TRIES {
+        RecordWritten::Conflict { version: order_batch.record_version };
+    for _ in 0..MAX_RECORD_ATTEMPTS {
         let RecordWritten::Conflict { version } = written else { break };
-        let batch = ordered_batch(burst.fence, version, &burst.vms);
+        let batch =
+            vm_orders_batch(order_batch.fence, version, &order_batch.vms);
         let answer = store.commit(&batch).await;
         match &answer {
             Ok(Commit::Done(_)) => {}
             Ok(Commit::Conflict(found)) => {
-                if version_among(found, keys::OWNER) != burst.fence {
+                if find_version(found, keys::OWNER) != order_batch.fence {
                     return RecordResult::LeaseLost;
                 }
-                info!(log, "vm: record of orders was another";
+                info!(log, "vm: record of orders conflicts";
                     "expected" => version,
-                    "found" => version_among(found, keys::VM_ORDERS));
+                    "found" => find_version(found, keys::VM_ORDERS));
             }
             Err(error) => {
                 counters::platform_failure(error);
                 warn!(log, "vm: orders not recorded, and so not sent";
-                    "orders" => burst.orders.len(), "error" => %error);
+                    "orders" => order_batch.orders.len(), "error" => %error);
             }
         }
         written = record_written(&answer, keys::VM_ORDERS);
@@ -131,26 +135,26 @@
     RecordResult::Answered(written)
 }
 
-/// Who orders a change to a VM.
+/// The context in which a change to a VM is ordered.
 struct OrderContext {
     holder: String,
     fence: u64,
     recorded: bool,
-    planned: Suspensions,
+    suspensions: Suspensions,
 }
 
 impl OrderContext {
-    /// Returns whether the order may go out: it is on record, and this VM
-    /// wasn't suspended since it was planned. After that another node may hold
-    /// the lease, and the VM service refuses the order only where it has heard
-    /// of that one.
-    fn may_go(&self) -> bool {
-        let mut planned = self.planned;
+    /// Returns whether the order may be sent: it is recorded, and this VM
+    /// wasn't suspended since the order was planned. After a suspension
+    /// another node may hold the lease, and the VM service refuses an outdated
+    /// order only if it has already seen that node's token.
+    fn may_be_sent(&self) -> bool {
+        let mut suspensions = self.suspensions;
         let suspended_ms = clock::suspended_ms();
-        self.recorded && planned.noticed_ms(suspended_ms).is_none()
+        self.recorded && suspensions.noticed_ms(suspended_ms).is_none()
     }
 
-    fn of(&self, vm: &str) -> VmChange {
+    fn vm_change(&self, vm: &str) -> VmChange {
         VmChange {
             vm: vm.to_owned(),
             holder: self.holder.clone(),
@@ -159,35 +163,35 @@
     }
 }
 
-async fn send_one<F: Fleet>(
+async fn send_order<F: Fleet>(
     fleet: F,
-    change: OrderContext,
+    context: OrderContext,
     order: VmOrder,
     log: Logger,
 ) -> Option<Event> {
     match order {
         VmOrder::Maintain { vm, wave } => {
-            let result = if change.may_go() {
-                fleet.maintain(&change.of(&vm), wave).await
+            let result = if context.may_be_sent() {
+                fleet.maintain(&context.vm_change(&vm), wave).await
             } else {
                 Err(VmOrderError::NotDone)
             };
-            record(&log, "maintain", &vm, &wave.to_string(), &result);
+            log_result(&log, "maintain", &vm, &wave.to_string(), &result);
             Some(Event::MaintenanceAnswered { vm, wave, result })
         }
         VmOrder::Move { vm, pool } => {
-            let result = if change.may_go() {
-                fleet.move_to(&change.of(&vm), &pool).await
+            let result = if context.may_be_sent() {
+                fleet.move_to(&context.vm_change(&vm), &pool).await
             } else {
                 Err(VmOrderError::NotDone)
             };
-            record(&log, "move", &vm, &pool, &result);
+            log_result(&log, "move", &vm, &pool, &result);
             Some(Event::MoveAnswered { vm, pool, result })
         }
         VmOrder::ReportRunning { wave } => {
             match fleet.report_wave(wave, false).await {
                 Ok(()) => info!(log, "wave: running"; "wave" => wave),
-                // Not worth another try: it is reported when it completes.
+                // Not retried, because its completion is reported as well.
                 Err(error) => {
                     counters::platform_failure(&error);
                     warn!(log, "wave: not reported as running";
@@ -211,7 +215,7 @@
     }
 }
 
-fn record(
+fn log_result(
     log: &Logger,
     order: &'static str,
     vm: &str,
@@ -227,17 +231,21 @@
     counters::count_by(counters::FLEET_STEPS, "step", order);
 }
 
-/// What earlier holders kept of the waves.
+/// What former holders stored about the waves.
 #[derive(Debug, Default)]
 pub(super) struct LoadedWaves {
     pub(super) records: BTreeMap<u64, WaveRecord>,
-    /// What else newer versions have kept of them.
+    /// Unknown fields of the records, written by newer versions.
     pub(super) other: BTreeMap<u64, OtherFields>,
-    /// The version of each record, also of one that can't be read.
+    /// The version of each record, including unreadable ones.
     pub(super) versions: BTreeMap<u64, u64>,
 }
 
-/// Reads what earlier holders kept of each wave.
+/// Reads what former holders stored about each wave.
+///
+/// # Errors
+///
+/// An error of the store. Unreadable records are logged and skipped.
 pub(super) async fn load_waves<K: KeyValue>(
     store: &K,
     log: &Logger,
@@ -245,7 +253,7 @@
     let (_, stored) = store.list(keys::WAVES).await?;
     let mut waves = LoadedWaves::default();
     for item in &stored {
-        let Some(wave) = keys::wave_of(&item.key) else { continue };
+        let Some(wave) = keys::parse_wave(&item.key) else { continue };
         waves.versions.insert(wave, item.version);
         match serde_json::from_slice(&item.value) {
             Ok(WithOthers { record, other }) => {
@@ -267,17 +275,21 @@
     Ok(waves)
 }
 
-/// Of which VMs the former holder had ordered changes when it last did.
+/// The VMs of which the former holder had recently ordered changes.
 #[derive(Debug)]
 pub(super) struct LoadedVmOrders {
-    /// `None` where that can't be known.
+    /// `None` if the record can't be read.
     pub(super) vms: Option<OrderedVms>,
-    /// The version of the record; 0 for none.
+    /// The version of the record; 0 if there is none.
     pub(super) version: u64,
 }
 
-/// Reads of which VMs the former holder had ordered changes when it last did.
-pub(super) async fn load_ordered<K: KeyValue>(
+/// Reads the VMs of which the former holder had recently ordered changes.
+///
+/// # Errors
+///
+/// An error of the store.
+pub(super) async fn load_vm_orders<K: KeyValue>(
     store: &K,
     log: &Logger,
 ) -> Result<LoadedVmOrders, Error> {
@@ -296,13 +308,13 @@
     Ok(LoadedVmOrders { vms, version: found.version })
 }
 
-/// The write that records of which VMs changes are ordered.
-fn ordered_batch(
+/// Returns the write that records the VMs with ordered changes.
+fn vm_orders_batch(
     lease_revision: u64,
     version: u64,
     vms: &OrderedVms,
 ) -> Batch {
-    // OK because texts and numbers can always be written.
+    // OK because strings and numbers can always be serialized.
     let value = serde_json::to_vec(vms).expect("plain JSON");
     Batch::default()
         .when(keys::OWNER, Expected::Version(lease_revision))
@@ -310,14 +322,14 @@
         .put(keys::VM_ORDERS, value)
 }
 
-/// The write that records how far a wave has come.
+/// Returns the write that records the state of a wave.
 pub(super) fn wave_batch(
     lease_revision: u64,
     wave: u64,
     version: u64,
     record: &WithOthers<&WaveRecord>,
 ) -> Batch {
-    // OK because a number and texts can always be written.
+    // OK because numbers and strings can always be serialized.
     let value = serde_json::to_vec(record).expect("plain JSON");
     Batch::default()
         .when(keys::OWNER, Expected::Version(lease_revision))
