--- a/crates/dewspar/src/schedule/cancelled.rs
+++ b/crates/dewspar/src/schedule/cancelled.rs
@@ -61,7 +61,7 @@
             return Vec::new();
         }
         self.cancelled.checked_ms = now.steady_ms;
-        if !self.knows_every_run(now) {
+        if !self.all_possible_runs_listed(now) {
             return Vec::new();
         }
         let on_record = &mut self.cancelled.on_record;
@@ -84,7 +84,7 @@
     /// Returns whether all runs everywhere are known: every worker that may
     /// run anything has listed all of its runs under this lease, or its own
     /// lease is over so that it can't run anything.
-    fn knows_every_run(&self, now: Now) -> bool {
+    fn all_possible_runs_listed(&self, now: Now) -> bool {
         let known = !self.is_loading() && self.workers_known;
         known
             && self.workers.values().all(|worker| {
--- a/crates/dewspar/src/schedule/crash_bursts.rs
+++ b/crates/dewspar/src/schedule/crash_bursts.rs
@@ -25,10 +25,10 @@
 # Example
 
 ```text
-0.0 s  start a, b, c on w1        w1 lost: b and c began last, both are likely
-0.6 s  start b, c, d on w2        w2 lost: b was likely twice, a series is on
-1.2 s  start b on w3, kept free   w3 lost: b alone
-1.2 s  start c on w4, kept free   c lives on and is cleared
+0.0 s  start a, b, c on w1        w1 lost: b and c started last: both are likely
+0.6 s  start b, c, d on w2        w2 lost: b was likely twice: a burst is active
+1.2 s  start b on w3, reserved    w3 lost: only b can have caused it
+1.2 s  start c on w4, reserved    c lives on and is cleared
 ```
 */
 
--- a/crates/dewspar/src/schedule/directory.rs
+++ b/crates/dewspar/src/schedule/directory.rs
@@ -288,7 +288,7 @@
         reason: &'static str,
         now: Now,
     ) {
-        let beside = runs.len().saturating_sub(1);
+        let other_runs = runs.len().saturating_sub(1);
         for (task, run) in runs {
             self.note(Decision::RunLost {
                 task,
@@ -296,7 +296,7 @@
                 worker: id.clone(),
                 reason,
                 age_ms: run.confirmed_ms(answered_ms),
-                other_runs: beside,
+                other_runs,
             });
             self.note_stopped(&task, id, &run, reason, now);
             self.release_task(&task, id, run.has_begun(), now);
--- a/crates/dewspar/src/schedule/hold_answers.rs
+++ b/crates/dewspar/src/schedule/hold_answers.rs
@@ -523,7 +523,7 @@
         let listed: BTreeMap<TaskId, u64> =
             report.active.iter().map(|a| (a.task, a.run)).collect();
         let answered_ms = worker.answered_worker_ms();
-        let beside = worker.runs.len().saturating_sub(1);
+        let other_runs = worker.runs.len().saturating_sub(1);
         let missing: Vec<MissingRun> = worker
             .runs
             .iter()
@@ -566,7 +566,7 @@
                 worker: worker_id.clone(),
                 reason: "the worker doesn't list it",
                 age_ms,
-                other_runs: beside,
+                other_runs,
             });
             self.release_run(&task, worker_id, now);
         }
--- a/crates/dewspar/src/schedule/order_answers.rs
+++ b/crates/dewspar/src/schedule/order_answers.rs
@@ -32,7 +32,9 @@
         let known = worker.runs.get_mut(task).filter(|r| r.run == run);
         let Some(known) = known else { return };
         if known.process_has_ended {
-            self.outlived_start_answered(worker_id, task, run, result, now);
+            self.ended_process_start_answered(
+                worker_id, task, run, result, now,
+            );
             return;
         }
         let error = match result {
@@ -101,7 +103,7 @@
     /// Applies the answer to an order that was sent to a process that has
     /// ended since. If the order was carried out, then by that process or by
     /// the next one, which will list what it runs.
-    fn outlived_start_answered(
+    fn ended_process_start_answered(
         &mut self,
         worker_id: &WorkerId,
         task: &TaskId,
@@ -201,7 +203,7 @@
         });
         match error {
             OrderError::Refused(Refusal::OtherLife)
-                if self.is_stopped_there(worker_id, task) =>
+                if self.is_being_stopped(worker_id, task) =>
             {
                 self.worker_gone(
                     worker_id,
@@ -224,7 +226,7 @@
 
     /// Returns whether a task's run is being stopped on a worker's known
     /// process.
-    fn is_stopped_there(&self, worker_id: &WorkerId, task: &TaskId) -> bool {
+    fn is_being_stopped(&self, worker_id: &WorkerId, task: &TaskId) -> bool {
         let worker = self.workers.get(worker_id);
         let run = worker.and_then(|worker| worker.runs.get(task));
         run.is_some_and(|run| run.is_stopping() && !run.process_has_ended)
--- a/crates/dewspar/src/schedule/processes.rs
+++ b/crates/dewspar/src/schedule/processes.rs
@@ -26,9 +26,9 @@
 
 ```text
 process born at 100   lists task a; is sent task b; ends
-process born at 108   its entry is read: a has ended, b may yet begin there
-  asked under a higher token, lists nothing: b has ended too
-process born at 100   an answer that was late: passed over
+process born at 108   its entry is read: a has ended, b may still begin there
+  a hold under a higher token lists nothing: b has ended too
+process born at 100   a late answer: ignored
 ```
 */
 
@@ -47,7 +47,7 @@
 /// For how long after a process has ended its directory entry may still be
 /// read, in milliseconds: several times the three heartbeats after which
 /// entries expire.
-const ENTRY_LINGERS_MS: u64 = 10_000;
+const ENTRY_EXPIRY_MS: u64 = 10_000;
 
 /// How a reporting process relates to the known process of its worker.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -138,10 +138,10 @@
         asked_ms: u64,
     ) -> bool {
         let Some(former) = self.0.get(&listing.id) else { return false };
-        let lingers = asked_ms < former.ended_ms + ENTRY_LINGERS_MS;
+        let may_linger = asked_ms < former.ended_ms + ENTRY_EXPIRY_MS;
         former.end == ProcessEnd::Ended
             && listing.incarnation <= former.incarnation
-            && (lingers || listing.incarnation == Incarnation::UNKNOWN)
+            && (may_linger || listing.incarnation == Incarnation::UNKNOWN)
     }
 
     /// Takes the tokens that were used on a worker.
--- a/crates/dewspar/src/schedule/start_log.rs
+++ b/crates/dewspar/src/schedule/start_log.rs
@@ -32,7 +32,7 @@
 
 let mut scheduler = Scheduler::new(7, Options::default());
 scheduler.enable_start_log();
-// Nothing waits to be on record.
+// No start waits to be logged.
 assert_eq!(scheduler.take_start_log(), None);
 ```
 */
--- a/crates/dewspar/src/schedule/stopping.rs
+++ b/crates/dewspar/src/schedule/stopping.rs
@@ -3,12 +3,11 @@
 
 A run is stopped in three steps: it is marked, an order is sent with the next
 plan and repeated until it takes effect, and the worker lists the end. Between
-the first and the last step the run's room stays occupied, and the run does
+the first and the last step the run's resources stay in use, and the run does
 work that is no longer wanted. Each step can fail by itself: the order is lost
-or refused, the worker is silent, or the node that marked the run is gone. So a
-run that is to stop keeps an account of these steps. The account is reported
-once the run is over, and also once if that takes longer than a worker may take
-for a stop.
+or refused, the worker is silent, or the node that marked the run is gone. So
+the attempts to stop a run are counted. They are reported once the run is over,
+and also once if that takes longer than a worker may take for a stop.
 */
 
 use crate::{
@@ -68,7 +67,7 @@
         self.orders += 1;
     }
 
-    fn account(&self, now_ms: u64) -> StopAttempts {
+    fn attempts(&self, now_ms: u64) -> StopAttempts {
         let since_ms = if self.orders == 0 { now_ms } else { self.first_ms };
         StopAttempts {
             reason: self.reason,
@@ -104,8 +103,8 @@
                 if now_ms < stop.due_ms(self.options.stop_retry_ms) {
                     continue;
                 }
-                let account = stop.account(now_ms);
-                if account.after_ms > self.options.stop_timeout_ms
+                let attempts = stop.attempts(now_ms);
+                if attempts.after_ms > self.options.stop_timeout_ms
                     && !stop.reported_overdue
                     && overdue.len() < MAX_OVERDUE_PER_PLAN
                 {
@@ -114,7 +113,7 @@
                         task: *task,
                         run: number,
                         worker: id.clone(),
-                        stop: account,
+                        stop: attempts,
                     });
                 }
                 stop.note_order(now_ms);
@@ -157,7 +156,7 @@
                 run: run.run,
                 worker: worker_id.clone(),
                 cause,
-                stop: stop.account(now.steady_ms),
+                stop: stop.attempts(now.steady_ms),
             });
         }
     }
--- a/crates/dewspar/src/schedule/storing.rs
+++ b/crates/dewspar/src/schedule/storing.rs
@@ -17,7 +17,7 @@
     pub progress: Vec<(JobId, Progress)>,
     /// The jobs among them that are over while some of their runs may still be
     /// active. A later holder has to know these before it has loaded them.
-    unstopped: BTreeSet<JobId>,
+    active_runs: BTreeSet<JobId>,
     /// The newest change that is included.
     sequence: u64,
 }
@@ -28,15 +28,16 @@
     pub fn take(&mut self, ids: &BTreeSet<JobId>) -> Changes {
         let progress =
             self.progress.extract_if(.., |(id, _)| ids.contains(id)).collect();
-        let unstopped = self.unstopped.extract_if(.., |id| ids.contains(id));
-        let unstopped = unstopped.collect();
-        Changes { progress, unstopped, sequence: self.sequence }
+        let active_runs =
+            self.active_runs.extract_if(.., |id| ids.contains(id));
+        let active_runs = active_runs.collect();
+        Changes { progress, active_runs, sequence: self.sequence }
     }
 
     /// Returns whether a job is over while some of its runs may still be
     /// active.
-    pub fn is_unstopped(&self, id: JobId) -> bool {
-        self.unstopped.contains(&id)
+    pub fn has_active_runs(&self, id: JobId) -> bool {
+        self.active_runs.contains(&id)
     }
 }
 
@@ -74,7 +75,7 @@
             .collect();
         ids.sort_unstable();
         let mut progress = Vec::new();
-        let mut unstopped = BTreeSet::new();
+        let mut active_runs = BTreeSet::new();
         let mut left = most_entries;
         for (_, _, since, id) in ids {
             let Some(job) = self.jobs.get(&id) else { continue };
@@ -86,10 +87,10 @@
             self.storing.insert(id, since);
             progress.push((id, job.progress()));
             if job.phase.is_final() && job.placements(id).next().is_some() {
-                unstopped.insert(id);
+                active_runs.insert(id);
             }
         }
-        Changes { progress, unstopped, sequence: self.sequence }
+        Changes { progress, active_runs, sequence: self.sequence }
     }
 
     /// Returns whether there is anything to store that isn't being stored.
@@ -128,11 +129,11 @@
                 job.stored_sequence = changes.sequence;
             }
         }
-        self.store_ends(now);
+        self.advance_stored_ends(now);
     }
 
     /// Advances what may be acknowledged to each worker.
-    pub(super) fn store_ends(&mut self, now: Now) {
+    pub(super) fn advance_stored_ends(&mut self, now: Now) {
         let (jobs, unreadable_jobs) = (&self.jobs, &self.unreadable_jobs);
         for number in self.workers.with_unstored_ends(&self.options) {
             let Some(worker) = self.workers.at_mut(number) else { continue };
--- a/crates/dewspar/src/schedule/suspects.rs
+++ b/crates/dewspar/src/schedule/suspects.rs
@@ -33,12 +33,12 @@
 
 # Example
 
-A task that takes its worker down with each start is ordered three times:
+A task that crashes its worker on each start is ordered three times:
 
 ```text
-start  run 1, beside others   worker lost: it and those that began of late are suspected
-start  run 2, no suspect near worker lost: counted twice; the others were cleared
-start  run 3, proven beside   worker lost: nothing else can have done it, given up
+run 1  beside others             worker lost: all recent runs are suspected
+run 2  away from other suspects  worker lost: second crash, others are cleared
+run 3  beside proven runs only   worker lost: no other cause left, given up
 ```
 */
 
@@ -412,11 +412,11 @@
         let planned = draining
             || (worker.drain_reason.is_some() && worker.runs.is_empty());
         let answered_ms = worker.answered_worker_ms();
-        let over_ms = worker.unanswered_since_ms().unwrap_or(now.steady_ms);
+        let ended_ms = worker.unanswered_since_ms().unwrap_or(now.steady_ms);
         let lost = |(task, run): (&TaskId, &Run)| LostRun {
             task: *task,
             confirmed_ms: run.confirmed_ms(answered_ms),
-            max_age_ms: over_ms.saturating_sub(run.since_ms),
+            max_age_ms: ended_ms.saturating_sub(run.since_ms),
             suspicion: run.suspicion,
         };
         // The others were lost with the previous process.
@@ -425,7 +425,7 @@
         let unsynced = !worker.synced && !draining;
         LostRuns {
             unsynced: unsynced.then(|| UnsyncedLoss::of(worker)),
-            was_silent: now.steady_ms > over_ms + MAX_SILENCE_MS,
+            was_silent: now.steady_ms > ended_ms + MAX_SILENCE_MS,
             crashed_vm: (!planned && !vm.is_empty()).then(|| vm.clone()),
             was_draining: draining,
             runs: worker.runs.iter().filter(counts).map(lost).collect(),
@@ -436,12 +436,13 @@
     /// recently. If some of these are under test, only those and the runs that
     /// aren't proven yet.
     fn suspects(&self) -> impl Iterator<Item = &LostRun> {
-        let of_late = |run: &&LostRun| run.confirmed_ms < SUSPECT_AGE_MS;
-        let young = || self.runs.iter().filter(of_late);
-        let most = young().map(|run| run.suspicion.crashes).max().unwrap_or(0);
-        let tested = young().any(|run| run.suspicion.tested);
+        let is_recent = |run: &&LostRun| run.confirmed_ms < SUSPECT_AGE_MS;
+        let recent = || self.runs.iter().filter(is_recent);
+        let most =
+            recent().map(|run| run.suspicion.crashes).max().unwrap_or(0);
+        let tested = recent().any(|run| run.suspicion.tested);
         let least = if tested { most } else { 0 };
-        young().filter(move |run| {
+        recent().filter(move |run| {
             run.suspicion.crashes >= least || run.confirmed_ms < PROVEN_MS
         })
     }
@@ -477,7 +478,7 @@
             }
             self.note_unsynced_loss(unsynced);
         }
-        let steady = self.note_vm_crash(lost.crashed_vm.as_deref(), now);
+        let was_stable = self.note_vm_crash(lost.crashed_vm.as_deref(), now);
         let likely_age_ms = lost.likely_age_ms();
         for run in lost.suspects() {
             if lost.was_silent || lost.was_draining {
@@ -488,7 +489,7 @@
             let Some(crashes) = self.count_crash(run, likely, now) else {
                 continue;
             };
-            let certain = steady || crashes.is_immediate();
+            let certain = was_stable || crashes.is_immediate();
             let alone = certain && lost.is_only_suspect(&run.task, &crashes);
             self.note(Decision::Suspected {
                 task: run.task,
--- a/crates/dewspar/src/schedule/unreadable_jobs.rs
+++ b/crates/dewspar/src/schedule/unreadable_jobs.rs
@@ -5,9 +5,9 @@
 nothing more of the job runs. Its current runs still end, and a later holder
 that can read the job must know which of them completed. A worker forgets an
 end once it is acknowledged, and until then lists it together with all later
-ends. So such an end is *set aside*: it is stored by itself as it was reported,
-and then acknowledged. A holder that can read the job applies the ends that
-were set aside for it.
+ends. So such an end is *deferred*: it is stored by itself as it was reported,
+and then acknowledged. A holder that can read the job applies its deferred
+ends.
 
 # Example
 
@@ -26,9 +26,9 @@
     cause: EndCause::Done,
     checkpoint: String::new(),
 };
-let aside = DeferredEnd { worker: "worker-1".to_owned(), end };
-// Of an unknown job there is nothing to take in.
-scheduler.apply_deferred_end(&aside, now);
+let deferred = DeferredEnd { worker: "worker-1".to_owned(), end };
+// Ends of an unknown job are ignored.
+scheduler.apply_deferred_end(&deferred, now);
 assert_eq!(scheduler.phase(task.job), None);
 # Ok::<(), dewspar::job::InvalidId>(())
 ```
@@ -123,7 +123,7 @@
         self.drop_old_advice();
     }
 
-    /// Sets an end aside if its job can't be read; returns the number of the
+    /// Defers an end if its job can't be read; returns the number of the
     /// change, 0 if there is none.
     pub(super) fn defer_end(
         &mut self,
@@ -135,12 +135,12 @@
         }
         self.sequence += 1;
         let worker = worker_id.to_string();
-        let aside = DeferredEnd { worker, end: end.clone() };
-        self.unreadable_jobs.unstored.insert(self.sequence, aside);
+        let deferred = DeferredEnd { worker, end: end.clone() };
+        self.unreadable_jobs.unstored.insert(self.sequence, deferred);
         self.sequence
     }
 
-    /// Takes at most `most` ends that are to be stored by themselves.
+    /// Takes at most `most` deferred ends that aren't being stored yet.
     ///
     /// Call [`Scheduler::deferred_ends_stored`] or
     /// [`Scheduler::deferred_ends_failed`] once the outcome is known.
@@ -162,7 +162,7 @@
             self.unreadable_jobs.unstored.remove(number);
             self.unreadable_jobs.storing.remove(number);
         }
-        self.store_ends(now);
+        self.advance_stored_ends(now);
     }
 
     /// Puts back ends that couldn't be stored.
@@ -172,10 +172,10 @@
         }
     }
 
-    /// Applies an end that was set aside, if its job is known. Applying it
-    /// twice has no further effect.
-    pub fn apply_deferred_end(&mut self, aside: &DeferredEnd, now: Now) {
-        let DeferredEnd { worker, end } = aside;
+    /// Applies a deferred end, if its job is known. Applying it twice has no
+    /// further effect.
+    pub fn apply_deferred_end(&mut self, deferred: &DeferredEnd, now: Now) {
+        let DeferredEnd { worker, end } = deferred;
         let (worker, task) = (WorkerId::new(worker), &end.task);
         let Some(job) = self.jobs.get_mut(&task.job) else { return };
         if job.phase.is_final() {
--- a/crates/dewspar/src/schedule/vm_stability.rs
+++ b/crates/dewspar/src/schedule/vm_stability.rs
@@ -58,13 +58,13 @@
         now: Now,
     ) -> bool {
         let Some(vm) = vm else { return false };
-        let steady = self.vm_stability(vm, now) == VmStability::Stable;
+        let was_stable = self.vm_stability(vm, now) == VmStability::Stable;
         self.vm_crashes.retain(|_, crashes| {
             crashes.stability(now.steady_ms) != VmStability::Stable
         });
         let crashes = self.vm_crashes.entry(vm.to_owned()).or_default();
         crashes.note(now.steady_ms);
-        steady
+        was_stable
     }
 
     /// Returns the recent stability of a VM.
--- a/crates/dewspar/src/schedule/write_ahead.rs
+++ b/crates/dewspar/src/schedule/write_ahead.rs
@@ -25,9 +25,9 @@
 # Example
 
 ```text
-plan    b takes room on w1        record: b, told w1
-stored  the order goes to w1      w1 crashes, and the holder is lost
-next    b, told w1; w1 is gone    b has crashed a worker
+plan         b takes room on w1         record: b, ordered on w1
+stored       the order is sent to w1    w1 crashes, and the holder is lost
+next holder  b was ordered, w1 is gone: b has crashed a worker
 ```
 */
 
--- a/crates/dewspard/src/jobs/progress.rs
+++ b/crates/dewspard/src/jobs/progress.rs
@@ -235,7 +235,7 @@
             // stays on record, or is added if the job ended otherwise. With it
             // the next holder stops these tasks before it has loaded any job.
             batch = batch.delete(&keys::accepted(*id));
-            if changes.is_unstopped(*id) {
+            if changes.has_active_runs(*id) {
                 batch = batch.put(&keys::cancelled(*id), Vec::new());
             }
         }
