--- a/crates/dewspard/src/jobs/counts.rs
+++ b/crates/dewspard/src/jobs/counts.rs
@@ -50,14 +50,14 @@
 const OWN_COUNT_CACHE_MS: u64 = 1_000;
 
 /// The number of waiting jobs of each queue.
-pub(super) type WaitingJobs = BTreeMap<String, u64>;
+pub(super) type WaitingCounts = BTreeMap<String, u64>;
 
 /// The holder's side: decides when counts are written, and under which
 /// condition.
 #[derive(Debug, Default)]
 pub(super) struct CountsWriter {
     /// The counts of the last write.
-    last_written: WaitingJobs,
+    last_written: WaitingCounts,
     last_write_ms: u64,
     /// When the counts were last checked for changes.
     last_check_ms: u64,
@@ -87,7 +87,7 @@
     /// are unchanged and the record is recent.
     pub(super) fn begin_write(
         &mut self,
-        counts: WaitingJobs,
+        counts: WaitingCounts,
         held: &HeldLease,
         now_ms: u64,
     ) -> Option<Batch> {
@@ -122,7 +122,7 @@
     }
 
     /// Returns the counts of the last write.
-    pub(super) fn last_written(&self) -> &WaitingJobs {
+    pub(super) fn last_written(&self) -> &WaitingCounts {
         &self.last_written
     }
 }
@@ -130,7 +130,7 @@
 /// A reader's side: the cached counts from which callers are answered.
 #[derive(Debug, Default)]
 pub(super) struct CountsReader {
-    counts: WaitingJobs,
+    counts: WaitingCounts,
     /// When the cached counts expire.
     cached_until_ms: u64,
     /// The version of the record that was read last; 0 if there was none.
@@ -143,7 +143,7 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(super) enum CountsRecord {
     /// The current holder wrote it recently.
-    Fresh(WaitingJobs),
+    Fresh(WaitingCounts),
     /// There is no record, or it can't be relied on, for this reason.
     Unusable(&'static str),
 }
@@ -158,7 +158,7 @@
     }
 
     /// Returns the counts of a fresh record.
-    pub(super) fn counts(&self) -> Option<&WaitingJobs> {
+    pub(super) fn counts(&self) -> Option<&WaitingCounts> {
         match self {
             CountsRecord::Fresh(counts) => Some(counts),
             CountsRecord::Unusable(_) => None,
@@ -212,13 +212,17 @@
     }
 
     /// Caches a holder's counts.
-    pub(super) fn use_record(&mut self, counts: WaitingJobs, now_ms: u64) {
+    pub(super) fn use_record(&mut self, counts: WaitingCounts, now_ms: u64) {
         self.counts = counts;
         self.cached_until_ms = now_ms + RECORD_CACHE_MS;
     }
 
     /// Caches counts that this node made itself.
-    pub(super) fn use_own_count(&mut self, counts: WaitingJobs, now_ms: u64) {
+    pub(super) fn use_own_count(
+        &mut self,
+        counts: WaitingCounts,
+        now_ms: u64,
+    ) {
         self.counts = counts;
         self.cached_until_ms = now_ms + OWN_COUNT_CACHE_MS;
     }
--- a/crates/dewspard/src/jobs/decisions.rs
+++ b/crates/dewspard/src/jobs/decisions.rs
@@ -44,13 +44,13 @@
                 "task" => %task, "worker" => %worker,
                 "place" => place.as_ref().map(|place| place.to_string()));
         }
-        Decision::LongWait { task, tasks, waited_ms, reason, unfit: lack } => {
+        Decision::LongWait { task, tasks, waited_ms, reason, unfit } => {
             warn!(log, "task: waits"; "job" => %task.job, "task" => %task,
                 "tasks" => tasks, "waited_ms" => waited_ms,
-                "reason" => reason, "workers" => lack.workers,
-                "closed" => lack.closed, "short_of_cpu" => lack.cpu,
-                "short_of_memory" => lack.memory,
-                "with_siblings" => lack.siblings, "barred" => lack.barred);
+                "reason" => reason, "workers" => unfit.workers,
+                "closed" => unfit.closed, "short_of_cpu" => unfit.cpu,
+                "short_of_memory" => unfit.memory,
+                "with_siblings" => unfit.siblings, "barred" => unfit.barred);
             counters::count_by(counters::LONG_WAITS, "reason", reason);
         }
         Decision::StopFinished { task, run, worker, cause, stop } => {
@@ -76,11 +76,11 @@
             worker,
             reason,
             age_ms,
-            other_runs: beside,
+            other_runs,
         } => {
             warn!(log, "task: run lost"; "job" => %task.job,
                 "task" => %task, "run" => run, "worker" => %worker,
-                "reason" => reason, "age_ms" => age_ms, "beside" => beside);
+                "reason" => reason, "age_ms" => age_ms, "beside" => other_runs);
             counters::count_by(counters::TASK_ENDS, "cause", "lost");
         }
         Decision::StartInDoubt { task, worker, for_ms } => {
@@ -198,9 +198,9 @@
 
 /// Formats the reasons for which VMs remain, each with its number of VMs.
 fn format_reasons(left: &RemainingVms) -> String {
-    let kept = left.by_reason();
-    let kept = kept.iter().filter(|(_, vms)| *vms > 0);
-    let kept: Vec<String> =
-        kept.map(|(reason, vms)| format!("{reason} {vms}")).collect();
-    kept.join(", ")
+    let remaining = left.by_reason();
+    let remaining = remaining.iter().filter(|(_, vms)| *vms > 0);
+    let remaining: Vec<String> =
+        remaining.map(|(reason, vms)| format!("{reason} {vms}")).collect();
+    remaining.join(", ")
 }
--- a/crates/dewspard/src/jobs/deferred_ends.rs
+++ b/crates/dewspard/src/jobs/deferred_ends.rs
@@ -61,26 +61,26 @@
         let Some(ends) = self.by_job.get_mut(&id) else {
             return Vec::new();
         };
-        let over = progress.phase.is_final();
+        let finished = progress.phase.is_final();
         let applied = self.applied.contains(&id);
-        let is_obsolete = |aside: &mut DeferredEnd| {
-            over || applied && is_recorded(progress, aside)
+        let is_obsolete = |deferred: &mut DeferredEnd| {
+            finished || applied && is_recorded(progress, deferred)
         };
-        let stored = ends.extract_if(.., is_obsolete).collect();
+        let obsolete = ends.extract_if(.., is_obsolete).collect();
         if ends.is_empty() {
             self.by_job.remove(&id);
         }
-        stored
+        obsolete
     }
 }
 
 /// Returns whether a job's record includes the end of this run or a later one
 /// of the same task.
-fn is_recorded(progress: &Progress, aside: &DeferredEnd) -> bool {
-    let DeferredEnd { end, .. } = aside;
+fn is_recorded(progress: &Progress, deferred: &DeferredEnd) -> bool {
+    let DeferredEnd { end, .. } = deferred;
     progress.tasks.iter().any(|record| {
-        let place = (record.round, record.step, record.index);
-        place == (end.task.round, end.task.step, end.task.index)
+        let position = (record.round, record.step, record.index);
+        position == (end.task.round, end.task.step, end.task.index)
             && record.run >= end.run
     })
 }
@@ -91,7 +91,7 @@
 /// # Errors
 ///
 /// An error of the store.
-pub(super) async fn load_ends<K: KeyValue>(
+pub(super) async fn load_deferred_ends<K: KeyValue>(
     store: &K,
     log: &Logger,
 ) -> Result<Vec<DeferredEnd>, Error> {
@@ -225,10 +225,10 @@
 fn ends_batch(lease_revision: u64, ends: &DeferredEndBatch) -> Batch {
     let lease = Expected::Version(lease_revision);
     let batch = Batch::default().when(keys::OWNER, lease);
-    ends.ends().fold(batch, |batch, aside| {
+    ends.ends().fold(batch, |batch, deferred| {
         // OK because it has only values that JSON can represent.
-        let value = serde_json::to_vec(aside).expect("plain JSON");
-        let DeferredEnd { end, .. } = aside;
+        let value = serde_json::to_vec(deferred).expect("plain JSON");
+        let DeferredEnd { end, .. } = deferred;
         batch.put(&keys::end(&end.task, end.run), value)
     })
 }
--- a/crates/dewspard/src/jobs/event.rs
+++ b/crates/dewspard/src/jobs/event.rs
@@ -44,7 +44,7 @@
 
 /// The holder has stopped, and the channel is closed.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct HolderGone;
+pub(super) struct HolderStopped;
 
 /// Sends events to the holder. Clones share the channel.
 #[derive(Clone, Debug)]
@@ -60,10 +60,13 @@
     ///
     /// # Errors
     ///
-    /// [`HolderGone`] if the holder has stopped.
-    pub(super) async fn send(&self, event: Event) -> Result<(), HolderGone> {
+    /// [`HolderStopped`] if the holder has stopped.
+    pub(super) async fn send(
+        &self,
+        event: Event,
+    ) -> Result<(), HolderStopped> {
         let sent = SentEvent { event, sent_ms: clock::now_ms() };
-        self.0.send(sent).await.map_err(|_| HolderGone)
+        self.0.send(sent).await.map_err(|_| HolderStopped)
     }
 }
 
--- a/crates/dewspard/src/jobs/feeds.rs
+++ b/crates/dewspard/src/jobs/feeds.rs
@@ -29,8 +29,8 @@
 
 /// The pace of reads of the directory of workers. A read takes 300 bytes for
 /// each worker, and new workers are looked up individually in between. Other
-/// changes, such as that a worker drains, are noticed with this delay; from 2
-/// s on the directory counts as out of date.
+/// changes, such as that a worker drains, are noticed with this delay. The
+/// directory counts as out of date from 2 s on.
 const DIRECTORY_POLL_PACE: PollPace =
     PollPace { least_ms: 250, most_ms: 1_500, share_percent: 5 };
 
@@ -54,19 +54,19 @@
 /// The delay before a failed call to the store is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// The means to measure the cost of a node's reads: its machine and its
+/// Measures the cost of a node's reads, from its machine's speed and its
 /// network traffic.
 #[derive(Clone, Debug)]
-pub(super) struct PollCost {
+pub(super) struct PollMeter {
     pub(super) machine: Machine,
     pub(super) traffic: Traffic,
 }
 
-impl PollCost {
+impl PollMeter {
     /// Begins a read whose calls are counted under this purpose.
     fn begin(&self, purpose: Purpose) -> Poll<'_> {
         let received = self.received(purpose);
-        Poll { cost: self, purpose, received, requested_ms: clock::now_ms() }
+        Poll { meter: self, purpose, received, requested_ms: clock::now_ms() }
     }
 
     fn received(&self, purpose: Purpose) -> u64 {
@@ -76,7 +76,7 @@
 
 /// A read in progress.
 struct Poll<'a> {
-    cost: &'a PollCost,
+    meter: &'a PollMeter,
     purpose: Purpose,
     /// The bytes that were received for its purpose before it began.
     received: u64,
@@ -86,8 +86,8 @@
 impl Poll<'_> {
     /// Pauses for as long as the pace requires after a read of this cost.
     async fn pause(self, pace: PollPace) {
-        let bytes = self.cost.received(self.purpose) - self.received;
-        let cost_ms = self.cost.machine.list_read_ms(bytes);
+        let bytes = self.meter.received(self.purpose) - self.received;
+        let cost_ms = self.meter.machine.list_read_ms(bytes);
         let took_ms = clock::now_ms().saturating_sub(self.requested_ms);
         sleep(Duration::from_millis(pace.pause_ms(cost_ms, took_ms))).await;
     }
@@ -96,11 +96,11 @@
 /// Polls the list of VMs until the holder stops.
 pub(super) async fn poll_vms<F: Fleet>(
     fleet: F,
-    cost: PollCost,
+    meter: PollMeter,
     sender: EventSender,
 ) {
     loop {
-        let poll = cost.begin(Purpose::Vms);
+        let poll = meter.begin(Purpose::Vms);
         let requested_ms = poll.requested_ms;
         match fleet.vms().await {
             Ok(vms) => {
@@ -135,7 +135,7 @@
                 info!(log, "holder: feed interrupted";
                     "version" => progress.version(), "error" => %error);
                 sleep(RETRY_DELAY).await;
-                after_failure(&error)
+                resume_after_failure(&error)
             }
             newest = wait_for_silence(&store, &progress, &sender) => {
                 counters::count(counters::SILENT_FEEDS);
@@ -143,7 +143,7 @@
                 info!(log, "holder: feed silent";
                     "version" => version, "newest" => newest);
                 let previous = last_silent_version.replace(version);
-                after_silence(version, previous)
+                resume_after_silence(version, previous)
             }
         };
         match next {
@@ -175,7 +175,7 @@
     FullRead,
 }
 
-fn after_failure(error: &Error) -> FeedResume {
+fn resume_after_failure(error: &Error) -> FeedResume {
     match error {
         Error::HistoryGone { .. } => FeedResume::FullRead,
         _ => FeedResume::Watch,
@@ -184,7 +184,7 @@
 
 /// Chooses a full read if a new watch was silent at the same version as the
 /// one that it replaced: a third watch wouldn't help either.
-fn after_silence(version: u64, previous: Option<u64>) -> FeedResume {
+fn resume_after_silence(version: u64, previous: Option<u64>) -> FeedResume {
     if previous == Some(version) {
         FeedResume::FullRead
     } else {
@@ -312,11 +312,11 @@
 /// Polls the directory of workers until the holder stops.
 pub(super) async fn poll_directory<F: Fleet>(
     fleet: F,
-    cost: PollCost,
+    meter: PollMeter,
     sender: EventSender,
 ) {
     loop {
-        let poll = cost.begin(Purpose::Directory);
+        let poll = meter.begin(Purpose::Directory);
         match fleet.workers().await {
             Ok(listings) => {
                 let requested_ms = poll.requested_ms;
--- a/crates/dewspard/src/jobs/holder.rs
+++ b/crates/dewspard/src/jobs/holder.rs
@@ -23,7 +23,7 @@
         election::{Candidate, HeldLease},
         event::{self, Event, EventSender, SentEvent},
         feeds::{
-            PollCost, follow_feed, look_up_worker, poll_directory, poll_vms,
+            PollMeter, follow_feed, look_up_worker, poll_directory, poll_vms,
             renew_lease,
         },
         intake::FeedOrigin,
@@ -108,13 +108,13 @@
         candidate.log.clone(),
     ));
     tasks.spawn(renew_lease(store(Purpose::Lease), held, sender.clone()));
-    let cost = PollCost {
+    let meter = PollMeter {
         machine: candidate.machine.clone(),
         traffic: candidate.traffic.clone(),
     };
     let fleet = || candidate.fleet.clone();
-    tasks.spawn(poll_directory(fleet(), cost.clone(), sender.clone()));
-    tasks.spawn(poll_vms(fleet(), cost, sender.clone()));
+    tasks.spawn(poll_directory(fleet(), meter.clone(), sender.clone()));
+    tasks.spawn(poll_vms(fleet(), meter, sender.clone()));
     tasks.spawn(takeover::load(
         store(Purpose::Takeover),
         fleet(),
@@ -173,6 +173,7 @@
     holder.run(events).await
 }
 
+/// The state of the lease holder, which handles events and plans.
 pub(super) struct Holder<'a, K, W, F> {
     pub(super) candidate: &'a Candidate<K, W, F>,
     /// The workers, reached over relays if there are any.
@@ -266,11 +267,11 @@
                 let Ok(event) = events.try_recv() else { break };
                 self.handle_event(event);
             }
-            if let Some(outcome) = self.plan_and_dispatch() {
-                if outcome.releases_lease() {
+            if let Some(step_down) = self.plan_and_dispatch() {
+                if step_down.releases_lease() {
                     self.flush_changes().await;
                 }
-                return outcome;
+                return step_down;
             }
         }
     }
@@ -385,13 +386,13 @@
     }
 
     fn apply_fleet_state(&mut self, fleet_state: LoadedFleetState, now: Now) {
-        let orderer = self.candidate.order_issuer();
+        let issuer = self.candidate.order_issuer();
         self.vm_orders.found(fleet_state.vm_orders.version);
         let ordered = fleet_state.vm_orders.vms.as_ref();
         self.vm_orders_recorded = ordered.is_some_and(|vms| !vms.is_empty());
         self.scheduler.hold_off_vm_orders(
             now,
-            &orderer,
+            &issuer,
             fleet_state.vm_orders.vms,
         );
         self.counts.set_version(fleet_state.counts_version);
@@ -440,11 +441,11 @@
     /// Plans once, and dispatches the resulting orders and writes.
     fn plan_and_dispatch(&mut self) -> Option<StepDown> {
         let now = now();
-        let lease_over_ms = self.held.renewed_ms + self.held.lease_ms;
-        if now.steady_ms > lease_over_ms + MAX_DETACHED_MS {
+        let lease_expiry_ms = self.held.renewed_ms + self.held.lease_ms;
+        if now.steady_ms > lease_expiry_ms + MAX_DETACHED_MS {
             return Some(StepDown::Lost("the lease couldn't be renewed"));
         }
-        self.workers.set_relaying_paused(now.steady_ms >= lease_over_ms);
+        self.workers.set_relaying_paused(now.steady_ms >= lease_expiry_ms);
         if !self.is_lease_confirmed(now) {
             return self.lost_reason.map(StepDown::Lost);
         }
@@ -462,8 +463,8 @@
         }
         // Until the lease expires the store may still show that the worker's
         // token is wrong.
-        let uncertain = now.steady_ms >= lease_over_ms;
-        if uncertain && self.scheduler.may_be_superseded() {
+        let may_be_expired = now.steady_ms >= lease_expiry_ms;
+        if may_be_expired && self.scheduler.may_be_superseded() {
             return Some(StepDown::Lost("a worker has seen a newer holder"));
         }
         if self.scheduler.is_out_of_tokens() {
@@ -538,9 +539,9 @@
 
     /// Sends orders to the VM service, as long as the lease hasn't expired.
     fn order_vms(&mut self, now: Now) {
-        let lease_over_ms = self.held.renewed_ms + self.held.lease_ms;
+        let lease_expiry_ms = self.held.renewed_ms + self.held.lease_ms;
         let due_ms = self.last_vm_plan_ms + VM_PLAN_INTERVAL_MS;
-        if now.steady_ms >= lease_over_ms || now.steady_ms < due_ms {
+        if now.steady_ms >= lease_expiry_ms || now.steady_ms < due_ms {
             return;
         }
         // One write of the record at a time: an older one must not replace a
--- a/crates/dewspard/src/jobs/intake.rs
+++ b/crates/dewspard/src/jobs/intake.rs
@@ -81,9 +81,9 @@
         self.loaded_progress = jobs.progress;
         self.apply_feed(jobs.feed, FeedOrigin::Loaded);
         // Finished jobs no longer have an entry in the feed.
-        let left = std::mem::take(&mut self.loaded_progress);
-        let over = left.iter().filter(|(_, p)| p.phase.is_final());
-        for (id, progress) in over {
+        let remaining = std::mem::take(&mut self.loaded_progress);
+        let finished = remaining.iter().filter(|(_, p)| p.phase.is_final());
+        for (id, progress) in finished {
             let job = AcceptedJob::default();
             self.scheduler.submit(*id, job, 0, Some(progress));
         }
--- a/crates/dewspard/src/jobs/lookup.rs
+++ b/crates/dewspard/src/jobs/lookup.rs
@@ -8,7 +8,7 @@
 use {
     super::{
         backoff::Backoff,
-        counts::{CountsReader, CountsRecord, WaitingJobs},
+        counts::{CountsReader, CountsRecord, WaitingCounts},
         front::{Frontend, RETRY_AFTER_MS},
         holder::to_json,
         keys::{self, FeedKey},
@@ -118,7 +118,7 @@
     pub(super) async fn count_open_jobs(
         &self,
         deadline: Instant,
-    ) -> Result<WaitingJobs, JobReply> {
+    ) -> Result<WaitingCounts, JobReply> {
         let open = self.open_jobs(deadline).await?;
         Ok(count_waiting(&open, clock::unix_ms()))
     }
@@ -258,8 +258,8 @@
 }
 
 /// Counts each queue's jobs that are due and of which no task has started.
-fn count_waiting(open: &[OpenJob], unix_ms: u64) -> WaitingJobs {
-    let mut counts = WaitingJobs::new();
+fn count_waiting(open: &[OpenJob], unix_ms: u64) -> WaitingCounts {
+    let mut counts = WaitingCounts::new();
     for job in open {
         if job.listed.phase == Phase::Queued && unix_ms >= job.due_ms {
             *counts.entry(job.queue.clone()).or_default() += 1;
--- a/crates/dewspard/src/jobs/orders.rs
+++ b/crates/dewspard/src/jobs/orders.rs
@@ -49,7 +49,7 @@
     match action {
         Action::Start { worker, address, order } => {
             let sending = workers.start(&address, &worker, &order);
-            let result = send_unless(outdated, sending).await;
+            let result = send_unless_outdated(outdated, sending).await;
             let took_ms = clock::now_ms().saturating_sub(time.now_ms);
             count_order("start", result.as_ref().err());
             let (task, run) = (order.task, order.run);
@@ -57,13 +57,13 @@
         }
         Action::Stop { worker, address, order } => {
             let sending = workers.stop(&address, &worker, &order);
-            let result = send_unless(outdated, sending).await;
+            let result = send_unless_outdated(outdated, sending).await;
             count_order("stop", result.as_ref().err());
             Event::StopAnswered { worker, task: order.task, result }
         }
         Action::Hold { worker, address, held } => {
             let sending = workers.hold(&address, &worker, held.order());
-            let result = send_unless(outdated, sending).await;
+            let result = send_unless_outdated(outdated, sending).await;
             count_order("hold", result.as_ref().err());
             Event::HoldAnswered { worker, held, result }
         }
@@ -78,7 +78,7 @@
         }
         Action::Pace { worker, address, order } => {
             let sending = workers.pace(&address, &worker, &order);
-            let result = send_unless(outdated, sending).await;
+            let result = send_unless_outdated(outdated, sending).await;
             count_order("pace", result.as_ref().err());
             Event::PaceAnswered { worker, order, result }
         }
@@ -99,7 +99,7 @@
 ///
 /// [`OrderError::NotSent`] for an outdated order, otherwise the error of the
 /// call.
-async fn send_unless<T>(
+async fn send_unless_outdated<T>(
     outdated: bool,
     sending: impl Future<Output = Result<T, OrderError>>,
 ) -> Result<T, OrderError> {
--- a/crates/dewspard/src/jobs/recount.rs
+++ b/crates/dewspard/src/jobs/recount.rs
@@ -12,7 +12,7 @@
 
 use {
     super::{
-        counts::{CountsReader, WaitingJobs},
+        counts::{CountsReader, WaitingCounts},
         front::{Frontend, RETRY_AFTER_MS},
         holder::to_json,
         keys,
@@ -41,7 +41,7 @@
 /// How a node obtains counts.
 enum CountSource {
     /// Another node has published its counts.
-    Published(WaitingJobs),
+    Published(WaitingCounts),
     /// This node has taken the lock at this version, and must count.
     LockTaken(u64),
     /// Another node holds the lock and is counting.
@@ -135,7 +135,7 @@
     /// another node may be counting.
     async fn publish_counts(
         &self,
-        counts: &WaitingJobs,
+        counts: &WaitingCounts,
         lock: u64,
     ) -> Result<(), Error> {
         let store = self.store.with_purpose(Purpose::Counts);
--- a/crates/dewspard/src/jobs/start_logs.rs
+++ b/crates/dewspard/src/jobs/start_logs.rs
@@ -60,20 +60,20 @@
 /// # Errors
 ///
 /// An error of the store.
-pub(super) async fn load_starts<K: KeyValue>(
+pub(super) async fn load_start_logs<K: KeyValue>(
     store: &K,
     log: &Logger,
 ) -> Result<LoadedStartLogs, Error> {
     let (_, found) = store.list(keys::START_LOGS).await?;
     let mut loaded = LoadedStartLogs::default();
     for item in found {
-        loaded.starts.extend(read_starts(&item, log));
+        loaded.starts.extend(parse_starts(&item, log));
         loaded.keys.push(item.key);
     }
     Ok(loaded)
 }
 
-fn read_starts(item: &Versioned, log: &Logger) -> Vec<LoggedStart> {
+fn parse_starts(item: &Versioned, log: &Logger) -> Vec<LoggedStart> {
     let log_skipped = |error: &serde_json::Error| {
         passed_over::record(
             log,
--- a/crates/dewspard/src/jobs/takeover.rs
+++ b/crates/dewspard/src/jobs/takeover.rs
@@ -16,11 +16,11 @@
 
 use {
     super::{
-        deferred_ends::load_ends,
-        event::{Event, EventSender, HolderGone},
+        deferred_ends::load_deferred_ends,
+        event::{Event, EventSender, HolderStopped},
         keys,
         progress::{FeedEvent, parse_feed},
-        start_logs::load_starts,
+        start_logs::load_start_logs,
         vm_orders::{LoadedVmOrders, LoadedWaves, load_vm_orders, load_waves},
     },
     crate::{clock, counters, passed_over},
@@ -104,7 +104,7 @@
     fleet: &F,
     sender: &EventSender,
     log: &Logger,
-) -> Result<(), HolderGone> {
+) -> Result<(), HolderStopped> {
     let fleet_state =
         retry_until_read(|| read_fleet_state(store, fleet, log)).await;
     sender.send(Event::FleetStateLoaded(fleet_state)).await
@@ -143,13 +143,13 @@
     store: &K,
     sender: &EventSender,
     log: &Logger,
-) -> Result<LoadTotals, HolderGone> {
+) -> Result<LoadTotals, HolderStopped> {
     let mut loaded = LoadTotals::default();
     let requested_ms = clock::now_ms();
     let ((_, cancelled), ends, starts) = tokio::join!(
         retry_until_read(|| store.list(keys::CANCELLED)),
-        retry_until_read(|| load_ends(store, log)),
-        retry_until_read(|| load_starts(store, log)),
+        retry_until_read(|| load_deferred_ends(store, log)),
+        retry_until_read(|| load_start_logs(store, log)),
     );
     let call_ms = clock::now_ms().saturating_sub(requested_ms);
     sender.send(Event::Feed(parse_feed(&cancelled, log))).await?;
@@ -199,7 +199,7 @@
     sender: &EventSender,
     log: &Logger,
     loaded: &mut LoadTotals,
-) -> Result<u64, HolderGone> {
+) -> Result<u64, HolderStopped> {
     let accepted = format!("{}{slice}", keys::ACCEPTED);
     let progress = format!("{}{slice}", keys::PROGRESS);
     let requested_ms = clock::now_ms();
--- a/crates/dewspard/src/jobs/vm_orders.rs
+++ b/crates/dewspard/src/jobs/vm_orders.rs
@@ -61,9 +61,9 @@
         };
         let recorded =
             matches!(event, Event::VmOrdersWritten(RecordWritten::Done(_)));
-        let lease_gone = matches!(event, Event::LeaseLost);
+        let lease_lost = matches!(event, Event::LeaseLost);
         // If the holder has stopped, the event isn't needed.
-        if events.send(event).await.is_err() || lease_gone {
+        if events.send(event).await.is_err() || lease_lost {
             return;
         }
         for order in order_batch.orders {
--- a/crates/dewspard/src/jobs/worker_lookups.rs
+++ b/crates/dewspard/src/jobs/worker_lookups.rs
@@ -114,7 +114,8 @@
     /// progress or the worker's backoff isn't over.
     fn begin(&mut self, id: &WorkerId) -> bool {
         let now = Instant::now();
-        let backing_off = self.backoffs.get(id).is_some_and(|r| now < r.until);
+        let backing_off =
+            self.backoffs.get(id).is_some_and(|backoff| now < backoff.until);
         !backing_off && self.in_flight.insert(id.clone())
     }
 
