--- a/crates/dewspard/src/jobs/deferred_ends.rs
+++ b/crates/dewspard/src/jobs/deferred_ends.rs
@@ -1,6 +1,6 @@
 /*!
-Deferred ends: ends of runs of jobs whose records can't be read, kept in the
-store until a holder can read the job.
+Deferred ends: ends of runs whose job can't be read, kept in the store until a
+holder can read the job.
 
 Each end has its own key, so that its write is idempotent and a delayed one
 replaces nothing else. Ends are read before the jobs, so that no task that is
--- a/crates/dewspard/src/jobs/event.rs
+++ b/crates/dewspard/src/jobs/event.rs
@@ -77,7 +77,7 @@
     Feed(Vec<FeedEvent>),
     /// A slice of the stored jobs.
     JobsLoaded(LoadedJobs),
-    /// Ends of runs of jobs whose records former holders couldn't read.
+    /// Ends of runs whose jobs former holders couldn't read.
     DeferredEndsLoaded(Vec<DeferredEnd>),
     /// The result of a write of such ends.
     DeferredEndsWritten {
--- a/crates/dewspard/src/jobs/load_stats.rs
+++ b/crates/dewspard/src/jobs/load_stats.rs
@@ -3,7 +3,7 @@
 
 One log line a second has the number of plans and their time, the number of
 events and their queueing delay, the orders in flight, and the network traffic
-by purpose. The same figures are exported as metrics.
+by purpose. Some of these figures are also exported as metrics.
 */
 
 use {
