--- a/crates/dewspar/src/schedule/hold_answers.rs
+++ b/crates/dewspar/src/schedule/hold_answers.rs
@@ -57,11 +57,11 @@
         now: Now,
     ) {
         self.hold_ended(held, None, now);
-        let told = report.incarnation;
-        match self.check_incarnation(worker_id, told, "an answer") {
+        let incarnation = report.incarnation;
+        match self.check_incarnation(worker_id, incarnation, "an answer") {
             IncarnationOrder::Same => {}
             IncarnationOrder::Newer => {
-                self.next_process_answered(worker_id, told, now);
+                self.next_process_answered(worker_id, incarnation, now);
                 return;
             }
             IncarnationOrder::Older => {
@@ -75,13 +75,17 @@
         if held.session != worker.session {
             return;
         }
-        worker.listing.incarnation = told;
+        worker.listing.incarnation = incarnation;
         worker.back_off(now.steady_ms + pause_ms);
         let first = !worker.synced;
         let latest_ms = worker.latest_report_ms();
-        let owed = DueHold { order: held.order, fencing: held.fencing };
-        let newest =
-            worker.hold_answered(&owed, report, now.steady_ms, &self.options);
+        let due_hold = DueHold { order: held.order, fencing: held.fencing };
+        let newest = worker.hold_answered(
+            &due_hold,
+            report,
+            now.steady_ms,
+            &self.options,
+        );
         let passed_over = worker.record_lists_passed_over(newest);
         if passed_over {
             self.note(Decision::StaleReportIgnored {
@@ -151,8 +155,9 @@
         let Some(worker) = self.workers.get_mut(worker_id) else { return };
         // The hold was sent to the known process, so this counts as no answer.
         if held.session == worker.session {
-            let owed = DueHold { order: held.order, fencing: held.fencing };
-            worker.hold_failed(&owed, now.steady_ms, &self.options);
+            let due_hold =
+                DueHold { order: held.order, fencing: held.fencing };
+            worker.hold_failed(&due_hold, now.steady_ms, &self.options);
         }
     }
 
@@ -169,9 +174,9 @@
         if held.session != worker.session {
             return;
         }
-        let owed = DueHold { order: held.order, fencing: held.fencing };
+        let due_hold = DueHold { order: held.order, fencing: held.fencing };
         let was_silent = worker.silent_since_ms.is_some();
-        worker.hold_failed(&owed, now.steady_ms, &self.options);
+        worker.hold_failed(&due_hold, now.steady_ms, &self.options);
         let current = held.order.fence == worker.fence();
         match error {
             OrderError::Refused(Refusal::OtherLife) => {
--- a/crates/dewspar/src/schedule/unseen_starts.rs
+++ b/crates/dewspar/src/schedule/unseen_starts.rs
@@ -154,7 +154,7 @@
             Some(_) => Outcome::Crashed,
         };
         let here =
-            |_: &TaskId, told: &mut RecordedStart| told.worker == *worker;
+            |_: &TaskId, start: &mut RecordedStart| start.worker == *worker;
         let starts: Vec<TaskId> = self
             .recorded_starts
             .extract_if(.., here)
@@ -171,20 +171,20 @@
         start: &RecordedStart,
         now: Now,
     ) -> Outcome {
-        let Some(told) = self.workers.get(&start.worker) else {
+        let Some(worker) = self.workers.get(&start.worker) else {
             let known = self.workers_known;
             return if known { Outcome::Crashed } else { Outcome::Pending };
         };
-        if told.runs.contains_key(task) {
+        if worker.runs.contains_key(task) {
             return Outcome::Found;
         }
-        let known = told.listing.incarnation;
+        let known = worker.listing.incarnation;
         if IncarnationOrder::compare(known, start.process)
             == IncarnationOrder::Newer
         {
             return Outcome::Crashed;
         }
-        if told.runs_are_known() {
+        if worker.runs_are_known() {
             return Outcome::NotRunning;
         }
         let settled = self.taken_over_ms + self.copy_after_ms();
