--- a/crates/dewspar/src/schedule/job_state.rs
+++ b/crates/dewspar/src/schedule/job_state.rs
@@ -303,17 +303,17 @@
     /// holder has to know, or an empty string if none was ordered yet. Returns
     /// `None` if there is no such run.
     fn recorded_worker(&self) -> Option<String> {
-        let wanted = !self.done && self.crashes.has_recorded_run();
-        let told = || self.workers.last().map_or("", WorkerId::as_str);
-        wanted.then(|| told().to_owned())
+        let recorded = !self.done && self.crashes.has_recorded_run();
+        let ordered = || self.workers.last().map_or("", WorkerId::as_str);
+        recorded.then(|| ordered().to_owned())
     }
 
     /// Returns when the process of that worker was started, in milliseconds of
     /// the Unix epoch, if it reports that.
     fn recorded_process(&self) -> Option<u64> {
-        let told = !self.done && self.crashes.has_recorded_run();
+        let recorded = !self.done && self.crashes.has_recorded_run();
         let process = self.ordered_process.started_unix_ms();
-        process.filter(|_| told && !self.workers.is_empty())
+        process.filter(|_| recorded && !self.workers.is_empty())
     }
 }
 
--- a/crates/dewspar/src/schedule/long_waits.rs
+++ b/crates/dewspar/src/schedule/long_waits.rs
@@ -70,13 +70,12 @@
 
     /// Returns the first waiting task of each long-running step that is ready.
     pub(super) fn waiting_long_running_steps(&self) -> Vec<TaskId> {
-        let lasting =
-            self.candidates.long_running_steps().filter_map(|step| {
-                let step_state = self.jobs.get(&step.job)?.step(&step)?;
-                let index = *step_state.waiting.first()?;
-                Some(TaskId { index, ..step })
-            });
-        lasting.collect()
+        let steps = self.candidates.long_running_steps().filter_map(|step| {
+            let step_state = self.jobs.get(&step.job)?.step(&step)?;
+            let index = *step_state.waiting.first()?;
+            Some(TaskId { index, ..step })
+        });
+        steps.collect()
     }
 
     /// Reports why a task waits, if a report is due. Returns whether it was.
--- a/crates/dewspar/src/schedule/placement.rs
+++ b/crates/dewspar/src/schedule/placement.rs
@@ -94,7 +94,7 @@
         if !self.may_start() {
             return;
         }
-        let mut without_place = BTreeSet::new();
+        let mut pools_without_room = BTreeSet::new();
         let mut pools = PoolCache::default();
         let late_last = self.placing().late_last;
         self.candidates.update(&mut self.jobs, late_last, now);
@@ -111,28 +111,28 @@
             let suspects: Vec<TaskId> = candidates
                 .ordered
                 .iter()
-                .filter(|(_, wanted)| all || wanted.suspects)
+                .filter(|(_, required)| all || required.suspects)
                 .flat_map(|(candidate, _)| self.waiting_suspects(candidate))
                 .collect();
             self.announce_starts(&suspects);
             self.reserve_workers(&suspects, now);
         }
-        for (candidate, wanted) in &candidates.ordered {
+        for (candidate, required) in &candidates.ordered {
             if !self.may_start() {
                 break;
             }
             // The step that found the pool full asked for no more than this
             // one and has already reported the shortage. Tasks with a
             // reservation don't need free room.
-            if pools.full.is_full_for(wanted.pool, &wanted.demand)
+            if pools.full.is_full_for(required.pool, &required.demand)
                 && !self.places.has_any_for(candidate)
             {
                 continue;
             }
             let lacking =
-                self.start_step(candidate, wanted, now, &mut pools, actions);
+                self.start_step(candidate, required, now, &mut pools, actions);
             if let Some(pool) = lacking {
-                without_place.insert(pool);
+                pools_without_room.insert(pool);
             }
         }
         self.candidates = candidates;
@@ -140,9 +140,9 @@
         // clear the record of pools without room.
         if self.may_start() {
             self.unplaced_since_ms
-                .retain(|pool, _| without_place.contains(pool));
+                .retain(|pool, _| pools_without_room.contains(pool));
         }
-        for pool in without_place {
+        for pool in pools_without_room {
             self.unplaced_since_ms.entry(pool).or_insert(now.steady_ms);
         }
     }
@@ -156,7 +156,7 @@
     fn start_step(
         &mut self,
         candidate: &Candidate,
-        wanted: &Requirements,
+        required: &Requirements,
         now: Now,
         pools: &mut PoolCache,
         actions: &mut Vec<Action>,
@@ -204,15 +204,15 @@
         let task = |index: u32| TaskId { index, ..first };
         let any =
             waiting.iter().find(|i| !self.needs_own_placement(&task(**i)));
-        let mut alike =
+        let mut uniform =
             any.and_then(|i| self.uniform_placement(spec, &task(*i), now));
-        let mut without_place = false;
+        let mut lacks_room = false;
         for index in waiting {
             if !self.may_start() {
                 break;
             }
             let task = TaskId { index, ..first };
-            let chosen = match &mut alike {
+            let chosen = match &mut uniform {
                 Some(places) if !self.needs_own_placement(&task) => {
                     places.next(self, &task).ok_or(PlacementError::NoRoom)
                 }
@@ -229,9 +229,11 @@
                 }
                 Err(PlacementError::NoRoom) if self.is_in_doubt(&task) => {}
                 Err(PlacementError::NoRoom) => {
-                    without_place = true;
+                    lacks_room = true;
                     if self.is_unconstrained(spec, &task) {
-                        pools.full.record_refusal(wanted.pool, wanted.demand);
+                        pools
+                            .full
+                            .record_refusal(required.pool, required.demand);
                     }
                     // If one task finds no room, only tasks that need an
                     // individual search might.
@@ -241,7 +243,7 @@
                 }
             }
         }
-        (without_place && fits).then_some(pool)
+        (lacks_room && fits).then_some(pool)
     }
 
     /// Returns the waiting tasks of a step that may crash their workers.
@@ -386,7 +388,7 @@
             spec.long_running || self.may_retry_failed_worker(spec, task, now);
         move |worker| {
             let (Some(_), Some(state)) = (job, state) else { return false };
-            let apart = || {
+            let below_limit = || {
                 let most = spec.max_per_worker as usize;
                 most == 0 || worker.runs_of_step(task) < most
             };
@@ -409,7 +411,7 @@
                 && (may_retry_failed_worker
                     || !state.avoid.contains(worker.id()))
                 && has_label(worker, &spec.required_label)
-                && apart()
+                && below_limit()
                 && !self.is_denied(task, worker.id())
         }
     }
@@ -463,8 +465,8 @@
         now: Now,
     ) -> Option<&Worker> {
         let state = self.jobs.get(&task.job)?.task(task)?;
-        let apart = self.is_isolated(spec, state);
-        let score = |worker: &Worker| match apart {
+        let isolated = self.is_isolated(spec, state);
+        let score = |worker: &Worker| match isolated {
             true => self.isolation_score(worker, spec),
             false => self.score_for(worker, spec),
         };
--- a/crates/dewspar/src/schedule/placement/candidates.rs
+++ b/crates/dewspar/src/schedule/placement/candidates.rs
@@ -146,7 +146,7 @@
         &self,
     ) -> impl Iterator<Item = TaskId> {
         let long_running =
-            self.ordered.iter().filter(|(_, wanted)| wanted.long_running);
+            self.ordered.iter().filter(|(_, required)| required.long_running);
         long_running.map(|(candidate, _)| candidate.first_task())
     }
 
@@ -155,8 +155,8 @@
         &self,
     ) -> BTreeMap<&str, u32> {
         let mut first: BTreeMap<PoolNumber, u32> = BTreeMap::new();
-        for (candidate, wanted) in &self.ordered {
-            first.entry(wanted.pool).or_insert(candidate.priority);
+        for (candidate, required) in &self.ordered {
+            first.entry(required.pool).or_insert(candidate.priority);
         }
         let pools = self.pools.iter();
         let known = pools.filter_map(|(pool, number)| {
--- a/crates/dewspar/src/schedule/placement/gang.rs
+++ b/crates/dewspar/src/schedule/placement/gang.rs
@@ -39,14 +39,15 @@
         }
         let run = members.iter().map(|task| self.next_run_number(task)).max();
         let run = run.unwrap_or(1);
-        let places = self.find_gang_workers(spec, &members, run, now, actions);
-        if places.len() < members.len() {
+        let placements =
+            self.find_gang_workers(spec, &members, run, now, actions);
+        if placements.len() < members.len() {
             return false;
         }
         self.share_checkpoint(&members);
         // All members start together, even if the window of in-flight orders
         // has room for fewer.
-        for (task, worker) in members.iter().zip(places) {
+        for (task, worker) in members.iter().zip(placements) {
             actions.extend(self.start(spec, task, run, worker, now));
         }
         true
@@ -62,14 +63,14 @@
         now: Now,
         actions: &mut Vec<Action>,
     ) -> Vec<WorkerId> {
-        let mut places = Vec::new();
+        let mut placements = Vec::new();
         let mut suspended = Vec::new();
         for task in members {
             match self.choose_worker(spec, task, now) {
                 Ok(worker) => {
                     suspended.extend(self.suspend_reservation(task, now));
                     self.reserve_tentatively(spec, task, run, &worker, now);
-                    places.push(worker);
+                    placements.push(worker);
                 }
                 Err(PlacementError::NoTicket) => {
                     actions.extend(self.request_advice(spec, task, now));
@@ -78,19 +79,19 @@
                 Err(PlacementError::NoRoom) => break,
             }
         }
-        for (task, worker) in members.iter().zip(&places) {
+        for (task, worker) in members.iter().zip(&placements) {
             if let Some(worker) = self.workers.get_mut(worker) {
                 // Resets the idle time: the worker is needed as soon as the
                 // other members have workers.
                 worker.remove(task, now.steady_ms);
             }
         }
-        if places.len() < members.len() {
-            for place in suspended {
-                self.restore_reservation(place);
+        if placements.len() < members.len() {
+            for reservation in suspended {
+                self.restore_reservation(reservation);
             }
         }
-        places
+        placements
     }
 
     /// Reserves capacity for a member while workers for the others are
--- a/crates/dewspar/src/schedule/placement/uniform.rs
+++ b/crates/dewspar/src/schedule/placement/uniform.rs
@@ -65,13 +65,13 @@
         let job = self.jobs.get(&next.job)?;
         // Here a placed task affects the score of its worker in other ways
         // than by making it fuller.
-        let one_by_one = spec.max_per_worker > 0
+        let needs_individual_placement = spec.max_per_worker > 0
             || spec.long_running
             || spec.best_effort
             || spec.serves()
             || job.terms.advice.is_some()
             || !self.placing().fullest_first;
-        if one_by_one {
+        if needs_individual_placement {
             return None;
         }
         let suitable =
--- a/crates/dewspar/src/schedule/reservations.rs
+++ b/crates/dewspar/src/schedule/reservations.rs
@@ -84,7 +84,7 @@
 /// All reservations.
 #[derive(Debug, Default)]
 pub(super) struct Reservations {
-    planned: BTreeMap<TaskId, Reservation>,
+    by_task: BTreeMap<TaskId, Reservation>,
     /// The demand of tasks that should move but for which their pool has no
     /// room.
     unplaced: Unplaced,
@@ -103,14 +103,14 @@
 impl Reservations {
     /// Returns the worker on which capacity is reserved for a task.
     pub(super) fn worker_for(&self, task: &TaskId) -> Option<&WorkerId> {
-        self.planned.get(task).map(|planned| &planned.to)
+        self.by_task.get(task).map(|reservation| &reservation.to)
     }
 
     /// Returns whether capacity is reserved for any task of a step.
     pub(super) fn has_any_for(&self, step: &Candidate) -> bool {
         let first = step.first_task();
         let last = TaskId { index: u32::MAX, ..first };
-        self.planned.range(first..=last).next().is_some()
+        self.by_task.range(first..=last).next().is_some()
     }
 }
 
@@ -130,8 +130,8 @@
         if self.is_long_running_gang(task) {
             return self.plan_gang_move(task, now);
         }
-        if let Some(planned) = self.places.planned.get(task) {
-            let to = planned.to.clone();
+        if let Some(reservation) = self.places.by_task.get(task) {
+            let to = reservation.to.clone();
             return self.claim_reserved_room(task, &to).then_some(to);
         }
         if let Some(to) = self.best_worker_for(task, now).cloned() {
@@ -170,9 +170,9 @@
         let Some(worker) = self.workers.get_mut(to) else { return };
         let was_free = worker.free().contains(&room);
         worker.reserve_for(*task, ReservedRoom { room, was_free });
-        let planned =
+        let reservation =
             Reservation { from, to: to.clone(), unfit_since_ms: None };
-        self.places.planned.insert(*task, planned);
+        self.places.by_task.insert(*task, reservation);
     }
 
     /// Renews the reservation of a task whose start has failed; tasks of
@@ -256,7 +256,7 @@
     /// and switches to workers that are free earlier.
     fn review_reservations(&mut self, now: Now) {
         let mut pending = Vec::new();
-        let tasks = self.places.planned.keys().copied();
+        let tasks = self.places.by_task.keys().copied();
         let singles = tasks.filter(|task| !self.is_long_running_gang(task));
         let singles: Vec<TaskId> = singles.collect();
         for task in singles {
@@ -284,21 +284,23 @@
     /// Reserves capacity on another worker for a task whose reservation is
     /// lost.
     fn replace_reservation(&mut self, task: &TaskId, now: Now) {
-        let Some(planned) = self.places.planned.get(task).cloned() else {
+        let Some(reservation) = self.places.by_task.get(task).cloned() else {
             return;
         };
         self.release_reservation(task, now);
         let place = self.best_worker_for(task, now).cloned();
         let place = place.or_else(|| self.worker_with_room_soon(task, now));
         if let Some(to) = place {
-            self.reserve_room(task, planned.from, &to);
+            self.reserve_room(task, reservation.from, &to);
         }
     }
 
     /// Moves a pending reservation to a worker that has room now.
     fn switch_to_free_worker(&mut self, task: &TaskId, now: Now) {
-        let planned = self.places.planned.get(task);
-        let Some(from) = planned.map(|planned| planned.from.clone()) else {
+        let reservation = self.places.by_task.get(task);
+        let Some(from) =
+            reservation.map(|reservation| reservation.from.clone())
+        else {
             return;
         };
         if let Some(to) = self.best_worker_for(task, now).cloned() {
@@ -402,11 +404,11 @@
         task: &TaskId,
         demand: &Resources,
     ) -> bool {
-        let Some(planned) = self.places.planned.get(task) else {
+        let Some(reservation) = self.places.by_task.get(task) else {
             return false;
         };
-        let place = self.workers.get(&planned.to);
-        place.is_some_and(|p| !p.free_for(task).contains(demand))
+        let worker = self.workers.get(&reservation.to);
+        worker.is_some_and(|w| !w.free_for(task).contains(demand))
     }
 
     /// Returns the number of VMs that a pool needs to place all tasks that
@@ -430,48 +432,53 @@
 
     /// Releases the reservation of a task, if it has one.
     pub(super) fn release_reservation(&mut self, task: &TaskId, now: Now) {
-        let Some(planned) = self.places.planned.remove(task) else { return };
-        if let Some(worker) = self.workers.get_mut(&planned.to) {
+        let Some(reservation) = self.places.by_task.remove(task) else {
+            return;
+        };
+        if let Some(worker) = self.workers.get_mut(&reservation.to) {
             worker.release(task, now.steady_ms);
         }
     }
 
     /// Updates since when the worker of a reservation hasn't suited the task.
     fn update_fitness(&mut self, task: &TaskId, now: Now) {
-        let planned = self.places.planned.get(task);
+        let reservation = self.places.by_task.get(task);
         let spec = self.step_spec(task);
-        let (Some(planned), Some(spec)) = (planned, spec) else { return };
-        let fits = self.workers.get(&planned.to).is_some_and(|worker| {
+        let (Some(reservation), Some(spec)) = (reservation, spec) else {
+            return;
+        };
+        let fits = self.workers.get(&reservation.to).is_some_and(|worker| {
             self.suits(spec, task, RoomHorizon::AfterShortTasks, now)(worker)
         });
-        let since_ms = planned.unfit_since_ms.unwrap_or(now.steady_ms);
-        if let Some(planned) = self.places.planned.get_mut(task) {
-            planned.unfit_since_ms = (!fits).then_some(since_ms);
+        let since_ms = reservation.unfit_since_ms.unwrap_or(now.steady_ms);
+        if let Some(reservation) = self.places.by_task.get_mut(task) {
+            reservation.unfit_since_ms = (!fits).then_some(since_ms);
         }
     }
 
     fn reservation_state(&self, task: &TaskId, now: Now) -> ReservationState {
-        let planned = self.places.planned.get(task);
+        let reservation = self.places.by_task.get(task);
         let job = self.jobs.get(&task.job);
         let spec = job.and_then(|job| job.step_spec(task));
-        let (Some(planned), Some(job), Some(spec)) = (planned, job, spec)
+        let (Some(reservation), Some(job), Some(spec)) =
+            (reservation, job, spec)
         else {
             return ReservationState::Unneeded;
         };
         let waits = job
             .step(task)
             .is_some_and(|step| step.waiting.contains(&task.index));
-        let leaves = planned.from.as_ref().is_some_and(|from| {
+        let leaves = reservation.from.as_ref().is_some_and(|from| {
             self.workers.get(from).is_some_and(|w| must_leave(task, w))
         });
         if job.phase.is_final() || !(waits || leaves) {
             return ReservationState::Unneeded;
         }
-        let unfit = planned.unfit_since_ms.is_some_and(|since_ms| {
+        let unfit = reservation.unfit_since_ms.is_some_and(|since_ms| {
             now.steady_ms >= since_ms + UNFIT_GRACE_MS
         });
-        let place = self.workers.get(&planned.to);
-        let Some(place) = place.filter(|worker| {
+        let worker = self.workers.get(&reservation.to);
+        let Some(worker) = worker.filter(|worker| {
             worker.is_usable()
                 && worker.listing.pool == job.terms.pool
                 && worker.free_soon_for(task).contains(&demand(spec))
@@ -479,7 +486,7 @@
         }) else {
             return ReservationState::Lost;
         };
-        if waits && !place.free_for(task).contains(&demand(spec)) {
+        if waits && !worker.free_for(task).contains(&demand(spec)) {
             ReservationState::Pending
         } else {
             ReservationState::Valid
--- a/crates/dewspar/src/schedule/reservations/gang.rs
+++ b/crates/dewspar/src/schedule/reservations/gang.rs
@@ -63,8 +63,8 @@
 impl GangTurns {
     /// Returns the end of the last failed turn of a step; 0 for none.
     pub(super) fn last_ms(&self, step: &TaskId) -> u64 {
-        let over = self.failed.get(&TaskId { index: 0, ..*step });
-        over.map_or(0, |over| over.last_ms)
+        let failed = self.failed.get(&TaskId { index: 0, ..*step });
+        failed.map_or(0, |failed| failed.last_ms)
     }
 
     /// Returns whether a gang has had a failed turn and its pool pauses.
@@ -75,7 +75,7 @@
     }
 
     fn turn_ms(&self, first: &TaskId) -> u64 {
-        let count = self.failed.get(first).map_or(0, |over| over.count);
+        let count = self.failed.get(first).map_or(0, |failed| failed.count);
         TURN_MS << count.min(MAX_DOUBLINGS)
     }
 }
@@ -118,13 +118,13 @@
             return 0;
         }
         let searches = 1 + self.individual_searches(members);
-        if let Ok(places) = self.place_members(
+        if let Ok(placements) = self.place_members(
             spec,
             members,
             RoomHorizon::AfterShortTasks,
             now,
         ) {
-            self.reserve_all(members, places, now);
+            self.reserve_all(members, placements, now);
         }
         searches
     }
@@ -151,10 +151,10 @@
     fn reserve_all(
         &mut self,
         members: &[TaskId],
-        places: Vec<WorkerId>,
+        placements: Vec<WorkerId>,
         now: Now,
     ) {
-        for (member, to) in members.iter().zip(places) {
+        for (member, to) in members.iter().zip(placements) {
             let from = self.worker_to_leave(member);
             self.reserve_room(member, from, &to);
             self.begin_turn(member, now);
@@ -214,10 +214,10 @@
         let step = TaskId { index: 0, ..*first };
         let (turns, pool) = (&self.places.turns, &job.terms.pool);
         let paused = turns.is_paused(&step, pool, now.steady_ms);
-        let mut places =
+        let mut placements =
             self.place_members(spec, lacking, RoomHorizon::Now, now);
-        if places.is_err() && !paused {
-            places = self.place_members(
+        if placements.is_err() && !paused {
+            placements = self.place_members(
                 spec,
                 lacking,
                 RoomHorizon::AfterShortTasks,
@@ -227,9 +227,9 @@
         let fits = self.fits_any_vm(spec) && spec.required_label.is_empty();
         let demand = demand(spec);
         let pool = job.terms.pool.clone();
-        match places {
-            Ok(places) => {
-                self.reserve_all(lacking, places, now);
+        match placements {
+            Ok(placements) => {
+                self.reserve_all(lacking, placements, now);
                 true
             }
             Err(count) => {
@@ -256,20 +256,20 @@
         if self.claim_all_reserved(members) {
             return true;
         }
-        let mut taken = Vec::new();
+        let mut suspended = Vec::new();
         for member in members {
-            taken.extend(self.suspend_reservation(member, now));
+            suspended.extend(self.suspend_reservation(member, now));
         }
         let spec = members.first().and_then(|first| self.step_spec(first));
-        let places = spec.map(|spec| {
+        let placements = spec.map(|spec| {
             self.place_members(spec, members, RoomHorizon::Now, now)
         });
-        if let Some(Ok(places)) = places {
-            self.reserve_all(members, places, now);
+        if let Some(Ok(placements)) = placements {
+            self.reserve_all(members, placements, now);
             return true;
         }
-        for place in taken {
-            self.restore_reservation(place);
+        for reservation in suspended {
+            self.restore_reservation(reservation);
         }
         self.claim_all_reserved(members);
         false
@@ -295,23 +295,23 @@
         task: &TaskId,
         now: Now,
     ) -> Option<SuspendedReservation> {
-        let planned = self.places.planned.get(task)?.clone();
+        let reservation = self.places.by_task.get(task)?.clone();
         let room = self.step_spec(task).map(demand)?;
         self.release_reservation(task, now);
-        Some(SuspendedReservation { task: *task, planned, room })
+        Some(SuspendedReservation { task: *task, reservation, room })
     }
 
     /// Restores a suspended reservation, since the gang couldn't start.
     pub(in crate::schedule) fn restore_reservation(
         &mut self,
-        taken: SuspendedReservation,
+        suspended: SuspendedReservation,
     ) {
-        let SuspendedReservation { task, planned, room } = taken;
-        if let Some(worker) = self.workers.get_mut(&planned.to) {
+        let SuspendedReservation { task, reservation, room } = suspended;
+        if let Some(worker) = self.workers.get_mut(&reservation.to) {
             let was_free = worker.free().contains(&room);
             worker.reserve_for(task, ReservedRoom { room, was_free });
         }
-        self.places.planned.insert(task, planned);
+        self.places.by_task.insert(task, reservation);
     }
 
     /// Reserves the capacity of a gang member whose run has ended, so that it
@@ -458,18 +458,18 @@
         });
         let needed: Vec<TaskId> = needed.copied().collect();
         let Some(spec) = self.step_spec(first) else { return };
-        let mut places =
+        let mut placements =
             self.place_members(spec, &needed, RoomHorizon::Now, now);
-        if places.is_err() {
-            places = self.place_members(
+        if placements.is_err() {
+            placements = self.place_members(
                 spec,
                 &needed,
                 RoomHorizon::AfterShortTasks,
                 now,
             );
         }
-        match places {
-            Ok(places) => self.reserve_all(&needed, places, now),
+        match placements {
+            Ok(placements) => self.reserve_all(&needed, placements, now),
             Err(_) => self.release_gang_reservations(first, now),
         }
     }
@@ -483,18 +483,18 @@
         let turns = &mut self.places.turns;
         let until_ms = now.steady_ms + turn_ms;
         turns.paused_until_ms.insert(job.terms.pool.clone(), until_ms);
-        let over = turns.failed.entry(*first).or_default();
-        over.count += 1;
-        over.last_ms = now.steady_ms;
+        let failed = turns.failed.entry(*first).or_default();
+        failed.count += 1;
+        failed.last_ms = now.steady_ms;
     }
 
     /// Releases all reservations of a gang.
     fn release_gang_reservations(&mut self, first: &TaskId, now: Now) {
         let last = TaskId { index: u32::MAX, ..*first };
         let first = TaskId { index: 0, ..*first };
-        let kept = self.places.planned.range(first..=last);
-        let kept: Vec<TaskId> = kept.map(|(task, _)| *task).collect();
-        for member in kept {
+        let reserved = self.places.by_task.range(first..=last);
+        let reserved: Vec<TaskId> = reserved.map(|(task, _)| *task).collect();
+        for member in reserved {
             self.release_reservation(&member, now);
         }
         self.places.turns.since_ms.remove(&first);
@@ -520,6 +520,6 @@
 #[derive(Debug)]
 pub(in crate::schedule) struct SuspendedReservation {
     task: TaskId,
-    planned: Reservation,
+    reservation: Reservation,
     room: Resources,
 }
--- a/crates/dewspar/src/schedule/reservations/outranked.rs
+++ b/crates/dewspar/src/schedule/reservations/outranked.rs
@@ -73,9 +73,10 @@
     fn outranked(&self, now: Now) -> Vec<TaskId> {
         let since_ms = self.places.pending_waits.since_ms.iter();
         let overdue = since_ms.filter(|(task, since_ms)| {
-            let planned = self.places.planned.get(task);
+            let reservation = self.places.by_task.get(task);
             now.steady_ms >= **since_ms + OUTRANKED_TIMEOUT_MS
-                && planned.is_some_and(|planned| planned.from.is_none())
+                && reservation
+                    .is_some_and(|reservation| reservation.from.is_none())
         });
         let mut overdue = overdue.map(|(task, _)| *task).peekable();
         // Nearly always empty, whereas thousands of steps may be waiting.
--- a/crates/dewspar/src/schedule/reservations/search.rs
+++ b/crates/dewspar/src/schedule/reservations/search.rs
@@ -112,17 +112,18 @@
         room: RoomHorizon,
         now: Now,
     ) -> MemberWorkers {
-        let (own, alike): (Vec<&TaskId>, Vec<&TaskId>) = members
+        let (own, uniform): (Vec<&TaskId>, Vec<&TaskId>) = members
             .iter()
             .partition(|member| self.needs_own_placement(member));
         if own.len() > MAX_SEARCHES_PER_REVIEW {
             return Err(members.len() as u64);
         }
         let mut assigned = Assignments::default();
-        let mut places =
+        let mut placements =
             self.place_individually(spec, &own, &mut assigned, room, now);
-        places.extend(self.place_uniform(spec, &alike, &assigned, room, now));
-        let found = members.iter().filter_map(|m| places.get(m).copied());
+        placements
+            .extend(self.place_uniform(spec, &uniform, &assigned, room, now));
+        let found = members.iter().filter_map(|m| placements.get(m).copied());
         let found: Vec<WorkerId> = found.cloned().collect();
         let lacking = (members.len() - found.len()) as u64;
         if lacking > 0 { Err(lacking) } else { Ok(found) }
@@ -137,7 +138,7 @@
         room: RoomHorizon,
         now: Now,
     ) -> BTreeMap<&'m TaskId, &'a WorkerId> {
-        let mut places = BTreeMap::new();
+        let mut placements = BTreeMap::new();
         for member in members {
             let workers = self.suitable_with_numbers(spec, member, room, now);
             let options = workers.filter_map(|(_, worker)| {
@@ -145,10 +146,10 @@
             });
             if let Some(best) = options.max() {
                 assigned.assign(best.id);
-                places.insert(*member, best.id);
+                placements.insert(*member, best.id);
             }
         }
-        places
+        placements
     }
 
     /// Assigns members to workers that suit the first of them.
@@ -160,8 +161,8 @@
         room: RoomHorizon,
         now: Now,
     ) -> BTreeMap<&'m TaskId, &'a WorkerId> {
-        let mut places = BTreeMap::new();
-        let Some(any) = members.first() else { return places };
+        let mut placements = BTreeMap::new();
+        let Some(any) = members.first() else { return placements };
         let workers = self.suitable_with_numbers(spec, any, room, now);
         let options = workers.filter_map(|(_, worker)| {
             assigned.option(self, (spec, any), worker, room)
@@ -169,9 +170,9 @@
         let mut options: BinaryHeap<WorkerOption> = options.collect();
         for member in members {
             let Some(best) = options.pop() else { break };
-            places.insert(*member, best.id);
+            placements.insert(*member, best.id);
             options.extend(best.after_one_more(&demand(spec)));
         }
-        places
+        placements
     }
 }
--- a/crates/dewspar/src/schedule/worker/hold.rs
+++ b/crates/dewspar/src/schedule/worker/hold.rs
@@ -127,10 +127,10 @@
         }
         // An acknowledgement isn't repeated: a process that has replaced this
         // one would take it for its own ends and drop them unreported.
-        let news = self.stored_end > self.acknowledged;
+        let unacknowledged = self.stored_end > self.acknowledged;
         let order = HoldOrder {
             fence: self.fence(),
-            acknowledged: if news { self.stored_end } else { 0 },
+            acknowledged: if unacknowledged { self.stored_end } else { 0 },
             lease_until_ms,
             wait_ms,
         };
--- a/crates/dewspar/tests/schedule/gang_reservations.rs
+++ b/crates/dewspar/tests/schedule/gang_reservations.rs
@@ -189,7 +189,7 @@
     }
 
     /// Loses a worker; the VM service reports that immediately.
-    fn lose(&mut self, worker: &WorkerId) {
+    fn lose_worker(&mut self, worker: &WorkerId) {
         let now = at(self.world.now_ms);
         self.world.workers.remove(worker);
         self.world.listings.retain(|listing| listing.id != *worker);
@@ -333,7 +333,7 @@
         }
     }
     assert!(!peak.runs_completely(id(1)));
-    peak.lose(&kept.expect("capacity is reserved on some worker"));
+    peak.lose_worker(&kept.expect("capacity is reserved on some worker"));
     peak.run_for(MAX_WAIT_MS);
     assert!(peak.runs_completely(id(1)));
 }
@@ -346,7 +346,7 @@
     let kept = peak.idle_worker().expect("capacity is reserved for a member");
     let names = ["w1", "w2"].map(WorkerId::new);
     let full = names.into_iter().find(|name| *name != kept);
-    peak.lose(&full.expect("there are two workers"));
+    peak.lose_worker(&full.expect("there are two workers"));
     // Enough for a review and a scheduling pass.
     peak.run_for(1_000);
     for _ in 0..MAX_IDLE_MS / 50 {
@@ -491,7 +491,7 @@
 fn a_gang_that_lost_a_worker_restarts_under_load() {
     let mut peak = peak_with_gang(&["w1", "w2", "w3", "w4"]);
     let lost = peak.running_on(id(1))[0].clone();
-    peak.lose(&lost);
+    peak.lose_worker(&lost);
     peak.run_for(MAX_WAIT_MS);
     assert!(peak.runs_completely(id(1)));
 }
--- a/crates/dewspar/tests/schedule/long_running_capacity.rs
+++ b/crates/dewspar/tests/schedule/long_running_capacity.rs
@@ -58,7 +58,7 @@
 
     /// Requests the maintenance of all VMs that are switched off but `free`
     /// ones. They can't be used until then.
-    fn await_maintenance_but_for(&mut self, free: usize) {
+    fn maintain_all_but(&mut self, free: usize) {
         let off = self.off.iter().skip(free);
         let request = WaveRequest {
             wave: 1,
@@ -82,7 +82,7 @@
                 up.chain(self.off.iter().cloned()).collect();
             self.world.scheduler.list_vms(now, asked_ms, &vms);
             for order in self.world.scheduler.plan_vms(now) {
-                moves.note(&order);
+                moves.count(&order);
             }
             self.world.run_for(50);
         }
@@ -105,7 +105,7 @@
 }
 
 impl Moves {
-    fn note(&mut self, order: &VmOrder) {
+    fn count(&mut self, order: &VmOrder) {
         let VmOrder::Move { pool, .. } = order else { return };
         match pool.as_str() {
             POOL => self.here += 1,
@@ -133,7 +133,7 @@
 #[test]
 fn a_vm_for_a_long_running_task_comes_before_those_for_a_backlog() {
     let mut fleet = Fleet::new(2, 2, 7);
-    fleet.await_maintenance_but_for(1);
+    fleet.maintain_all_but(1);
     fleet.world.fate = Fate::endless();
     fleet.submit(1, OTHER, vec![step(100)]);
     fleet.submit(2, POOL, vec![long_running(3)]);
@@ -234,7 +234,7 @@
 #[test]
 fn a_pool_short_of_few_vms_is_served_beside_one_short_of_many() {
     let mut fleet = Fleet::new(2, 2, 16);
-    fleet.await_maintenance_but_for(8);
+    fleet.maintain_all_but(8);
     fleet.world.fate = Fate::endless();
     fleet.submit(1, OTHER, vec![step(100)]);
     // One additional VM has room for all of them.
--- a/crates/dewspar/tests/schedule/pending_jobs.rs
+++ b/crates/dewspar/tests/schedule/pending_jobs.rs
@@ -24,7 +24,7 @@
 }
 
 /// Makes a scheduling pass and returns the start that is ordered.
-fn ordered(world: &mut World) -> (WorkerId, StartOrder) {
+fn ordered_start(world: &mut World) -> (WorkerId, StartOrder) {
     let actions = world.scheduler.plan(at(world.now_ms));
     let start = actions.into_iter().find_map(|action| match action {
         Action::Start { worker, order, .. } => Some((worker, order)),
@@ -34,7 +34,7 @@
 }
 
 fn answer(world: &mut World, result: Result<u64, OrderError>) {
-    let (worker, order) = ordered(world);
+    let (worker, order) = ordered_start(world);
     let now = at(world.now_ms);
     world.scheduler.start_answered(
         &worker,
@@ -69,7 +69,7 @@
         OrderError::Unknown,
     ];
     let mut world = world_with_job();
-    ordered(&mut world);
+    ordered_start(&mut world);
     assert_eq!(waiting(&world.scheduler), 1, "no answer yet");
     assert_eq!(waiting_for_successor(&mut world), 1, "no answer yet");
     for error in errors {
@@ -106,7 +106,7 @@
     assert_eq!(waiting(&world.scheduler), 0);
 
     let mut world = world_with_job();
-    let (worker, order) = ordered(&mut world);
+    let (worker, order) = ordered_start(&mut world);
     // The hold is sent under a new token because the start got no answer.
     let now = at(world.now_ms);
     let (task, run) = (order.task, order.run);
--- a/crates/dewspar/tests/schedule/reservations.rs
+++ b/crates/dewspar/tests/schedule/reservations.rs
@@ -72,7 +72,7 @@
 }
 
 /// Returns the workers selected for draining since the last call.
-fn emptied(world: &mut World) -> BTreeSet<String> {
+fn drained(world: &mut World) -> BTreeSet<String> {
     let decisions = world.scheduler.take_decisions();
     let emptied = decisions.iter().filter_map(|decision| match decision {
         Decision::DrainStarted { worker, .. } => Some(worker.to_string()),
@@ -108,7 +108,7 @@
     let mut taken = BTreeSet::new();
     for _ in 0..20 {
         plan_round(&mut world);
-        taken.extend(emptied(&mut world));
+        taken.extend(drained(&mut world));
     }
     assert!(
         !taken.is_empty(),
@@ -131,7 +131,7 @@
     let mut taken = BTreeSet::new();
     for _ in 0..60 {
         plan_round(&mut world);
-        taken.extend(emptied(&mut world));
+        taken.extend(drained(&mut world));
     }
     assert!(taken.contains("w2"), "the wave makes progress: {taken:?}");
     assert!(
@@ -173,7 +173,7 @@
     let mut taken = BTreeSet::new();
     for _ in 0..20 {
         plan_round(&mut world);
-        taken.extend(emptied(&mut world));
+        taken.extend(drained(&mut world));
     }
     assert!(
         !taken.is_empty(),
@@ -218,7 +218,7 @@
 
 /// Returns how long the tasks of a job waited before each start since the last
 /// call, in milliseconds.
-fn waits_of(world: &mut World, number: u64) -> Vec<u64> {
+fn waits_ms_of(world: &mut World, number: u64) -> Vec<u64> {
     let decisions = world.scheduler.take_decisions();
     let waits = decisions.iter().filter_map(|decision| match decision {
         Decision::Started { task, waited_ms, .. } => {
@@ -250,7 +250,7 @@
         submit_peak_round(&mut world, &mut next);
         submit_peak_round(&mut world, &mut next);
         plan_round(&mut world);
-        waits.extend(waits_of(&mut world, 1));
+        waits.extend(waits_ms_of(&mut world, 1));
     }
     assert_eq!(waits.len(), 1, "the task has moved");
     assert!(
@@ -277,7 +277,7 @@
         submit_peak_round(&mut world, &mut next);
         submit_peak_round(&mut world, &mut next);
         plan_round(&mut world);
-        waits.extend(waits_of(&mut world, 1));
+        waits.extend(waits_ms_of(&mut world, 1));
     }
     assert_eq!(waits.len(), 1, "the task has moved");
     assert!(
@@ -377,13 +377,13 @@
     world: &mut World,
 ) -> Vec<(TaskId, u64, &'static str, UnfitWorkers)> {
     let decisions = world.scheduler.take_decisions();
-    let told = decisions.into_iter().filter_map(|decision| match decision {
+    let waits = decisions.into_iter().filter_map(|decision| match decision {
         Decision::LongWait {
             task, waited_ms, reason, unfit: lack, ..
         } => Some((task, waited_ms, reason, lack)),
         _ => None,
     });
-    told.collect()
+    waits.collect()
 }
 
 #[test]
@@ -472,7 +472,10 @@
 
 /// Requests the maintenance of all VMs of a world within the given duration,
 /// one at a time. Returns the workers selected within two seconds.
-fn chosen_of_all(world: &mut World, duration_ms: u64) -> BTreeSet<String> {
+fn workers_chosen_for_wave(
+    world: &mut World,
+    duration_ms: u64,
+) -> BTreeSet<String> {
     let vms = world.listings.iter().map(|listing| listing.vm.clone());
     let request =
         WaveRequest { wave: 1, vms: vms.collect(), duration_ms, max_down: 1 };
@@ -482,7 +485,7 @@
     let mut chosen = BTreeSet::new();
     for _ in 0..40 {
         plan_round(world);
-        chosen.extend(emptied(world));
+        chosen.extend(drained(world));
     }
     chosen
 }
@@ -493,7 +496,7 @@
         let mut world = world_of(&["w1", "w2", "w3", "w4"]);
         submit_short(&mut world, 100, 16, 60_000);
         world.run_for(3_000);
-        let taken = chosen_of_all(&mut world, duration_ms);
+        let taken = workers_chosen_for_wave(&mut world, duration_ms);
         assert_eq!(taken.len(), chosen, "within {duration_ms} ms: {taken:?}");
     }
 }
@@ -512,7 +515,7 @@
     submit(&mut world, 100, busy, Fate::done(60_000));
     submit(&mut world, 101, job(vec![step(2)]), Fate::done(60_000));
     world.run_for(500);
-    let chosen = chosen_of_all(&mut world, 10_000);
+    let chosen = workers_chosen_for_wave(&mut world, 10_000);
     assert_eq!(chosen.len(), 1, "one at a time: {chosen:?}");
     assert!(chosen.contains("w3") || chosen.contains("w4"), "{chosen:?}");
 }
