--- a/crates/dewspard/src/jobs/event.rs
+++ b/crates/dewspard/src/jobs/event.rs
@@ -44,7 +44,7 @@
 
 /// The holder has stopped, and the channel is closed.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct HolderGone;
+pub(super) struct HolderStopped;
 
 /// Sends events to the holder. Clones share the channel.
 #[derive(Clone, Debug)]
@@ -60,10 +60,13 @@
     ///
     /// # Errors
     ///
-    /// [`HolderGone`] if the holder has stopped.
-    pub(super) async fn send(&self, event: Event) -> Result<(), HolderGone> {
+    /// [`HolderStopped`] if the holder has stopped.
+    pub(super) async fn send(
+        &self,
+        event: Event,
+    ) -> Result<(), HolderStopped> {
         let sent = SentEvent { event, sent_ms: clock::now_ms() };
-        self.0.send(sent).await.map_err(|_| HolderGone)
+        self.0.send(sent).await.map_err(|_| HolderStopped)
     }
 }
 
@@ -74,7 +77,7 @@
     Feed(Vec<FeedEvent>),
     /// A slice of the stored jobs.
     JobsLoaded(LoadedJobs),
-    /// Ends of runs of jobs whose records former holders couldn't read.
+    /// Ends of runs whose jobs former holders couldn't read.
     DeferredEndsLoaded(Vec<DeferredEnd>),
     /// The result of a write of such ends.
     DeferredEndsWritten {
