--- a/crates/dewspar/src/schedule/maintenance.rs
+++ b/crates/dewspar/src/schedule/maintenance.rs
@@ -95,8 +95,8 @@
     /// Applies the list of VMs that was requested at `asked_ms`.
     pub fn list_vms(&mut self, now: Now, asked_ms: u64, vms: &[ManagedVm]) {
         self.vms = vms.iter().map(|vm| (vm.vm.clone(), vm.clone())).collect();
-        let lives = vms.iter().filter(|vm| vm.status == VmStatus::Up);
-        let lives: Vec<(WorkerId, String)> = lives
+        let live_workers = vms.iter().filter(|vm| vm.status == VmStatus::Up);
+        let live_workers: Vec<(WorkerId, String)> = live_workers
             .filter_map(|vm| {
                 vm.worker.clone().map(|worker| (worker, vm.pool.clone()))
             })
@@ -104,7 +104,7 @@
         // A worker that isn't in the list has ended, if it was known before
         // the list was requested.
         let listed: BTreeSet<&WorkerId> =
-            lives.iter().map(|(life, _)| life).collect();
+            live_workers.iter().map(|(worker, _)| worker).collect();
         let ended: Vec<WorkerId> = self
             .workers
             .values()
@@ -117,7 +117,7 @@
         for id in ended {
             self.worker_gone(&id, "the VM service says that it ended", now);
         }
-        self.expect_workers(now, lives);
+        self.expect_workers(now, live_workers);
         for state in self.waves.values_mut() {
             state.update(asked_ms, &self.vms);
         }
--- a/crates/dewspar/src/schedule/options.rs
+++ b/crates/dewspar/src/schedule/options.rs
@@ -6,7 +6,7 @@
 
 /// How soon after a takeover all workers are polled for the first time, in
 /// milliseconds.
-const ASKED_WITHIN_MS: u64 = 1_000;
+const FIRST_POLL_MS: u64 = 1_000;
 
 /// The default capacity of the node's link, in megabits per second: a common
 /// one.
@@ -107,7 +107,7 @@
     /// Sets how long a worker may take for a stop, in milliseconds.
     pub fn stop_timeout_ms(mut self, stop_timeout_ms: u64) -> Options {
         self.stop_timeout_ms = stop_timeout_ms;
-        self.stop_settle_ms = stop_timeout_ms + ASKED_WITHIN_MS;
+        self.stop_settle_ms = stop_timeout_ms + FIRST_POLL_MS;
         self
     }
 
--- a/crates/dewspar/src/schedule/pacing.rs
+++ b/crates/dewspar/src/schedule/pacing.rs
@@ -104,7 +104,7 @@
         for (worker, task) in stalled {
             self.stop_run(&task, &worker, "it doesn't come on");
             self.avoid(&task, &worker);
-            self.suspend(&worker, "a task stands still on it", now);
+            self.suspend(&worker, "a task has stalled on it", now);
         }
     }
 
--- a/crates/dewspar/src/schedule/scheduler.rs
+++ b/crates/dewspar/src/schedule/scheduler.rs
@@ -672,7 +672,7 @@
         let due = self.workers.due(now.steady_ms, &self.options);
         debug_assert!(
             self.workers.match_full_scan(&due, now.steady_ms, &self.options),
-            "other workers want something than are due"
+            "the due workers differ from those found by checking all"
         );
         due
     }
--- a/crates/dewspar/src/schedule/sizing.rs
+++ b/crates/dewspar/src/schedule/sizing.rs
@@ -540,10 +540,10 @@
         let (vms, workers) = (&self.vms, &self.workers);
         self.pending_moves.retain(|vm, moving| {
             let there = vms.get(vm).is_some_and(|vm| {
-                let mut life = vm.worker.iter();
+                let mut worker = vm.worker.iter();
                 vm.pool == moving.to
                     && vm.status == VmStatus::Up
-                    && life.all(|life| workers.contains_key(life))
+                    && worker.all(|id| workers.contains_key(id))
             });
             let late = now.steady_ms > moving.since_ms + MOVE_TIMEOUT_MS;
             !there && !late
@@ -689,9 +689,9 @@
     ) {
         let to = pool.to_owned();
         let since_ms = now.steady_ms;
-        let life = self.worker_on(vm).map(|worker| worker.id().clone());
+        let worker = self.worker_on(vm).map(|worker| worker.id().clone());
         self.pending_moves
-            .insert(vm.to_owned(), PendingMove { to, since_ms, worker: life });
+            .insert(vm.to_owned(), PendingMove { to, since_ms, worker });
         orders
             .push(VmOrder::Move { vm: vm.to_owned(), pool: pool.to_owned() });
     }
@@ -726,13 +726,13 @@
             return;
         }
         let moving = self.pending_moves.remove(vm);
-        self.keep(moving.and_then(|moving| moving.worker));
+        self.cancel_drain(moving.and_then(|moving| moving.worker));
         self.postpone_vm_orders(vm, now);
     }
 
     /// Cancels the drain of a worker that was to leave.
-    fn keep(&mut self, life: Option<WorkerId>) {
-        let worker = life.and_then(|life| self.workers.get_mut(&life));
+    fn cancel_drain(&mut self, id: Option<WorkerId>) {
+        let worker = id.and_then(|id| self.workers.get_mut(&id));
         if let Some(worker) = worker {
             worker.drain_reason = None;
         }
