--- a/crates/dewspar/tests/schedule/cancelling.rs
+++ b/crates/dewspar/tests/schedule/cancelling.rs
@@ -46,9 +46,9 @@
     let mut world = world_with_an_endless_run();
     world.scheduler.cancel(id(1), at(world.now_ms));
     // The first order to stop the run is lost.
-    world.cut.push(listing("w1").id);
+    world.unreachable.push(listing("w1").id);
     world.run_for(50);
-    world.cut.clear();
+    world.unreachable.clear();
     assert_eq!(world.scheduler.phase(id(1)), None, "over and stored");
     world.run_for(1_000);
     assert!(world.running().is_empty());
@@ -69,7 +69,7 @@
 fn an_overdue_stop_and_its_end_are_reported_once_each() {
     let mut world = world_with_an_endless_run();
     let w1 = listing("w1").id;
-    world.cut.push(w1);
+    world.unreachable.push(w1);
     world.scheduler.cancel(id(1), at(world.now_ms));
     world.run_for(3_000);
     let overdue = stops_overdue(&world.scheduler.take_decisions());
@@ -79,7 +79,7 @@
     assert!(!stop.answered);
     assert!(stop.after_ms > 900, "{stop:?}");
 
-    world.cut.clear();
+    world.unreachable.clear();
     world.run_for(1_000);
     assert!(world.running().is_empty());
     let decisions = world.scheduler.take_decisions();
@@ -100,7 +100,7 @@
     world.scheduler.submit(id(1), job(vec![step(160)]), 8, None);
     world.run_for(500);
     assert_eq!(world.running().len(), 160);
-    world.cut = names.iter().map(|name| WorkerId::new(name)).collect();
+    world.unreachable = names.iter().map(|name| WorkerId::new(name)).collect();
     world.scheduler.cancel(id(1), at(world.now_ms));
     world.scheduler.take_decisions();
     let mut told = 0;
@@ -219,11 +219,11 @@
 #[test]
 fn a_silent_worker_is_told_to_stop_as_soon_as_it_answers() {
     let mut chain = chain_with_endless_runs(&["w1", "w2"]);
-    chain.world.cut.push(listing("w1").id);
+    chain.world.unreachable.push(listing("w1").id);
     chain.cancel(1);
     chain.holders_for(4_800);
     assert!(chain.runs(1), "on the worker that can't be reached");
-    chain.world.cut.clear();
+    chain.world.unreachable.clear();
     chain.next_holder();
     assert!(!chain.runs(1));
 }
@@ -250,11 +250,11 @@
     chain.world.listings[0].capacity.cpu_millis += 1_000;
     chain.world.list();
     let w1 = listing("w1").id;
-    chain.world.cut.push(w1);
+    chain.world.unreachable.push(w1);
     chain.schedule_for(50);
     assert_eq!(chain.world.starts.len(), 5, "one without an answer");
     chain.cancel(1);
-    chain.world.cut.clear();
+    chain.world.unreachable.clear();
     chain.schedule_for(900);
     assert!(!chain.runs(1));
 }
@@ -276,13 +276,13 @@
     chain.world.fate = Fate::endless();
     chain.schedule_for(100);
     let w1 = listing("w1").id;
-    chain.world.cut.push(w1.clone());
+    chain.world.unreachable.push(w1.clone());
     chain.submit(1, job(vec![step(1)]));
     chain.schedule_for(25);
     let (_, late) = chain.world.starts.last().cloned().expect("a start");
     chain.cancel(1);
     chain.schedule_for(25);
-    chain.world.cut.clear();
+    chain.world.unreachable.clear();
     chain.begin();
     let now_ms = chain.world.now_ms;
     let room = Resources { cpu_millis: 1_000, ..Resources::default() };
@@ -307,7 +307,7 @@
 fn a_cancellation_stays_on_record_while_a_run_of_its_job_may_go_on() {
     let mut world = world_with_an_endless_run();
     let w1 = listing("w1").id;
-    world.cut.push(w1);
+    world.unreachable.push(w1);
     world.scheduler.cancel(id(1), at(world.now_ms));
     world.run_for(1_000);
     assert_eq!(world.phases[&id(1)], "cancelled");
@@ -333,7 +333,7 @@
         "the worker hasn't been asked"
     );
 
-    world.cut.clear();
+    world.unreachable.clear();
     world.run_for(1_000);
     assert!(world.running().is_empty());
     assert!(takes_settled_cancellation(&mut world));
@@ -347,14 +347,14 @@
 #[test]
 fn a_cancellation_does_not_expire_while_a_run_of_its_job_may_go_on() {
     let mut world = world_with_an_endless_run();
-    world.cut.push(listing("w1").id);
+    world.unreachable.push(listing("w1").id);
     world.scheduler.cancel(id(1), at(world.now_ms));
     world.run_for(1_000);
     let an_hour_on =
         |now: Now| Now { unix_ms: now.unix_ms + 3_600_000, ..now };
     let later = an_hour_on(at(world.now_ms));
     assert!(world.scheduler.take_expired(later, 15).is_empty());
-    world.cut.clear();
+    world.unreachable.clear();
     world.run_for(1_000);
     assert!(takes_settled_cancellation(&mut world));
     assert_eq!(world.scheduler.take_expired(later, 15), [id(1)]);
@@ -363,7 +363,7 @@
 #[test]
 fn a_cancellation_settles_without_a_worker_whose_lease_is_over() {
     let mut world = World::new(7, &["w1", "w2"]);
-    world.cut.push(listing("w2").id);
+    world.unreachable.push(listing("w2").id);
     world.list();
     world.expect_all();
     world.scheduler.submit(id(1), job(vec![step(1)]), 8, None);
--- a/crates/dewspar/tests/schedule/crashing.rs
+++ b/crates/dewspar/tests/schedule/crashing.rs
@@ -126,7 +126,7 @@
     for _ in 0..60 {
         world.run_for(700);
         for vm in ["vm-of-w1", "vm-of-w2"] {
-            world.crash_vm(vm);
+            world.crash_worker_on(vm);
         }
     }
     world.run_for(30_000);
@@ -184,7 +184,7 @@
         Decision::DrainStarted { vm, .. } => Some(vm.clone()),
         _ => None,
     });
-    world.crash_vm(&emptied.expect("some worker is emptied"));
+    world.crash_worker_on(&emptied.expect("some worker is emptied"));
     world.run_for(3_000);
     let decisions = world.scheduler.take_decisions();
     let suspected =
@@ -273,7 +273,7 @@
     let names = ["w1", "w2", "w3", "w4", "w5", "w6", "w7", "w8"];
     let room = Resources { cpu_millis: 20_000, memory_mb: 20_000, gpus: 0 };
     let mut world = World::with_room(5, &names, room);
-    world.told_after_ms = Some(500);
+    world.crash_report_delay_ms = Some(500);
     world.list();
     world.expect_all();
     world.fate = Fate::done(800);
--- a/crates/dewspar/tests/schedule/gang_reservations.rs
+++ b/crates/dewspar/tests/schedule/gang_reservations.rs
@@ -11,7 +11,7 @@
 use {
     crate::{
         task_moves::{STOP_MS, long_running, plan_round},
-        waves::{maintain_for_a_while, request_wave, request_wave_of},
+        waves::{maintain_for_50_ms, request_wave, request_wave_of},
         world::{POOL, ROOM, RunKind, World, at, id, job, listing, step},
     },
     dewspar::{
@@ -112,7 +112,7 @@
     /// Carries out what is ordered of VMs too while the peak goes on.
     fn maintain(&mut self) {
         self.submit_round();
-        maintain_for_a_while(&mut self.world);
+        maintain_for_50_ms(&mut self.world);
     }
 
     fn submit(&mut self, number: u64, spec: StepSpec, fate: Fate) {
@@ -371,7 +371,7 @@
     peak.run_for(3_000);
     assert!(peak.runs_completely(id(1)));
     peak.begin();
-    peak.world.stops_take_ms = STOP_MS;
+    peak.world.stop_duration_ms = STOP_MS;
     peak
 }
 
@@ -491,8 +491,8 @@
         4 => {
             let index = random.random_range(0..peak.world.listings.len());
             let vm = peak.world.listings[index].vm.clone();
-            peak.world.told_after_ms = Some(0);
-            peak.world.crash_vm(&vm);
+            peak.world.crash_report_delay_ms = Some(0);
+            peak.world.crash_worker_on(&vm);
         }
         _ => {}
     }
@@ -561,7 +561,7 @@
     for seed in 0..WAVE_RUNS {
         let mut random = StdRng::seed_from_u64(seed);
         let mut peak = Peak::random(&mut random);
-        peak.world.stops_take_ms = random.random_range(0..STOP_MS);
+        peak.world.stop_duration_ms = random.random_range(0..STOP_MS);
         let serving = [POOL.to_owned()].into();
         peak.world.scheduler.configure_pools(serving, [].into());
         for _ in 0..3_000 / 50 {
--- a/crates/dewspar/tests/schedule/in_doubt.rs
+++ b/crates/dewspar/tests/schedule/in_doubt.rs
@@ -16,7 +16,7 @@
 
 fn restarting(names: &[&str]) -> World {
     let mut world = World::new(5, names);
-    world.tell_processes();
+    world.assign_incarnations();
     world.list();
     world.expect_all();
     world.run_for(200);
@@ -27,7 +27,7 @@
 /// worker.
 fn lose_start(world: &mut World, job_id: JobId) -> (WorkerId, StartOrder) {
     let before = world.starts.len();
-    world.loses_starts = true;
+    world.drops_starts = true;
     while world.starts.len() == before {
         world.now_ms += 50;
         let now = at(world.now_ms);
@@ -35,7 +35,7 @@
             world.carry_out(action, now);
         }
     }
-    world.loses_starts = false;
+    world.drops_starts = false;
     let lost = world.starts[before].clone();
     assert_eq!(lost.1.task.job, job_id);
     lost
@@ -91,7 +91,7 @@
         let (on, order) = lose_start(&mut world, id(1));
         fill(&mut world, &on);
         world.run_for(late_ms - 200);
-        world.start_again(&on);
+        world.restart_worker(&on);
         deliver(&mut world, &on, &order);
         assert_none_twice(&mut world);
         for _ in 0..(LATE_MS / 50) {
@@ -124,7 +124,7 @@
         world.list();
         world.expect_all();
         world.run_for(late_ms);
-        world.start_again(&on);
+        world.restart_worker(&on);
         deliver(&mut world, &on, &order);
         for _ in 0..(LATE_MS / 50) {
             assert_none_twice(&mut world);
@@ -149,7 +149,7 @@
     world.workers.remove(&on);
     world.scheduler.worker_gone(&on, reason, at(world.now_ms));
     world.run_for(1_000);
-    world.start_again(&on);
+    world.restart_worker(&on);
     deliver(&mut world, &on, &order);
     for _ in 0..(LATE_MS / 50) {
         assert_none_twice(&mut world);
--- a/crates/dewspar/tests/schedule/loading.rs
+++ b/crates/dewspar/tests/schedule/loading.rs
@@ -208,9 +208,9 @@
     for _ in 0..5 {
         world.scheduler.list_vms(now, now.steady_ms, &vms);
         let orders = world.scheduler.plan_vms(now);
-        let maintained =
+        let ordered_maintenance =
             orders.iter().any(|o| matches!(o, VmOrder::Maintain { .. }));
-        assert!(!maintained, "{orders:?}");
+        assert!(!ordered_maintenance, "{orders:?}");
     }
     let decisions = world.scheduler.take_decisions();
     let emptied = decisions
--- a/crates/dewspar/tests/schedule/move_safety.rs
+++ b/crates/dewspar/tests/schedule/move_safety.rs
@@ -33,14 +33,14 @@
     world.run_for(3_000);
     let from = world.starts[0].0.clone();
     let silent = if from == WorkerId::new("w1") { "w2" } else { "w1" };
-    world.cut.push(WorkerId::new(silent));
+    world.unreachable.push(WorkerId::new(silent));
     world.take_over(9);
     world.list();
     world.expect_all();
     let stored = world.stored.get(&id(1)).cloned();
     let same = job(vec![large()]);
     world.scheduler.submit(id(1), same, 6, stored.as_ref());
-    world.stops_take_ms = STOP_MS;
+    world.stop_duration_ms = STOP_MS;
     (world, from)
 }
 
@@ -125,7 +125,7 @@
     let serving = [POOL.to_owned(), "other".to_owned()].into();
     world.scheduler.configure_pools(serving, [].into());
     request_wave_of(&mut world, &["vm-of-w1"]);
-    world.stops_take_ms = STOP_MS;
+    world.stop_duration_ms = STOP_MS;
     let mut orders = Vec::new();
     // The wave's time.
     for _ in 0..200 {
--- a/crates/dewspar/tests/schedule/reservation_cases.rs
+++ b/crates/dewspar/tests/schedule/reservation_cases.rs
@@ -149,7 +149,7 @@
     world.run_for(3_000);
     let from = world.starts[0].0.clone();
     request_wave_of(&mut world, &[&format!("vm-of-{from}")]);
-    world.stops_take_ms = STOP_MS;
+    world.stop_duration_ms = STOP_MS;
     plan_round(&mut world);
     let decisions = world.scheduler.take_decisions();
     let place = decisions.iter().find_map(|decision| match decision {
@@ -216,7 +216,7 @@
         leaving.remaining_ms = Some(6_000);
     }
     world.list();
-    world.stops_take_ms = STOP_MS;
+    world.stop_duration_ms = STOP_MS;
     for _ in 0..MAX_WAIT_MS / 50 {
         submit_peak_round(&mut world, &mut next);
         submit_peak_round(&mut world, &mut next);
@@ -238,7 +238,7 @@
         plan_round(&mut world);
     }
     request_wave_of(&mut world, &[&format!("vm-of-{from}")]);
-    world.stops_take_ms = STOP_MS;
+    world.stop_duration_ms = STOP_MS;
     for _ in 0..2 * MAX_WAIT_MS / 50 {
         submit_peak_round(&mut world, &mut next);
         submit_peak_round(&mut world, &mut next);
@@ -268,7 +268,7 @@
 
 /// Plans for 50 ms; the adviser allows whatever it is asked for.
 fn advised_round(world: &mut World) {
-    world.advises = true;
+    world.adviser_answers = true;
     world.run_for(50);
 }
 
@@ -373,7 +373,7 @@
         // The first order to start it again is lost, and no others before.
         let first = format!("{}.0.0.0", id(1));
         let is_over = !world.running().contains(&first);
-        world.loses_starts = is_over && starts_of(&world, id(1)) == 1;
+        world.drops_starts = is_over && starts_of(&world, id(1)) == 1;
         plan_round(&mut world);
     }
     assert_eq!(starts_of(&world, id(1)), 3, "its place was taken by others");
--- a/crates/dewspar/tests/schedule/reservations.rs
+++ b/crates/dewspar/tests/schedule/reservations.rs
@@ -54,7 +54,7 @@
     let (from, _) = world.starts.last().expect("it runs");
     assert_eq!(from.to_string(), "w1");
     request_wave_of(&mut world, &["vm-of-w1"]);
-    world.stops_take_ms = 8_000;
+    world.stop_duration_ms = 8_000;
     plan_round(&mut world);
     let decisions = world.scheduler.take_decisions();
     let place = Some(WorkerId::new("w0"));
@@ -229,7 +229,7 @@
     }
     request_wave_of(&mut world, &[&format!("vm-of-{from}")]);
     // Sooner than the short ones end.
-    world.stops_take_ms = 50;
+    world.stop_duration_ms = 50;
     let _ = world.scheduler.take_decisions();
     let mut waits = Vec::new();
     for _ in 0..2 * MAX_WAIT_MS / 50 {
@@ -294,7 +294,7 @@
         }
     }
     world.list();
-    world.stops_take_ms = STOP_MS;
+    world.stop_duration_ms = STOP_MS;
     let mut places = BTreeSet::new();
     for _ in 0..(STOP_MS / 50 + 4) {
         plan_round(&mut world);
@@ -323,7 +323,7 @@
         }
     }
     world.list();
-    world.stops_take_ms = STOP_MS;
+    world.stop_duration_ms = STOP_MS;
     for _ in 0..60 {
         plan_round(&mut world);
         assert!(!world.running().is_empty(), "both were stopped at once");
@@ -437,7 +437,7 @@
 #[test]
 fn a_long_wait_names_a_worker_that_was_not_asked_yet() {
     let mut world = world_of(&["w1", "w2"]);
-    world.cut.push(WorkerId::new("w1"));
+    world.unreachable.push(WorkerId::new("w1"));
     world.take_over(9);
     world.list();
     world.expect_all();
--- a/crates/dewspar/tests/schedule/restarted_workers.rs
+++ b/crates/dewspar/tests/schedule/restarted_workers.rs
@@ -40,7 +40,7 @@
 
 fn restarting(names: &[&str]) -> World {
     let mut world = World::new(5, names);
-    world.tell_processes();
+    world.assign_incarnations();
     world.list();
     world.expect_all();
     world
@@ -59,11 +59,11 @@
 
 /// Cuts a worker off for this long, then starts it again.
 fn cut_and_start_again(world: &mut World, name: &str, away_ms: u64) {
-    world.cut.push(w(name));
+    world.unreachable.push(w(name));
     world.workers.remove(&w(name));
     world.run_for(away_ms);
-    world.cut.clear();
-    world.start_again(&w(name));
+    world.unreachable.clear();
+    world.restart_worker(&w(name));
 }
 
 /// Runs until a task is running; returns how long that took, in milliseconds.
@@ -143,15 +143,15 @@
     world.fate = Fate::endless();
     world.scheduler.submit(id(1), job(vec![long_step(1)]), 6, None);
     run_reading_directory(&mut world, 5_000);
-    world.cut.push(w("w1"));
+    world.unreachable.push(w("w1"));
     world.workers.remove(&w("w1"));
     world.run_for(2_000);
     let reason = "the VM service says that it ended";
     world.scheduler.worker_gone(&w("w1"), reason, at(world.now_ms));
     // The former process's entry remains for a while.
     run_reading_directory(&mut world, 2_000);
-    world.cut.clear();
-    world.start_again(&w("w1"));
+    world.unreachable.clear();
+    world.restart_worker(&w("w1"));
     world.list();
     let task = first_task(id(1)).to_string();
     let after_ms = runs_after_ms(&mut world, &task, 10_000);
@@ -163,7 +163,7 @@
 #[test]
 fn a_task_that_crashes_restarted_workers_is_given_up() {
     let mut world = restarting(&["w1", "w2", "w3", "w4"]);
-    world.keeps_ids = true;
+    world.keeps_worker_ids = true;
     let bad = first_task(id(1));
     world.crashing.push(bad);
     world.scheduler.submit(id(1), job(vec![step(1)]), 6, None);
@@ -182,7 +182,7 @@
     world.scheduler.submit(id(1), job(vec![step(1)]), 6, None);
     world.run_for(300);
     let on = world.starts[0].0.clone();
-    world.start_again(&on);
+    world.restart_worker(&on);
     world.list();
     world.run_for(300);
     world.list();
@@ -203,8 +203,8 @@
     world.scheduler.submit(id(1), job(vec![long_step(1)]), 6, None);
     world.run_for(5_000);
     let on = world.starts[0].0.clone();
-    world.cut.push(on.clone());
-    world.start_again(&on);
+    world.unreachable.push(on.clone());
+    world.restart_worker(&on);
     world.list();
     let task = first_task(id(1)).to_string();
     let after_ms = runs_after_ms(&mut world, &task, 30_000);
@@ -216,7 +216,7 @@
 /// Loses a start in transit; returns it, with the worker to which it was sent.
 fn unanswered_start(world: &mut World) -> (WorkerId, StartOrder) {
     world.fate = Fate::endless();
-    world.loses_starts = true;
+    world.drops_starts = true;
     world.scheduler.submit(id(1), job(vec![step(1)]), 6, None);
     while world.starts.is_empty() {
         world.now_ms += 50;
@@ -225,7 +225,7 @@
             world.carry_out(action, now);
         }
     }
-    world.loses_starts = false;
+    world.drops_starts = false;
     world.starts[0].clone()
 }
 
@@ -257,7 +257,7 @@
             let mut world = restarting(&["w1", "w2"]);
             world.run_for(1_000);
             let (on, order) = unanswered_start(&mut world);
-            world.start_again(&on);
+            world.restart_worker(&on);
             if is_listed {
                 world.list();
             }
@@ -286,7 +286,7 @@
     let former = world.workers.get_mut(&on).expect("known");
     let report = former.hold(clock, held.order()).expect("answers");
     let entries = world.listings.clone();
-    world.start_again(&on);
+    world.restart_worker(&on);
     world.list();
     world.run_for(500);
     let runs = world.running();
@@ -308,7 +308,7 @@
 fn a_start_on_record_is_lost_with_the_process_that_was_told() {
     let names = ["w1", "w2", "w3", "w4", "w5", "w6"];
     let mut world = restarting(&names);
-    world.keeps_ids = true;
+    world.keeps_worker_ids = true;
     let bad = first_task(id(1));
     world.crashing.push(bad);
     let jobs = [id(1), id(2), id(3)];
@@ -351,27 +351,27 @@
 fn a_crash_that_was_counted_is_not_counted_by_the_next_holder() {
     let mut world = restarting(&["w1"]);
     world.scheduler.submit(id(1), job(vec![step(1)]), 6, None);
-    world.loses_starts = true;
+    world.drops_starts = true;
     for crashes in 1..=2 {
         let starts = world.starts.len();
         while world.starts.len() == starts {
             world.run_for(50);
         }
         // The holder doesn't learn that the order never arrived.
-        world.cut.push(w("w1"));
-        world.start_again(&w("w1"));
+        world.unreachable.push(w("w1"));
+        world.restart_worker(&w("w1"));
         world.list();
         world.run_for(50);
         assert_eq!(world.stored[&id(1)].tasks[0].crashes, crashes);
         if crashes < 2 {
-            world.cut.clear();
+            world.unreachable.clear();
         }
     }
     let progress = world.stored[&id(1)].clone();
     world.take_over(8);
     let accepted = job(vec![step(1)]);
     world.scheduler.submit(id(1), accepted, 6, Some(&progress));
-    world.cut.clear();
+    world.unreachable.clear();
     world.list();
     world.expect_all();
     world.run_for(100);
@@ -415,7 +415,7 @@
     world.fate = Fate::endless();
     world.scheduler.submit(id(1), job(vec![long_step(1)]), 6, None);
     run_reading_directory(&mut world, 3_000);
-    world.start_again_as(&w("w1"), Incarnation::started_at(1));
+    world.restart_worker_as(&w("w1"), Incarnation::started_at(1));
     let task = first_task(id(1)).to_string();
     let end_ms = world.now_ms + EARLIER_USED_WITHIN_MS;
     while world.now_ms < end_ms && !world.running().contains(&task) {
@@ -430,8 +430,8 @@
 fn inherited_tasks_dont_wait_for_a_restarted_worker() {
     let mut world = restarting(&["w1", "w2"]);
     world.run_for(500);
-    world.cut.push(w("w1"));
-    world.start_again(&w("w1"));
+    world.unreachable.push(w("w1"));
+    world.restart_worker(&w("w1"));
     world.list();
     world.scheduler.submit(id(1), job(vec![step(1)]), 4, None);
     let task = first_task(id(1)).to_string();
@@ -444,7 +444,7 @@
 #[test]
 fn a_reservation_survives_a_worker_restart() {
     let mut world = restarting(&["w1", "w2"]);
-    world.stops_take_ms = 900;
+    world.stop_duration_ms = 900;
     world.fate = Fate::endless();
     let large =
         StepSpec { cpu_millis: 3_000, max_unavailable: 1, ..long_step(1) };
@@ -464,7 +464,7 @@
     for _ in 0..4 {
         plan_round(&mut world);
     }
-    world.start_again(&to);
+    world.restart_worker(&to);
     world.list();
     for number in 2..=5 {
         world.scheduler.submit(id(number), job(vec![step(1)]), 7, None);
@@ -482,7 +482,7 @@
     let mut world = restarting(&["w1"]);
     world.scheduler.submit(id(1), job(vec![step(4)]), 6, None);
     world.run_for(3_000);
-    world.start_again(&w("w1"));
+    world.restart_worker(&w("w1"));
     // It is done when the first hold reaches the new process.
     world.fate = Fate::done(0);
     world.scheduler.submit(id(2), job(vec![step(1)]), 7, None);
@@ -500,7 +500,7 @@
     world.scheduler.submit(id(2), job(vec![step(1)]), 7, None);
     world.run_for(1_000);
     let held = next_hold(world, &w("w1"));
-    world.start_again(&w("w1"));
+    world.restart_worker(&w("w1"));
     world.list();
     world.fate = Fate::done(100);
     held
--- a/crates/dewspar/tests/schedule/runs.rs
+++ b/crates/dewspar/tests/schedule/runs.rs
@@ -56,7 +56,7 @@
     world.scheduler.submit(id(1), job(vec![long]), 6, None);
     world.run_for(300);
     let (first, _) = world.starts[0].clone();
-    world.cut.push(first);
+    world.unreachable.push(first);
     world.run_for(7_000);
     assert_eq!(world.starts.len(), 1, "its lease may still be running");
     world.run_for(5_000);
@@ -338,14 +338,14 @@
     world.run_for(300);
     assert_eq!(world.running().len(), 8);
     let w1 = WorkerId::new("w1");
-    world.cut.push(w1.clone());
+    world.unreachable.push(w1.clone());
     for _ in 0..30 {
         world.run_for(1_000);
         world.list();
     }
     assert_eq!(world.running().len(), 4, "its lease is over");
     world.starts.clear();
-    world.cut.clear();
+    world.unreachable.clear();
     world.fate = Fate::done(500);
     for _ in 0..5 {
         world.run_for(1_000);
@@ -365,7 +365,7 @@
     world.list();
     world.expect_all();
     // Accepted under a previous holder, so that it may run on either worker.
-    world.cut.push(WorkerId::new("w1"));
+    world.unreachable.push(WorkerId::new("w1"));
     world.scheduler.submit(id(1), job(vec![step(1)]), 4, None);
     for _ in 0..30 {
         world.run_for(1_000);
--- a/crates/dewspar/tests/schedule/small_link.rs
+++ b/crates/dewspar/tests/schedule/small_link.rs
@@ -18,7 +18,7 @@
 const LINK_MBPS: f64 = 2.0;
 
 /// What the link carries in a step, in bytes.
-const BYTES_A_STEP: u64 = 250 * STEP_MS;
+const BYTES_PER_STEP: u64 = 250 * STEP_MS;
 
 /// How the scheduler is called, in milliseconds.
 const STEP_MS: u64 = 5;
@@ -27,12 +27,12 @@
 const TIMEOUT_MS: u64 = 460;
 
 /// What a tenth of a core sends in a step, in orders.
-const ORDERS_A_STEP: usize = 5;
+const ORDERS_PER_STEP: usize = 5;
 
 const WORKERS: u64 = 132;
 
 /// How many tasks of former holders run, each of another job.
-const LASTING: u64 = 100;
+const LONG_RUNNING: u64 = 100;
 
 const OPEN_JOBS: u64 = 2_000;
 const SLICES: u64 = 16;
@@ -40,7 +40,7 @@
 
 /// What a reading of the directory takes, in bytes, and how often it comes.
 const DIRECTORY_BYTES: u64 = 40_000;
-const DIRECTORY_MS: u64 = 2_500;
+const DIRECTORY_INTERVAL_MS: u64 = 2_500;
 
 /// How many copies run of tasks that another copy has done, each of another
 /// job, of which a second task is still to run: two in each slice.
@@ -49,10 +49,10 @@
 /// How long after its slice was loaded a copy may go on, in milliseconds: 500
 /// until its worker is asked again, 300 for which that may wait for an end, and
 /// what the order to stop takes on a link that is in use.
-const COPY_STOPPED_MS: u64 = 1_500;
+const MAX_COPY_MS: u64 = 1_500;
 
 /// New jobs of two tasks come so often, in milliseconds.
-const NEW_JOB_MS: u64 = 20;
+const NEW_JOB_INTERVAL_MS: u64 = 20;
 const PAYLOAD_BYTES: usize = 500;
 
 const HOLDER: u64 = 10_000;
@@ -86,18 +86,18 @@
     /// When each slice was loaded.
     slice_loaded_ms: Vec<u64>,
     /// When each copy was gone.
-    copy_gone_ms: BTreeMap<JobId, u64>,
+    copy_ended_ms: BTreeMap<JobId, u64>,
     first_start_ms: Option<u64>,
     sent: u64,
-    without_result: u64,
+    failed: u64,
 }
 
 /// A job of a former holder: the first ones run, the others aren't due.
 fn open_job(number: u64) -> AcceptedJob {
-    let lasting = number < LASTING;
-    let step = StepSpec { long_running: lasting, ..step(1) };
+    let long_running = number < LONG_RUNNING;
+    let step = StepSpec { long_running, ..step(1) };
     let mut job = job(vec![step]);
-    job.spec.repeat = (!lasting).then_some(Repeat {
+    job.spec.repeat = (!long_running).then_some(Repeat {
         start_at_ms: u64::MAX / 2,
         interval_ms: 1,
         count: 1,
@@ -109,18 +109,19 @@
 /// on, and the other isn't ready before that job's second step.
 fn job_with_a_copy() -> AcceptedJob {
     let copied = StepSpec { may_duplicate: true, ..step(1) };
-    let lasting = StepSpec { after: vec![0], long_running: true, ..step(1) };
-    job(vec![copied, lasting])
+    let long_running =
+        StepSpec { after: vec![0], long_running: true, ..step(1) };
+    job(vec![copied, long_running])
 }
 
-fn copied_is_done() -> Progress {
+fn copied_task_done() -> Progress {
     let done = TaskRecord { done: true, run: 1, ..TaskRecord::default() };
     let phase = Phase::Running;
     Progress { phase, tasks: vec![done], ..Progress::default() }
 }
 
 fn is_copy(number: u64) -> bool {
-    (LASTING..LASTING + COPIES).contains(&number)
+    (LONG_RUNNING..LONG_RUNNING + COPIES).contains(&number)
 }
 
 /// What a former holder started of a job, a second before.
@@ -149,7 +150,7 @@
             .iter()
             .map(|listing| (listing.id.clone(), TaskWorker::new(ROOM)))
             .collect();
-        for (number, worker) in (0..LASTING).zip(workers.values_mut()) {
+        for (number, worker) in (0..LONG_RUNNING).zip(workers.values_mut()) {
             let order = started_before(number, 1);
             worker.start(1_000, &order, TASK, Fate::endless()).unwrap();
         }
@@ -170,18 +171,18 @@
             has_copies: false,
             loaded_ms: None,
             slice_loaded_ms: Vec::new(),
-            copy_gone_ms: BTreeMap::new(),
+            copy_ended_ms: BTreeMap::new(),
             first_start_ms: None,
             sent: 0,
-            without_result: 0,
+            failed: 0,
         }
     }
 
     /// Has copies run, on the workers on which nothing else does.
     fn with_copies(mut self) -> Node {
         self.has_copies = true;
-        let numbers = LASTING..LASTING + COPIES;
-        let free = self.workers.values_mut().skip(LASTING as usize);
+        let numbers = LONG_RUNNING..LONG_RUNNING + COPIES;
+        let free = self.workers.values_mut().skip(LONG_RUNNING as usize);
         for (number, worker) in numbers.zip(free) {
             let order = started_before(number, 2);
             worker.start(1_000, &order, TASK, Fate::endless()).unwrap();
@@ -193,60 +194,60 @@
         let end_ms = self.now_ms + ms;
         while self.now_ms < end_ms {
             self.now_ms += STEP_MS;
-            self.arrive();
-            self.carry();
+            self.add_arrivals();
+            self.transmit();
             for action in self.scheduler.plan(at(self.now_ms)) {
                 self.send(action);
             }
             let changes = self.scheduler.take_changes(100);
             self.scheduler.changes_stored(&changes, at(self.now_ms));
-            self.note_copies_gone();
+            self.record_ended_copies();
         }
     }
 
-    fn note_copies_gone(&mut self) {
+    fn record_ended_copies(&mut self) {
         let now_ms = self.now_ms;
         let workers = self.workers.values_mut();
         let running = workers.flat_map(|worker| worker.running(now_ms));
         let running: Vec<JobId> = running.map(|(task, _)| task.job).collect();
-        let copies = (LASTING..LASTING + COPIES).map(id);
+        let copies = (LONG_RUNNING..LONG_RUNNING + COPIES).map(id);
         for copy in copies.filter(|copy| !running.contains(copy)) {
-            self.copy_gone_ms.entry(copy).or_insert(now_ms);
+            self.copy_ended_ms.entry(copy).or_insert(now_ms);
         }
     }
 
     /// New jobs come, and the directory is read.
-    fn arrive(&mut self) {
-        if self.now_ms.is_multiple_of(NEW_JOB_MS) {
+    fn add_arrivals(&mut self) {
+        if self.now_ms.is_multiple_of(NEW_JOB_INTERVAL_MS) {
             let number = OPEN_JOBS + self.now_ms;
             let mut new = job(vec![step(2)]);
             new.spec.payload = "x".repeat(PAYLOAD_BYTES);
             let revision = HOLDER + self.now_ms;
             self.scheduler.submit(id(number), new, revision, None);
         }
-        if self.now_ms.is_multiple_of(DIRECTORY_MS) {
+        if self.now_ms.is_multiple_of(DIRECTORY_INTERVAL_MS) {
             self.bulk.push_back((DIRECTORY_BYTES, None));
         }
     }
 
     /// The link carries what waits; orders and bulk share it evenly.
-    fn carry(&mut self) {
+    fn transmit(&mut self) {
         let both = !self.orders.is_empty() && !self.bulk.is_empty();
-        let half = BYTES_A_STEP / 2;
-        let for_orders = if both { half } else { BYTES_A_STEP };
-        let left = self.carry_orders(for_orders);
-        let for_bulk = BYTES_A_STEP - for_orders + left;
-        self.carry_bulk(for_bulk);
-        self.answer_waiting();
+        let half = BYTES_PER_STEP / 2;
+        let for_orders = if both { half } else { BYTES_PER_STEP };
+        let left = self.transmit_orders(for_orders);
+        let for_bulk = BYTES_PER_STEP - for_orders + left;
+        self.transmit_bulk(for_bulk);
+        self.answer_due();
     }
 
     /// Returns the bytes that weren't used.
-    fn carry_orders(&mut self, mut bytes: u64) -> u64 {
-        let mut most = ORDERS_A_STEP;
+    fn transmit_orders(&mut self, mut bytes: u64) -> u64 {
+        let mut most = ORDERS_PER_STEP;
         while let Some(first) = self.orders.front_mut() {
-            let carried = first.bytes_left.min(bytes);
-            first.bytes_left -= carried;
-            bytes -= carried;
+            let sent_bytes = first.bytes_left.min(bytes);
+            first.bytes_left -= sent_bytes;
+            bytes -= sent_bytes;
             if first.bytes_left > 0 || most == 0 {
                 break;
             }
@@ -258,11 +259,11 @@
         bytes
     }
 
-    fn carry_bulk(&mut self, mut bytes: u64) {
+    fn transmit_bulk(&mut self, mut bytes: u64) {
         while let Some((left, slice)) = self.bulk.front_mut() {
-            let carried = (*left).min(bytes);
-            *left -= carried;
-            bytes -= carried;
+            let sent_bytes = (*left).min(bytes);
+            *left -= sent_bytes;
+            bytes -= sent_bytes;
             if *left > 0 {
                 return;
             }
@@ -278,7 +279,7 @@
         let now = at(self.now_ms);
         for number in (0..OPEN_JOBS).filter(|n| n % SLICES == slice) {
             if self.has_copies && is_copy(number) {
-                let (job, progress) = (job_with_a_copy(), copied_is_done());
+                let (job, progress) = (job_with_a_copy(), copied_task_done());
                 self.scheduler.submit(id(number), job, 5, Some(&progress));
                 continue;
             }
@@ -324,8 +325,8 @@
             Action::Hold { ref held, .. } => {
                 let answer_ms = self.now_ms + held.order().wait_ms;
                 if late {
-                    self.without_result += 1;
-                    self.lose(sent.action);
+                    self.failed += 1;
+                    self.fail_hold(sent.action);
                 } else {
                     self.waiting.push((answer_ms, sent.action));
                 }
@@ -342,7 +343,7 @@
         let mut result = at_worker.start(self.now_ms, order, TASK, fate);
         if late {
             // It arrives all the same, and nobody waits for the answer.
-            self.without_result += 1;
+            self.failed += 1;
             result = Err(OrderError::Unknown);
         } else {
             self.first_start_ms.get_or_insert(self.now_ms - 1_000);
@@ -351,7 +352,7 @@
         self.scheduler.start_answered(worker, task, run, result, now);
     }
 
-    fn lose(&mut self, action: Action) {
+    fn fail_hold(&mut self, action: Action) {
         let now = at(self.now_ms);
         if let Action::Hold { worker, held, .. } = action {
             let error = OrderError::Unknown;
@@ -359,7 +360,7 @@
         }
     }
 
-    fn answer_waiting(&mut self) {
+    fn answer_due(&mut self) {
         let now_ms = self.now_ms;
         for (answer_ms, action) in std::mem::take(&mut self.waiting) {
             if answer_ms > now_ms {
@@ -377,12 +378,12 @@
     }
 
     /// Counts the lasting tasks that still run.
-    fn lasting(&mut self) -> usize {
+    fn count_long_running(&mut self) -> usize {
         let now_ms = self.now_ms;
-        let lasting: Vec<JobId> = (0..LASTING).map(id).collect();
+        let long_running: Vec<JobId> = (0..LONG_RUNNING).map(id).collect();
         let workers = self.workers.values_mut();
         let running = workers.flat_map(|worker| worker.running(now_ms));
-        running.filter(|(task, _)| lasting.contains(&task.job)).count()
+        running.filter(|(task, _)| long_running.contains(&task.job)).count()
     }
 }
 
@@ -391,7 +392,7 @@
 }
 
 #[test]
-fn a_takeover_over_a_small_link_ends_and_loses_nothing_meanwhile() {
+fn a_takeover_over_a_small_link_completes_without_losses() {
     let mut node = Node::take_over(small_link());
     node.run_for(40_000);
     let first_start_ms = node.first_start_ms.expect("a start");
@@ -399,12 +400,15 @@
     let loaded_ms = node.loaded_ms.expect("all loaded");
     // 4 MB take 16 s if nothing else is carried.
     assert!(loaded_ms < 36_000, "all loaded after {loaded_ms} ms");
-    let lasting = u64::try_from(node.lasting()).unwrap();
-    assert_eq!(lasting, LASTING, "whose leases were renewed all the time");
+    let long_running = u64::try_from(node.count_long_running()).unwrap();
+    assert_eq!(
+        long_running, LONG_RUNNING,
+        "whose leases were renewed all the time"
+    );
     assert!(
-        node.without_result * 50 <= node.sent,
+        node.failed * 50 <= node.sent,
         "{} of {} orders gave no result",
-        node.without_result,
+        node.failed,
         node.sent,
     );
 }
@@ -413,17 +417,17 @@
 // goes on until its job has come, and takes the room of one worker meanwhile. It
 // isn't kept for all the loading: that takes half a minute here.
 #[test]
-fn a_copy_that_nobody_needs_is_stopped_once_its_slice_is_loaded() {
+fn an_unneeded_copy_is_stopped_once_its_slice_is_loaded() {
     let mut node = Node::take_over(small_link()).with_copies();
     node.run_for(40_000);
     assert!(node.loaded_ms.is_some(), "all loaded");
-    for number in LASTING..LASTING + COPIES {
+    for number in LONG_RUNNING..LONG_RUNNING + COPIES {
         let slice = (number % SLICES) as usize;
         let slice_ms = node.slice_loaded_ms[slice];
-        let gone_ms = node.copy_gone_ms[&id(number)];
-        let after_ms = gone_ms.saturating_sub(slice_ms);
-        assert!(after_ms <= COPY_STOPPED_MS, "{number}: {after_ms} ms");
+        let ended_ms = node.copy_ended_ms[&id(number)];
+        let after_ms = ended_ms.saturating_sub(slice_ms);
+        assert!(after_ms <= MAX_COPY_MS, "{number}: {after_ms} ms");
     }
-    let lasting = u64::try_from(node.lasting()).unwrap();
-    assert_eq!(lasting, LASTING, "nothing else is stopped");
+    let long_running = u64::try_from(node.count_long_running()).unwrap();
+    assert_eq!(long_running, LONG_RUNNING, "nothing else is stopped");
 }
--- a/crates/dewspar/tests/schedule/start_log.rs
+++ b/crates/dewspar/tests/schedule/start_log.rs
@@ -36,7 +36,7 @@
         self.world.now_ms += 50;
         self.world.round();
         let is_lost =
-            self.world.lost_with_starts && self.world.starts.len() > starts;
+            self.world.lost_after_start && self.world.starts.len() > starts;
         while let Some(log) = self.world.scheduler.take_start_log() {
             if is_lost {
                 self.world.scheduler.start_log_failed(&log);
@@ -85,7 +85,7 @@
 #[test]
 fn a_start_is_logged_before_its_holder_is_lost() {
     let mut logging = LoggingWorld::new(&["w1", "w2", "w3", "w4", "w5", "w6"]);
-    logging.world.lost_with_starts = true;
+    logging.world.lost_after_start = true;
     let bad = first_task(id(1));
     logging.world.crashing.push(bad);
     let jobs = [id(1), id(2), id(3)];
@@ -143,7 +143,7 @@
     let starts = logging.logs[0].starts().to_vec();
     let on = logging.world.starts[0].0.clone();
     // The outcome of the start stays unknown.
-    logging.world.cut.push(on.clone());
+    logging.world.unreachable.push(on.clone());
     logging.world.stored.clear();
     logging.take_over(10, &[id(1)]);
     assert!(!logging.world.scheduler.are_logged_starts_stored());
--- a/crates/dewspar/tests/schedule/task_moves.rs
+++ b/crates/dewspar/tests/schedule/task_moves.rs
@@ -95,7 +95,7 @@
     let (mut world, fuller) = world_with_room_for_one_move();
     let vm = format!("vm-of-{fuller}");
     request_wave_of(&mut world, &[&vm]);
-    world.stops_take_ms = STOP_MS;
+    world.stop_duration_ms = STOP_MS;
     for _ in 0..100 {
         plan_round(&mut world);
         let running = world.running().len();
@@ -109,7 +109,7 @@
     let (mut world, fuller) = world_with_room_for_one_move();
     let vm = format!("vm-of-{fuller}");
     request_wave_of(&mut world, &[&vm]);
-    world.stops_take_ms = STOP_MS;
+    world.stop_duration_ms = STOP_MS;
     plan_round(&mut world);
     plan_round(&mut world);
     let _ = world.scheduler.take_decisions();
@@ -142,7 +142,7 @@
     world.scheduler.configure_pools(serving, ["off".to_owned()].into());
     let vm = format!("vm-of-{fuller}");
     request_wave_of(&mut world, &[&vm]);
-    world.stops_take_ms = STOP_MS;
+    world.stop_duration_ms = STOP_MS;
     let mut orders = Vec::new();
     for _ in 0..4 {
         orders.extend(vm_orders(&mut world));
@@ -185,7 +185,7 @@
     world.run_for(3_000);
     let from = world.starts[0].0.clone();
     request_wave_of(&mut world, &[&format!("vm-of-{from}")]);
-    world.stops_take_ms = STOP_MS;
+    world.stop_duration_ms = STOP_MS;
     plan_round(&mut world);
     let decisions = world.scheduler.take_decisions();
     let place = decisions.iter().find_map(|decision| match decision {
@@ -257,7 +257,7 @@
         leaving.remaining_ms = Some(6_000);
     }
     world.list();
-    world.stops_take_ms = STOP_MS;
+    world.stop_duration_ms = STOP_MS;
     for _ in 0..(STOP_MS / 50 + 4) {
         plan_round(&mut world);
     }
--- a/crates/dewspar/tests/schedule/task_moves_random.rs
+++ b/crates/dewspar/tests/schedule/task_moves_random.rs
@@ -7,7 +7,7 @@
 
 use {
     crate::{
-        waves::{maintain_for_a_while, request_wave},
+        waves::{maintain_for_50_ms, request_wave},
         world::{POOL, RunKind, World, at, id, job, step},
     },
     dewspar::{
@@ -48,7 +48,7 @@
             (0..workers).map(|n| format!("w{n}")).collect();
         let names: Vec<&str> = names.iter().map(String::as_str).collect();
         let mut world = World::new(5, &names);
-        world.stops_take_ms = random.random_range(0..900);
+        world.stop_duration_ms = random.random_range(0..900);
         world.list();
         world.expect_all();
         world.run_for(100);
@@ -120,8 +120,8 @@
     fn lose_worker(&mut self) {
         let index = self.random.random_range(0..self.world.listings.len());
         let vm = self.world.listings[index].vm.clone();
-        self.world.told_after_ms = Some(0);
-        self.world.crash_vm(&vm);
+        self.world.crash_report_delay_ms = Some(0);
+        self.world.crash_worker_on(&vm);
     }
 
     /// Notes what was reserved and checks what was started.
@@ -153,7 +153,7 @@
     }
 
     fn advance(&mut self) {
-        maintain_for_a_while(&mut self.world);
+        maintain_for_50_ms(&mut self.world);
         self.check();
     }
 
@@ -165,7 +165,7 @@
         }
         // Until the wave is over and every worker is back.
         for _ in 0..200 {
-            maintain_for_a_while(&mut self.world);
+            maintain_for_50_ms(&mut self.world);
         }
         self.world.run_for(3_000);
         assert_eq!(self.world.running(), Vec::<String>::new());
--- a/crates/dewspar/tests/schedule/unseen_starts.rs
+++ b/crates/dewspar/tests/schedule/unseen_starts.rs
@@ -92,7 +92,7 @@
     let mut world = World::new(5, &["w1", "w2", "w3"]);
     world.list();
     world.expect_all();
-    world.loses_starts = true;
+    world.drops_starts = true;
     let jobs = [id(1)];
     world.scheduler.submit(id(1), job(vec![step(1)]), 6, None);
     for revision in (8..40).step_by(2) {
@@ -102,7 +102,7 @@
         }
         take_over_without_entries(&mut world, revision, &jobs);
     }
-    world.loses_starts = false;
+    world.drops_starts = false;
     world.run_for(60_000);
     assert_eq!(world.phases[&id(1)], "completed");
 }
@@ -136,7 +136,7 @@
     world.scheduler.submit(id(1), job(vec![step(1)]), 6, None);
     world.list();
     world.expect_all();
-    world.cut.push(silent.id);
+    world.unreachable.push(silent.id);
     world.run_for(100);
     world
 }
@@ -218,7 +218,7 @@
     let (worker, _) = &world.starts[starts];
     let here = |listing: &&WorkerListing| listing.id == *worker;
     let vm = world.listings.iter().find(here).map(|l| l.vm.clone());
-    world.crash_vm(&vm.expect("OK because it was listed to be told"));
+    world.crash_worker_on(&vm.expect("OK because it was listed to be told"));
 }
 
 /// Guards against counting announced starts that were never ordered. A sound
@@ -229,20 +229,20 @@
 fn a_start_that_was_announced_and_never_ordered_does_not_count() {
     let names = ["w1", "w2", "w3", "w4", "w5", "w6"];
     let mut world = World::new(5, &names);
-    world.told_after_ms = Some(100);
+    world.crash_report_delay_ms = Some(100);
     world.list();
     world.expect_all();
     let jobs = [id(1)];
     world.scheduler.submit(id(1), job(vec![step(1)]), 6, None);
     crash_next_start(&mut world);
     crash_next_start(&mut world);
-    world.cut = world.listings.iter().map(|w| w.id.clone()).collect();
+    world.unreachable = world.listings.iter().map(|w| w.id.clone()).collect();
     world.run_for(200);
     for revision in [8, 10, 12, 14] {
         take_over_without_entries(&mut world, revision, &jobs);
         world.run_for(200);
     }
-    world.cut.clear();
+    world.unreachable.clear();
     crash_next_start(&mut world);
     world.run_for(60_000);
     assert_eq!(world.phases[&id(1)], "completed");
@@ -259,7 +259,7 @@
 fn two_workers_lost_before_they_answered_may_be_two_starts() {
     let names = ["w1", "w2", "w3", "w4", "w5", "w6"];
     let mut world = World::new(5, &names);
-    world.told_after_ms = Some(100);
+    world.crash_report_delay_ms = Some(100);
     world.list();
     world.expect_all();
     let bad = first_task(id(1));
@@ -288,7 +288,7 @@
     let mut world = World::new(5, &names);
     world.list();
     world.expect_all();
-    world.lost_with_starts = true;
+    world.lost_after_start = true;
     let bad = first_task(id(1));
     world.crashing.push(bad);
     let jobs = [id(1), id(2), id(3)];
--- a/crates/dewspar/tests/schedule/vm_order_takeover.rs
+++ b/crates/dewspar/tests/schedule/vm_order_takeover.rs
@@ -17,7 +17,7 @@
 }
 
 /// A pool that needs its spare VM.
-fn world_in_need() -> World {
+fn world_with_deficit() -> World {
     let mut world = world_with_spare();
     world.fate = Fate::endless();
     let long = StepSpec { long_running: true, max_per_worker: 1, ..step(3) };
@@ -27,42 +27,42 @@
 
 /// What `holder` leaves on record after it ordered the spare VM.
 fn record_of(holder: &OrderIssuer) -> OrderedVms {
-    let mut world = world_in_need();
+    let mut world = world_with_deficit();
     assert_eq!(vm_orders(&mut world), [move_of_spare()]);
     world.scheduler.ordered_vms(at(world.now_ms), holder)
 }
 
 #[test]
-fn a_vm_that_another_node_ordered_is_left_alone() {
+fn a_vm_ordered_by_another_node_is_not_touched() {
     let record = record_of(&process("n1", 1));
-    let mut world = world_in_need();
+    let mut world = world_with_deficit();
     let now = at(world.now_ms);
     world.scheduler.hold_off_vm_orders(now, &process("n2", 1), Some(record));
     assert_eq!(vm_orders(&mut world), []);
 }
 
 #[test]
-fn a_restarted_node_goes_on_with_the_vms_that_it_ordered() {
+fn a_restarted_node_may_order_its_own_vms_again() {
     let record = record_of(&process("n1", 1));
-    let mut world = world_in_need();
+    let mut world = world_with_deficit();
     let now = at(world.now_ms);
     world.scheduler.hold_off_vm_orders(now, &process("n1", 2), Some(record));
     assert_eq!(vm_orders(&mut world), [move_of_spare()]);
 }
 
 #[test]
-fn a_process_that_takes_the_lease_again_waits_like_any_other() {
+fn a_process_that_regains_the_lease_waits_too() {
     let record = record_of(&process("n1", 1));
-    let mut world = world_in_need();
+    let mut world = world_with_deficit();
     let now = at(world.now_ms);
     world.scheduler.hold_off_vm_orders(now, &process("n1", 1), Some(record));
     assert_eq!(vm_orders(&mut world), []);
 }
 
 #[test]
-fn what_an_earlier_holder_ordered_stays_on_record_for_its_time() {
+fn inherited_orders_stay_recorded_until_they_expire() {
     let record = record_of(&process("n1", 1));
-    let mut world = world_in_need();
+    let mut world = world_with_deficit();
     let second = process("n2", 1);
     let begun_ms = world.now_ms;
     let now = at(begun_ms);
@@ -74,22 +74,22 @@
 }
 
 #[test]
-fn an_order_that_was_old_when_it_was_recorded_holds_nobody_up_for_long() {
+fn the_age_of_a_recorded_order_shortens_the_wait() {
     let first = process("n1", 1);
-    let mut before = world_in_need();
+    let mut before = world_with_deficit();
     assert_eq!(vm_orders(&mut before), [move_of_spare()]);
     // Recorded again, 2.5 s or so after the order.
     let record =
         before.scheduler.ordered_vms(at(before.now_ms + 1_500), &first);
     assert!(!record.is_empty());
-    let mut world = world_in_need();
+    let mut world = world_with_deficit();
     let now = at(world.now_ms);
     world.scheduler.hold_off_vm_orders(now, &process("n2", 1), Some(record));
     assert_eq!(vm_orders(&mut world), [move_of_spare()]);
 }
 
 #[test]
-fn a_record_names_each_process_once_and_reads_as_it_was_written() {
+fn a_record_names_each_process_once_and_round_trips() {
     let record = record_of(&process("n1", 1));
     let json = serde_json::to_string(&record).unwrap();
     assert_eq!(json.matches("\"n1\"").count(), 1, "{json}");
--- a/crates/dewspar/tests/schedule/vm_service_results.rs
+++ b/crates/dewspar/tests/schedule/vm_service_results.rs
@@ -36,7 +36,7 @@
 
 /// Plans what is to be ordered of the VM service for so long, and returns
 /// which VMs are to be maintained, and when.
-fn maintained(world: &mut World, for_ms: u64) -> Vec<(u64, String)> {
+fn ordered_maintenance(world: &mut World, for_ms: u64) -> Vec<(u64, String)> {
     let end_ms = world.now_ms + for_ms;
     let mut ordered = Vec::new();
     while world.now_ms < end_ms {
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn maintenance_that_was_refused_is_ordered_again_though_one_may_be_down() {
+fn refused_maintenance_is_retried_at_the_max_down_limit() {
     for error in [
         VmOrderError::NotDone,
         VmOrderError::Busy,
@@ -78,27 +78,27 @@
         VmOrderError::Unknown,
     ] {
         let mut world = idle_world(&["w1", "w2"], 1);
-        let first = maintained(&mut world, 2_000);
+        let first = ordered_maintenance(&mut world, 2_000);
         assert_eq!(first.len(), 1, "{error:?}");
         answer(&mut world, &first[0].1, Err(error));
         world.run_for(50);
-        let second = maintained(&mut world, 2_000);
+        let second = ordered_maintenance(&mut world, 2_000);
         assert_eq!(second.len(), 1, "{error:?}: it is never ordered again");
         assert_eq!(second[0].1, first[0].1, "{error:?}: one at a time");
     }
 }
 
 #[test]
-fn maintenance_that_was_done_before_ends_no_later_life() {
+fn maintenance_already_done_does_not_end_the_current_worker() {
     // A former holder had the VM maintained and couldn't record it.
     let mut world = idle_world(&["w1", "w2"], 1);
-    let first = maintained(&mut world, 2_000);
+    let first = ordered_maintenance(&mut world, 2_000);
     let vm = first[0].1.clone();
     // The VM service takes it as done; the life goes on, and the list of VMs
     // still has it.
     answer(&mut world, &vm, Ok(()));
     world.run_for(600);
-    let second = maintained(&mut world, 3_000);
+    let second = ordered_maintenance(&mut world, 3_000);
     assert_eq!(second.len(), 1, "the wave goes on");
     assert_ne!(second[0].1, vm);
     answer(&mut world, &second[0].1, Ok(()));
@@ -107,7 +107,7 @@
     let other = second[0].1.clone();
     let gone = world.listings.iter().find(|l| l.vm == other);
     let gone = gone.expect("a listed VM").id.clone();
-    world.cut.push(gone);
+    world.unreachable.push(gone);
     world.run_for(300);
     let on: Vec<&WorkerId> = world.starts.iter().map(|(on, _)| on).collect();
     let listing = world.listings.iter().find(|l| l.vm == vm);
@@ -116,11 +116,11 @@
 }
 
 #[test]
-fn a_life_that_was_maintained_gets_nothing_before_the_list_shows_the_next() {
+fn a_maintained_worker_gets_no_starts_before_the_list_shows_its_successor() {
     let mut world = idle_world(&["w1", "w2"], 1);
     let asked_ms = world.now_ms;
     let vms: Vec<ManagedVm> = world.listings.iter().map(managed).collect();
-    let first = maintained(&mut world, 2_000);
+    let first = ordered_maintenance(&mut world, 2_000);
     let vm = first[0].1.clone();
     world.run_for(50);
     answer(&mut world, &vm, Ok(()));
@@ -136,14 +136,14 @@
 }
 
 #[test]
-fn what_a_former_holder_ordered_of_late_may_still_go_down() {
+fn recent_orders_of_a_former_holder_count_as_down() {
     let mut world = World::new(5, &["w1", "w2", "w3"]);
     world.listings[0].rack = "rack-9".to_owned();
     world.list();
     world.expect_all();
     world.run_for(200);
     request_wave(&mut world, 1);
-    let first = maintained(&mut world, 2_000);
+    let first = ordered_maintenance(&mut world, 2_000);
     let orderer =
         |node: &str| OrderIssuer { node: node.to_owned(), incarnation: 1 };
     let (now, former) = (at(world.now_ms), orderer("node-1"));
@@ -163,13 +163,13 @@
     world.scheduler.submit(id(1), job(vec![there]), 10, None);
     world.run_for(50);
     request_wave(&mut world, 1);
-    let second = maintained(&mut world, 2_000);
+    let second = ordered_maintenance(&mut world, 2_000);
     assert!(second.is_empty(), "{first:?} may go down yet: {second:?}");
-    assert_eq!(maintained(&mut world, 2_000).len(), 1);
+    assert_eq!(ordered_maintenance(&mut world, 2_000).len(), 1);
 }
 
 #[test]
-fn a_vm_that_is_ordered_to_move_is_one_vm() {
+fn a_vm_ordered_to_move_is_counted_once() {
     let mut world = World::new(5, &["w1", "w2"]);
     let mut spare = listing("w3");
     spare.pool = "off".to_owned();
@@ -195,7 +195,7 @@
 }
 
 #[test]
-fn a_worker_that_a_gang_waits_to_use_isnt_switched_off() {
+fn a_worker_that_a_gang_waits_for_is_not_switched_off() {
     let names = ["w1", "w2", "w3"];
     let mut world = World::new(5, &names);
     world.list();
@@ -215,7 +215,7 @@
 }
 
 #[test]
-fn a_move_that_was_done_before_ends_no_later_life() {
+fn a_move_already_done_does_not_end_the_current_worker() {
     let mut world = World::new(5, &["w1", "w2"]);
     for name in ["w3", "w4"] {
         let pool = "off".to_owned();
@@ -256,9 +256,9 @@
 }
 
 #[test]
-fn a_vm_that_was_ordered_is_the_next_to_be_emptied() {
+fn a_vm_with_an_unanswered_order_is_drained_first() {
     let mut world = idle_world(&["w1", "w2"], 1);
-    let first = maintained(&mut world, 2_000);
+    let first = ordered_maintenance(&mut world, 2_000);
     let vm = first[0].1.clone();
     answer(&mut world, &vm, Err(VmOrderError::Unknown));
     // It was carried out all the same, and the VM is back and at work.
@@ -275,24 +275,24 @@
     let there = StepSpec { data_rack: "rack-9".to_owned(), ..step(1) };
     world.scheduler.submit(id(1), job(vec![there]), 6, None);
     world.run_for(100);
-    let again = maintained(&mut world, 9_000);
+    let again = ordered_maintenance(&mut world, 9_000);
     assert_eq!(again.len(), 1, "the wave stands still");
     assert_eq!(again[0].1, vm, "only this shows whether it was done");
     answer(&mut world, &vm, Ok(()));
     world.run_for(50);
-    assert_ne!(maintained(&mut world, 3_000)[0].1, vm);
+    assert_ne!(ordered_maintenance(&mut world, 3_000)[0].1, vm);
 }
 
 #[test]
-fn a_wave_goes_on_past_a_vm_that_failed_as_it_was_ordered() {
+fn a_wave_continues_after_an_ordered_vm_failed() {
     let mut world = idle_world(&["w1", "w2", "w3"], 1);
-    let first = maintained(&mut world, 2_000);
+    let first = ordered_maintenance(&mut world, 2_000);
     let vm = first[0].1.clone();
     // It has failed since the last list: nothing is down by an order.
     answer(&mut world, &vm, Err(VmOrderError::Busy));
     // OK because there is a worker on each VM.
     let gone = world.listings.iter().find(|l| l.vm == vm).unwrap();
-    world.cut.push(gone.id.clone());
+    world.unreachable.push(gone.id.clone());
     let end_ms = world.now_ms + 9_000;
     let mut ordered = Vec::new();
     while world.now_ms < end_ms {
--- a/crates/dewspar/tests/schedule/wave_deadlines.rs
+++ b/crates/dewspar/tests/schedule/wave_deadlines.rs
@@ -66,12 +66,12 @@
             let vm = managed(listing);
             match down.contains_key(&listing.vm) {
                 true => {
-                    let life = VmStatus::Maintenance;
-                    ManagedVm { status: life, worker: None, ..vm }
+                    let status = VmStatus::Maintenance;
+                    ManagedVm { status, worker: None, ..vm }
                 }
                 false if moving.contains(&listing.vm) => {
-                    let life = VmStatus::Moving;
-                    ManagedVm { status: life, worker: None, ..vm }
+                    let status = VmStatus::Moving;
+                    ManagedVm { status, worker: None, ..vm }
                 }
                 false => vm,
             }
@@ -99,7 +99,7 @@
         world.scheduler.maintenance_answered(vm, 1, Ok(()), now);
     }
 
-    fn bring_back(&mut self) {
+    fn restore_workers(&mut self) {
         let now_ms = self.world.now_ms;
         let back = self.down.extract_if(.., |_, back| *back <= now_ms);
         let back: BTreeSet<String> = back.map(|(vm, _)| vm).collect();
@@ -117,7 +117,7 @@
     }
 
     /// Looks once and lets so much time pass, in milliseconds.
-    fn look(&mut self, every_ms: u64) {
+    fn pass(&mut self, every_ms: u64) {
         self.list_vms();
         let now = at(self.world.now_ms);
         for order in self.world.scheduler.plan_vms(now) {
@@ -128,13 +128,13 @@
             }
         }
         self.world.run_for(every_ms);
-        self.bring_back();
+        self.restore_workers();
     }
 
     /// Looks at it until its time is over.
-    fn go_on(&mut self, every_ms: u64) {
+    fn run_to_deadline(&mut self, every_ms: u64) {
         while self.world.now_ms < self.begun_ms + self.request.duration_ms {
-            self.look(every_ms);
+            self.pass(every_ms);
         }
     }
 }
@@ -142,59 +142,59 @@
 #[test]
 fn a_large_wave_ends_in_time() {
     let mut wave = Wave::of(500, 200, 20_000);
-    wave.go_on(50);
+    wave.run_to_deadline(50);
     assert_eq!(wave.begun.len(), 500);
     assert!(wave.most_down <= 200, "{} were down", wave.most_down);
 }
 
 #[test]
-fn a_large_wave_ends_in_time_though_its_node_looks_seldom() {
+fn a_large_wave_ends_in_time_with_infrequent_passes() {
     let mut wave = Wave::of(300, 120, 16_000);
-    wave.go_on(200);
+    wave.run_to_deadline(200);
     assert_eq!(wave.begun.len(), 300);
     assert!(wave.most_down <= 120, "{} were down", wave.most_down);
 }
 
 #[test]
-fn a_large_wave_takes_its_time() {
+fn a_large_wave_is_spread_over_its_duration() {
     // What is down is missed as soon as jobs come.
     let mut wave = Wave::of(200, 200, 24_000);
     let begin = wave.world.now_ms;
     while wave.world.now_ms < begin + 1_000 {
-        wave.look(50);
+        wave.pass(50);
     }
     let spread = 200 * 3 / 20;
     assert!(wave.begun.len() <= spread, "{} in a second", wave.begun.len());
 }
 
 #[test]
-fn a_wave_is_over_though_its_vms_move_on_before_they_are_seen_back() {
+fn a_wave_completes_when_its_vms_move_before_the_list_shows_them_up() {
     // A VM that is back is wanted elsewhere at once; where the list of VMs is
     // read once in 1.2 s, each reading showed it on its way to another pool.
     let mut wave = Wave::of(4, 4, 5_000);
     for _ in 0..10 {
-        wave.look(50);
+        wave.pass(50);
     }
     assert_eq!(wave.begun.len(), 4);
     assert!(!wave.completed);
     wave.moving = wave.request.vms.iter().cloned().collect();
     for _ in 0..60 {
-        wave.look(50);
+        wave.pass(50);
     }
     assert!(wave.completed);
 }
 
 #[test]
-fn a_wave_goes_on_while_a_vm_of_it_is_down() {
+fn a_wave_is_not_completed_while_a_vm_is_down() {
     let mut wave = Wave::of(4, 4, 16_000);
     for _ in 0..30 {
-        wave.look(50);
+        wave.pass(50);
         assert!(!wave.completed);
     }
 }
 
 #[test]
-fn a_vm_is_brought_for_a_task_that_has_no_other_place() {
+fn a_vm_is_added_for_a_task_that_no_other_worker_can_take() {
     // One VM of 572 was left when its wave was due: its pool had no other
     // place for the last of six tasks that it held, for five seconds, and
     // got no VM, since nothing waited.
@@ -234,7 +234,7 @@
 }
 
 /// A wave of 400 VMs on 40 of which tasks are to last, one on each.
-fn wave_with_lasting_tasks() -> (Wave, BTreeSet<String>) {
+fn wave_with_long_running_tasks() -> (Wave, BTreeSet<String>) {
     let mut wave = Wave::of(400, 200, 20_000);
     let long = StepSpec {
         long_running: true,
@@ -255,23 +255,23 @@
 }
 
 #[test]
-fn tasks_that_are_to_last_leave_all_along_a_wave() {
+fn long_running_tasks_leave_throughout_a_wave() {
     // They took longest to leave and were left for the end. There the peak
     // of their queue took each place that they could have gone to.
-    let (mut wave, lasting) = wave_with_lasting_tasks();
+    let (mut wave, long_running_vms) = wave_with_long_running_tasks();
     while wave.world.now_ms < wave.begun_ms + 8_000 {
-        wave.look(50);
+        wave.pass(50);
     }
-    let left = wave.begun.intersection(&lasting).count();
+    let left = wave.begun.intersection(&long_running_vms).count();
     assert!(left >= 10, "{left} of 40 by the middle");
-    wave.go_on(50);
+    wave.run_to_deadline(50);
     assert_eq!(wave.begun.len(), 400);
 }
 
 #[test]
-fn tasks_that_are_to_last_move_once_in_a_wave() {
-    let (mut wave, _) = wave_with_lasting_tasks();
-    wave.go_on(50);
+fn long_running_tasks_move_once_per_wave() {
+    let (mut wave, _) = wave_with_long_running_tasks();
+    wave.run_to_deadline(50);
     assert_eq!(wave.begun.len(), 400);
     let mut starts = BTreeMap::new();
     for (_, order) in &wave.world.starts {
--- a/crates/dewspar/tests/schedule/wave_progress.rs
+++ b/crates/dewspar/tests/schedule/wave_progress.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        waves::{maintain_for_a_while, request_wave, world_with_wave},
+        waves::{maintain_for_50_ms, request_wave, world_with_wave},
         world::{World, at, id, job, managed, step},
     },
     dewspar::schedule::{
@@ -12,24 +12,24 @@
     dewspar_standin::task_worker::Fate,
 };
 
-fn accounts(world: &mut World) -> Vec<WaveProgress> {
+fn reports(world: &mut World) -> Vec<WaveProgress> {
     let decisions = world.scheduler.take_decisions();
-    let accounts = decisions.into_iter().filter_map(|d| match d {
-        Decision::WaveProgress { progress: account, .. } => Some(account),
+    let reports = decisions.into_iter().filter_map(|d| match d {
+        Decision::WaveProgress { progress: report, .. } => Some(report),
         _ => None,
     });
-    accounts.collect()
+    reports.collect()
 }
 
 /// Looks at a wave once and returns what is told.
-fn account(world: &mut World) -> Option<WaveProgress> {
+fn next_report(world: &mut World) -> Option<WaveProgress> {
     world.scheduler.take_decisions();
     world.scheduler.plan_vms(at(world.now_ms));
-    accounts(world).pop()
+    reports(world).pop()
 }
 
 /// Lets time pass, after which the VM service tells of its VMs, changed so.
-fn pass(world: &mut World, ms: u64, change: impl Fn(&mut Vec<ManagedVm>)) {
+fn advance(world: &mut World, ms: u64, change: impl Fn(&mut Vec<ManagedVm>)) {
     world.run_for(ms);
     let mut vms: Vec<ManagedVm> = world.listings.iter().map(managed).collect();
     change(&mut vms);
@@ -38,13 +38,13 @@
 }
 
 fn idle_world() -> World {
-    world_without(&[])
+    world_with_unreachable(&[])
 }
 
 /// Makes a world in which a wave begins and these workers don't answer.
-fn world_without(cut: &[&str]) -> World {
+fn world_with_unreachable(cut: &[&str]) -> World {
     let mut world = World::new(5, &["w1", "w2", "w3", "w4", "w5"]);
-    world.cut.extend(cut.iter().map(|name| WorkerId::new(name)));
+    world.unreachable.extend(cut.iter().map(|name| WorkerId::new(name)));
     world.list();
     world.expect_all();
     world.run_for(500);
@@ -53,71 +53,71 @@
 }
 
 #[test]
-fn a_wave_is_told_of_once_a_second_and_once_when_its_time_is_over() {
+fn a_wave_is_reported_every_second_and_once_at_its_deadline() {
     let mut world = idle_world();
     let begin = world.now_ms;
-    let mut told = Vec::new();
+    let mut report = Vec::new();
     // Nothing is answered, so that nothing is ever done.
     while world.now_ms < begin + 21_000 {
         world.scheduler.plan_vms(at(world.now_ms));
-        let times = accounts(&mut world).into_iter().map(|a| a.time);
-        told.extend(times);
-        pass(&mut world, 50, |_| {});
+        let times = reports(&mut world).into_iter().map(|a| a.time);
+        report.extend(times);
+        advance(&mut world, 50, |_| {});
     }
-    let count = |time| told.iter().filter(|told| **told == time).count();
+    let count = |time| report.iter().filter(|report| **report == time).count();
     assert_eq!(count(WaveDeadline::Ahead), 10);
     assert_eq!(count(WaveDeadline::Passed), 1);
     assert_eq!(count(WaveDeadline::LongPassed), 1);
 }
 
 #[test]
-fn each_vm_that_is_left_is_counted_once() {
+fn each_remaining_vm_is_counted_once() {
     let mut world = world_with_wave(5);
     request_wave(&mut world);
-    let mut told = Vec::new();
+    let mut report = Vec::new();
     for _ in 0..400 {
-        maintain_for_a_while(&mut world);
-        told.extend(accounts(&mut world));
+        maintain_for_50_ms(&mut world);
+        report.extend(reports(&mut world));
     }
-    assert!(told.len() > 2);
-    for account in told {
-        assert_eq!(account.begun + account.left.total(), account.vms);
+    assert!(report.len() > 2);
+    for report in report {
+        assert_eq!(report.begun + report.left.total(), report.vms);
     }
 }
 
 #[test]
-fn vms_that_are_not_to_be_chosen_yet_wait_for_those_under_way() {
+fn unselected_vms_wait_for_those_in_progress() {
     let mut world = idle_world();
     world.fate = Fate::endless();
     for number in 1..=5 {
         let full = job(vec![step(4)]);
         world.scheduler.submit(id(number), full, 6, None);
     }
-    pass(&mut world, 200, |_| {});
-    account(&mut world);
-    pass(&mut world, 1_000, |_| {});
-    let told = account(&mut world).expect("it is due");
-    let most = told.pace.parallel;
-    assert_eq!(told.pace.under_way, 1, "one more a look");
+    advance(&mut world, 200, |_| {});
+    next_report(&mut world);
+    advance(&mut world, 1_000, |_| {});
+    let report = next_report(&mut world).expect("it is due");
+    let most = report.pace.parallel;
+    assert_eq!(report.pace.under_way, 1, "one more a look");
     let unchosen =
         RemainingVms { short: 1, next: 4, ..RemainingVms::default() };
-    assert_eq!(told.left, unchosen);
+    assert_eq!(report.left, unchosen);
     for _ in 0..20 {
         world.scheduler.plan_vms(at(world.now_ms));
-        pass(&mut world, 50, |_| {});
+        advance(&mut world, 50, |_| {});
     }
-    let told = account(&mut world).expect("it is due");
+    let report = next_report(&mut world).expect("it is due");
     let chosen = RemainingVms {
-        short: told.pace.under_way,
-        parallel: 5 - told.pace.under_way,
+        short: report.pace.under_way,
+        parallel: 5 - report.pace.under_way,
         ..RemainingVms::default()
     };
-    assert_eq!(told.left, chosen);
-    assert!(told.pace.parallel >= most);
+    assert_eq!(report.left, chosen);
+    assert!(report.pace.parallel >= most);
 }
 
 #[test]
-fn a_run_that_is_to_last_keeps_its_vm_while_its_step_can_spare_none() {
+fn a_long_running_task_without_another_place_keeps_its_vm() {
     let mut world = world_with_wave(5);
     request_wave(&mut world);
     // The only worker without a task of the step is gone.
@@ -130,16 +130,16 @@
     world.listings.retain(|listing| listing.id != idle);
     for _ in 0..80 {
         world.scheduler.plan_vms(at(world.now_ms));
-        pass(&mut world, 50, |_| {});
+        advance(&mut world, 50, |_| {});
     }
-    let told = account(&mut world).expect("it is due");
-    assert!(told.left.place > 0, "{told:?}");
+    let report = next_report(&mut world).expect("it is due");
+    assert!(report.left.place > 0, "{report:?}");
 }
 
 #[test]
-fn vms_that_cannot_be_maintained_are_told_apart() {
-    let mut world = world_without(&["w1"]);
-    pass(&mut world, 50, |vms| {
+fn vms_that_cannot_be_maintained_are_counted_by_reason() {
+    let mut world = world_with_unreachable(&["w1"]);
+    advance(&mut world, 50, |vms| {
         vms[1].status = VmStatus::Moving;
         vms[2].status = VmStatus::Down;
         vms.remove(3);
@@ -149,17 +149,17 @@
         "test",
         at(world.now_ms),
     );
-    let told = account(&mut world).expect("it is due");
-    assert_eq!(told.left.silent, 1, "{told:?}");
-    assert_eq!(told.left.moving, 1, "{told:?}");
-    assert_eq!(told.left.down, 1, "{told:?}");
-    assert_eq!(told.left.unlisted, 1, "{told:?}");
+    let report = next_report(&mut world).expect("it is due");
+    assert_eq!(report.left.silent, 1, "{report:?}");
+    assert_eq!(report.left.moving, 1, "{report:?}");
+    assert_eq!(report.left.down, 1, "{report:?}");
+    assert_eq!(report.left.unlisted, 1, "{report:?}");
 }
 
 #[test]
-fn it_is_told_why_nothing_is_ordered_of_the_vm_service() {
+fn reports_state_why_no_vm_orders_are_sent() {
     let mut world = idle_world();
     world.run_for(4_000);
-    let told = account(&mut world).expect("it is due");
-    assert_eq!(told.blocker, Some("the list of VMs is outdated"));
+    let report = next_report(&mut world).expect("it is due");
+    assert_eq!(report.blocker, Some("the list of VMs is outdated"));
 }
--- a/crates/dewspar/tests/schedule/waves.rs
+++ b/crates/dewspar/tests/schedule/waves.rs
@@ -63,18 +63,18 @@
 
 /// Plans maintenance for 50 ms; a VM that goes down is back at once, with a
 /// new life of its worker. Returns whether the wave was completed.
-pub fn maintain_for_a_while(world: &mut World) -> bool {
+pub fn maintain_for_50_ms(world: &mut World) -> bool {
     let now = at(world.now_ms);
     let mut completed = false;
     for order in world.scheduler.plan_vms(now) {
         match order {
             // One whose worker was lost meanwhile can't be taken down.
-            VmOrder::Maintain { vm, wave } if world.is_away(&vm) => {
+            VmOrder::Maintain { vm, wave } if world.is_restarting(&vm) => {
                 let busy = Err(VmOrderError::Busy);
                 world.scheduler.maintenance_answered(&vm, wave, busy, now);
             }
             VmOrder::Maintain { vm, wave } => {
-                assert!(replace_life(world, &vm), "it had to be empty");
+                assert!(replace_worker(world, &vm), "it had to be empty");
                 let done = Ok(());
                 world.scheduler.maintenance_answered(&vm, wave, done, now);
             }
@@ -90,7 +90,7 @@
 }
 
 /// Gives a VM a new worker; returns whether the old one was empty.
-fn replace_life(world: &mut World, vm: &str) -> bool {
+fn replace_worker(world: &mut World, vm: &str) -> bool {
     let now_ms = world.now_ms;
     let found = world.listings.iter_mut().find(|l| l.vm == vm);
     let listing = found.expect("a listed VM");
@@ -102,19 +102,19 @@
 }
 
 #[test]
-fn maintenance_never_takes_more_of_a_step_than_it_can_spare() {
+fn maintenance_respects_max_unavailable() {
     let mut world = world_with_wave(5);
     request_wave(&mut world);
     let mut completed = false;
     for _ in 0..400 {
-        completed |= maintain_for_a_while(&mut world);
+        completed |= maintain_for_50_ms(&mut world);
         assert!(world.running().len() >= 3, "one of four may be down");
     }
     assert!(completed);
 }
 
 #[test]
-fn a_wave_is_completed_though_a_vm_of_it_is_gone_for_good() {
+fn a_wave_completes_without_a_vm_that_is_gone() {
     let mut world = World::new(5, &["w1", "w2"]);
     world.list();
     world.expect_all();
@@ -129,7 +129,7 @@
     let mut completed = false;
     for _ in 0..100 {
         let before = world.now_ms;
-        completed |= maintain_for_a_while(&mut world);
+        completed |= maintain_for_50_ms(&mut world);
         let missing_for_ms = world.now_ms - 1_100;
         assert!(!completed || missing_for_ms >= 2_900, "at {before}");
     }
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn a_wave_keeps_its_time_when_another_node_takes_over() {
+fn a_wave_keeps_its_deadline_over_a_takeover() {
     let mut world = World::new(5, &["w1", "w2", "w3", "w4", "w5"]);
     let vms: Vec<ManagedVm> = world.listings.iter().map(managed).collect();
     let request = [WaveRequest { duration_ms: 60_000, ..wave_of(&vms) }];
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn a_new_holder_stops_nothing_while_a_former_stop_may_be_under_way() {
+fn a_new_holder_evicts_nothing_while_former_stops_may_be_in_progress() {
     let mut world = world_with_wave(5);
     world.take_over(9);
     world.list();
@@ -178,13 +178,13 @@
     request_wave(&mut world);
     let begin = world.now_ms;
     while world.now_ms < begin + 1_500 {
-        maintain_for_a_while(&mut world);
+        maintain_for_50_ms(&mut world);
         assert_eq!(world.running().len(), 4);
     }
 }
 
 #[test]
-fn maintenance_ordered_again_ends_only_the_life_it_was_ordered_for() {
+fn repeated_maintenance_ends_only_the_worker_it_was_ordered_for() {
     let mut world = World::new(5, &["w1"]);
     world.list();
     world.expect_all();
@@ -213,7 +213,7 @@
     let vm = "vm-of-w1";
     world.scheduler.maintenance_answered(vm, 1, lost, at(world.now_ms));
     // It was carried out all the same, and the VM is back and at work.
-    assert!(replace_life(&mut world, vm));
+    assert!(replace_worker(&mut world, vm));
     world.list();
     world.run_for(200);
     world.fate = Fate::endless();
--- a/crates/dewspar/tests/schedule/worker_answers.rs
+++ b/crates/dewspar/tests/schedule/worker_answers.rs
@@ -53,10 +53,10 @@
     let lost = Err(OrderError::Unknown);
     let now = at(world.now_ms);
     world.scheduler.start_answered(&worker, &task, order.run, lost, now);
-    world.cut.push(worker.clone());
+    world.unreachable.push(worker.clone());
     world.run_for(3_000);
     // Only now does the order arrive, just before the worker is in touch.
-    world.cut.clear();
+    world.unreachable.clear();
     start_late(&mut world, &worker, &order);
     world.run_for(2_000);
     assert_eq!(world.running().len(), 1);
--- a/crates/dewspar/tests/schedule/worker_capacity.rs
+++ b/crates/dewspar/tests/schedule/worker_capacity.rs
@@ -53,7 +53,7 @@
     world.scheduler.enforce_capacity([POOL.to_owned()].into());
     world.scheduler.submit(id(1), job(vec![step(4)]), 6, None);
     world.run_for(100);
-    world.cut.push(WorkerId::new("w1"));
+    world.unreachable.push(WorkerId::new("w1"));
     world.scheduler.cancel(id(1), at(world.now_ms));
     world.scheduler.submit(id(2), job(vec![step(1)]), 7, None);
     world.run_for(500);
--- a/crates/dewspar/tests/schedule/world.rs
+++ b/crates/dewspar/tests/schedule/world.rs
@@ -16,11 +16,11 @@
 pub const POOL: &str = "registry";
 
 /// How long a worker that has crashed is away, in milliseconds.
-const BACK_AFTER_MS: u64 = 2_000;
+const RESTART_MS: u64 = 2_000;
 
 /// When the first processes of workers were started, in milliseconds of the Unix
 /// epoch.
-const FIRST_BORN_MS: u64 = 1_600_000_000_000;
+const FIRST_START_MS: u64 = 1_600_000_000_000;
 
 pub const ROOM: Resources =
     Resources { cpu_millis: 4_000, memory_mb: 4_000, gpus: 0 };
@@ -85,7 +85,7 @@
     pub scheduler: Scheduler,
     pub workers: BTreeMap<WorkerId, TaskWorker>,
     pub listings: Vec<WorkerListing>,
-    pub cut: Vec<WorkerId>,
+    pub unreachable: Vec<WorkerId>,
     pub starts: Vec<(WorkerId, StartOrder)>,
     pub now_ms: u64,
     pub fate: Fate,
@@ -96,30 +96,30 @@
     /// How many workers have crashed.
     pub crashes: u32,
     /// The workers that crashed, and when they are back.
-    away: Vec<(u64, WorkerListing)>,
+    restarting: Vec<(u64, WorkerListing)>,
     /// Whether a worker that has crashed starts again under its identifier.
-    pub keeps_ids: bool,
+    pub keeps_worker_ids: bool,
     /// When the workers' processes were started that were started again, in
     /// milliseconds: their clocks begin then.
     started_ms: BTreeMap<WorkerId, u64>,
     /// How long after a crash the VM service tells of it, in milliseconds;
     /// `None` for never.
-    pub told_after_ms: Option<u64>,
+    pub crash_report_delay_ms: Option<u64>,
     /// The workers that crashed, and when the VM service tells of it.
-    told: Vec<(u64, WorkerId)>,
+    crash_reports: Vec<(u64, WorkerId)>,
     /// Whether the adviser answers, and allows whatever it is asked for.
-    pub advises: bool,
+    pub adviser_answers: bool,
     /// How long a worker takes to stop a run, in milliseconds.
-    pub stops_take_ms: u64,
+    pub stop_duration_ms: u64,
     /// The runs that are being stopped, and until when.
     stopping: Vec<(u64, WorkerId, StopOrder)>,
     /// Whether orders to start get lost on their way.
-    pub loses_starts: bool,
+    pub drops_starts: bool,
     /// Whether the store is out of reach.
     pub outage: bool,
     /// Whether the holder is lost as soon as it has ordered a start, before it
     /// has stored anything more.
-    pub lost_with_starts: bool,
+    pub lost_after_start: bool,
     /// What was stored of each job.
     pub stored: BTreeMap<JobId, Progress>,
     /// The phase of each job that was stored.
@@ -138,24 +138,24 @@
             scheduler: Scheduler::new(revision, Options::default()),
             workers,
             listings,
-            cut: Vec::new(),
+            unreachable: Vec::new(),
             starts: Vec::new(),
             now_ms: 1_000,
             fate: Fate::done(500),
             kinds: BTreeMap::new(),
             crashing: Vec::new(),
             crashes: 0,
-            away: Vec::new(),
-            keeps_ids: false,
+            restarting: Vec::new(),
+            keeps_worker_ids: false,
             started_ms: BTreeMap::new(),
-            told_after_ms: None,
-            told: Vec::new(),
-            advises: false,
-            stops_take_ms: 0,
+            crash_report_delay_ms: None,
+            crash_reports: Vec::new(),
+            adviser_answers: false,
+            stop_duration_ms: 0,
             stopping: Vec::new(),
-            loses_starts: false,
+            drops_starts: false,
             outage: false,
-            lost_with_starts: false,
+            lost_after_start: false,
             stored: BTreeMap::new(),
             phases: BTreeMap::new(),
         }
@@ -175,7 +175,7 @@
 
     /// Lets the worker on a VM crash, if there is one; another life of it
     /// comes later.
-    pub fn crash_vm(&mut self, vm: &str) {
+    pub fn crash_worker_on(&mut self, vm: &str) {
         let known = |id: &WorkerId| self.workers.contains_key(id);
         let here = |l: &&WorkerListing| l.vm == vm && known(&l.id);
         let Some(listing) = self.listings.iter().find(here).cloned() else {
@@ -183,23 +183,24 @@
         };
         self.workers.remove(&listing.id);
         self.crashes += 1;
-        if let Some(after_ms) = self.told_after_ms {
-            self.told.push((self.now_ms + after_ms, listing.id.clone()));
+        if let Some(after_ms) = self.crash_report_delay_ms {
+            self.crash_reports
+                .push((self.now_ms + after_ms, listing.id.clone()));
         }
-        let back_ms = self.now_ms + BACK_AFTER_MS;
-        if self.keeps_ids {
-            self.away.push((back_ms, listing));
+        let back_ms = self.now_ms + RESTART_MS;
+        if self.keeps_worker_ids {
+            self.restarting.push((back_ms, listing));
             return;
         }
         let name = format!("{vm}-{}", self.crashes);
         let id = WorkerId::new(&name);
         let next = WorkerListing { id, address: name, ..listing };
-        self.away.push((back_ms, next));
+        self.restarting.push((back_ms, next));
     }
 
     /// Lets every worker tell which process it is.
-    pub fn tell_processes(&mut self) {
-        let incarnation = Incarnation::started_at(FIRST_BORN_MS);
+    pub fn assign_incarnations(&mut self) {
+        let incarnation = Incarnation::started_at(FIRST_START_MS);
         for listing in &mut self.listings {
             listing.incarnation = incarnation;
         }
@@ -210,13 +211,13 @@
 
     /// Ends a worker's process, and starts another one under its identifier,
     /// which the directory shows with its next reading.
-    pub fn start_again(&mut self, id: &WorkerId) {
-        let process = Incarnation::started_at(FIRST_BORN_MS + self.now_ms);
-        self.start_again_as(id, process);
+    pub fn restart_worker(&mut self, id: &WorkerId) {
+        let process = Incarnation::started_at(FIRST_START_MS + self.now_ms);
+        self.restart_worker_as(id, process);
     }
 
     /// The same, with a process that says that it was started at another time.
-    pub fn start_again_as(&mut self, id: &WorkerId, process: Incarnation) {
+    pub fn restart_worker_as(&mut self, id: &WorkerId, process: Incarnation) {
         let here = |listing: &&mut WorkerListing| listing.id == *id;
         // OK because only listed workers are started again.
         let listing = self.listings.iter_mut().find(here).expect("listed");
@@ -232,23 +233,23 @@
     }
 
     /// Returns whether the worker on a VM was lost and isn't back yet.
-    pub fn is_away(&self, vm: &str) -> bool {
-        self.away.iter().any(|(_, listing)| listing.vm == vm)
+    pub fn is_restarting(&self, vm: &str) -> bool {
+        self.restarting.iter().any(|(_, listing)| listing.vm == vm)
     }
 
     fn crash(&mut self, worker: &WorkerId) {
         let here = |l: &&WorkerListing| l.id == *worker;
         let vm = self.listings.iter().find(here).map(|l| l.vm.clone());
         if let Some(vm) = vm {
-            self.crash_vm(&vm);
+            self.crash_worker_on(&vm);
         }
     }
 
     /// Lets the VM service tell of crashes.
-    fn tell_of_crashes(&mut self) {
+    fn report_crashes(&mut self) {
         let now = at(self.now_ms);
         let due = |(at, _): &mut (u64, WorkerId)| *at <= now.steady_ms;
-        let told: Vec<_> = self.told.extract_if(.., due).collect();
+        let told: Vec<_> = self.crash_reports.extract_if(.., due).collect();
         for (_, worker) in told {
             let reason = "the VM service says that it ended";
             self.scheduler.worker_gone(&worker, reason, now);
@@ -256,16 +257,16 @@
     }
 
     /// Lets workers come back whose time it is.
-    fn bring_back(&mut self) {
+    fn restore_workers(&mut self) {
         let now_ms = self.now_ms;
         let due = |(at, _): &mut (u64, WorkerListing)| *at <= now_ms;
-        let back: Vec<_> = self.away.extract_if(.., due).collect();
+        let back: Vec<_> = self.restarting.extract_if(.., due).collect();
         if back.is_empty() {
             return;
         }
         for (_, listing) in back {
-            if self.keeps_ids {
-                self.start_again(&listing.id);
+            if self.keeps_worker_ids {
+                self.restart_worker(&listing.id);
                 continue;
             }
             self.listings.retain(|other| other.vm != listing.vm);
@@ -307,14 +308,14 @@
 
     pub fn round(&mut self) {
         let now = at(self.now_ms);
-        self.bring_back();
-        self.tell_of_crashes();
-        self.end_stopped();
+        self.restore_workers();
+        self.report_crashes();
+        self.finish_stops();
         let starts = self.starts.len();
         for action in self.scheduler.plan(now) {
             self.carry_out(action, now);
         }
-        let lost = self.lost_with_starts && self.starts.len() > starts;
+        let lost = self.lost_after_start && self.starts.len() > starts;
         let changes = self.scheduler.take_changes(100);
         if self.outage || lost {
             self.scheduler.changes_failed(&changes);
@@ -328,7 +329,7 @@
     }
 
     /// Ends the runs whose stop has taken its time.
-    fn end_stopped(&mut self) {
+    fn finish_stops(&mut self) {
         let now_ms = self.now_ms;
         let due = |(at, ..): &mut (u64, WorkerId, StopOrder)| *at <= now_ms;
         let due: Vec<_> = self.stopping.extract_if(.., due).collect();
@@ -354,7 +355,7 @@
                 };
                 let kind = self.kinds.get(&order.task.job).copied();
                 let RunKind { demand, fate } = kind.unwrap_or(usual);
-                let lost = self.loses_starts;
+                let lost = self.drops_starts;
                 let reached = self.reach(&worker).filter(|_| !lost);
                 let result = match reached {
                     Some(reached) => {
@@ -375,9 +376,11 @@
                 self.scheduler
                     .start_answered(&worker, &task, run, result, now);
             }
-            Action::Stop { worker, order, .. } if self.stops_take_ms > 0 => {
+            Action::Stop { worker, order, .. }
+                if self.stop_duration_ms > 0 =>
+            {
                 let clock = self.clock_of(&worker);
-                let until_ms = now.steady_ms + self.stops_take_ms;
+                let until_ms = now.steady_ms + self.stop_duration_ms;
                 self.stopping.push((until_ms, worker.clone(), order));
                 let (task, result) = (order.task, Ok(clock));
                 self.scheduler.stop_answered(&worker, &task, result, now);
@@ -403,7 +406,9 @@
                 };
                 self.hold_result(&worker, &held, result, now);
             }
-            Action::Advise { step, workers, asked_ms } if self.advises => {
+            Action::Advise { step, workers, asked_ms }
+                if self.adviser_answers =>
+            {
                 let tickets = workers.iter();
                 let tickets =
                     tickets.map(|w| (w.clone(), "t".to_owned())).collect();
@@ -433,7 +438,7 @@
     }
 
     pub fn reach(&mut self, worker: &WorkerId) -> Option<&mut TaskWorker> {
-        if self.cut.contains(worker) {
+        if self.unreachable.contains(worker) {
             return None;
         }
         self.workers.get_mut(worker)
--- a/crates/dewspar/tests/schedule/write_ahead.rs
+++ b/crates/dewspar/tests/schedule/write_ahead.rs
@@ -49,7 +49,7 @@
     let mut world = take_over_with_a_job(&["w1"]);
     run_without_answers(&mut world, 150);
     assert_eq!(world.starts.len(), 0);
-    world.crash_vm("vm-of-w1");
+    world.crash_worker_on("vm-of-w1");
     let reason = "the VM service says that it ended";
     let now = at(world.now_ms);
     world.scheduler.worker_gone(&WorkerId::new("w1"), reason, now);
--- a/crates/dewspar/tests/schedule_random/cancelled_runs.rs
+++ b/crates/dewspar/tests/schedule_random/cancelled_runs.rs
@@ -8,11 +8,11 @@
 /// For how long a run may go on after its job's cancelling while its worker
 /// and the store are in touch, in milliseconds: 5 s until nothing starts, and
 /// 900 ms that a stop may take.
-const GOES_ON_MS: u64 = 5_000 + 900;
+const MAX_RUN_AFTER_CANCEL_MS: u64 = 5_000 + 900;
 
 /// A run of a cancelled job.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub struct Unwanted {
+pub struct CancelledRun {
     pub worker: WorkerId,
     pub task: TaskId,
     pub run: u64,
@@ -21,23 +21,26 @@
 /// The runs of cancelled jobs, each with since when it goes on although it
 /// could be stopped.
 #[derive(Debug, Default)]
-pub struct UnwantedRuns {
-    since_ms: BTreeMap<Unwanted, u64>,
+pub struct CancelledRuns {
+    since_ms: BTreeMap<CancelledRun, u64>,
     /// How many runs were at work when their job was cancelled, or began
     /// after that.
     pub seen: u32,
 }
 
-impl UnwantedRuns {
+impl CancelledRuns {
     /// Takes in all such runs, each with whether it can be stopped now.
-    pub fn look(&mut self, now_ms: u64, runs: Vec<(Unwanted, bool)>) {
+    pub fn check_all(&mut self, now_ms: u64, runs: Vec<(CancelledRun, bool)>) {
         let mut since_ms = BTreeMap::new();
         for (run, in_touch) in runs {
             let known_ms = self.since_ms.get(&run).copied();
             self.seen += u32::from(known_ms.is_none());
             let since = known_ms.filter(|_| in_touch).unwrap_or(now_ms);
             let for_ms = now_ms - since;
-            assert!(for_ms <= GOES_ON_MS, "{for_ms} ms unwanted: {run:?}");
+            assert!(
+                for_ms <= MAX_RUN_AFTER_CANCEL_MS,
+                "{for_ms} ms unwanted: {run:?}"
+            );
             since_ms.insert(run, since);
         }
         self.since_ms = since_ms;
--- a/crates/dewspar/tests/schedule_random/job_order.rs
+++ b/crates/dewspar/tests/schedule_random/job_order.rs
@@ -5,14 +5,14 @@
 //! their workers, its round falls due, it gets too late, its queue gets other
 //! terms, and the time of day is set to and fro.
 
-use crate::{play_on, world::World};
+use crate::{run_world, world::World};
 
 #[test]
-fn turns_are_kept_as_looking_at_every_job_gives_them() {
-    let mut settings = 0;
+fn job_order_matches_a_full_scan() {
+    let mut clock_changes = 0;
     for seed in 0..300 {
-        settings += play_on(World::varied(seed), seed).settings;
+        clock_changes += run_world(World::varied(seed), seed).clock_changes;
     }
     // The runs must have put the promise to the test.
-    assert!(settings > 1_000, "{settings}");
+    assert!(clock_changes > 1_000, "{clock_changes}");
 }
--- a/crates/dewspar/tests/schedule_random/main.rs
+++ b/crates/dewspar/tests/schedule_random/main.rs
@@ -11,11 +11,11 @@
     dewspar::job::{Phase, TaskId},
 };
 
-fn play(seed: u64) -> World {
-    play_on(World::new(seed), seed)
+fn run(seed: u64) -> World {
+    run_world(World::new(seed), seed)
 }
 
-fn play_on(mut world: World, seed: u64) -> World {
+fn run_world(mut world: World, seed: u64) -> World {
     for step in 0..400 {
         world.step(step);
     }
@@ -41,11 +41,11 @@
 }
 
 #[test]
-fn holds_whatever_is_lost_late_cut_or_taken_over() {
+fn invariants_hold_under_faults() {
     let mut starts = 0;
     let mut completed = 0;
     for seed in 0..1_500 {
-        let world = play(seed);
+        let world = run(seed);
         starts += world.starts;
         completed += world
             .store
@@ -60,11 +60,11 @@
 }
 
 /// Lets two jobs have a task that crashes its workers.
-fn add_bad_tasks(world: &mut World, seed: u64) {
+fn add_crashing_tasks(world: &mut World, seed: u64) {
     for number in [1, 2 + seed % 7] {
         let job = world::id(number);
         let task = TaskId { job, round: 0, step: 0, index: 0 };
-        world.bad.insert(task, Default::default());
+        world.crashing.insert(task, Default::default());
     }
 }
 
@@ -76,26 +76,27 @@
         if progress.phase != Phase::Failed {
             continue;
         }
-        let bad = world.bad.keys().any(|task| task.job == *id);
-        given_up += u32::from(bad);
+        let crashing = world.crashing.keys().any(|task| task.job == *id);
+        given_up += u32::from(crashing);
         let mut failures = world.failures.iter();
         let failed = failures.any(|(task, n)| task.job == *id && *n >= 3);
-        assert!(bad || failed, "seed {seed}: {id} has failed");
+        assert!(crashing || failed, "seed {seed}: {id} has failed");
     }
     given_up
 }
 
 #[test]
-fn bad_tasks_are_given_up_and_sound_ones_never() {
+fn only_crashing_tasks_are_given_up() {
     let mut crashes = 0;
     let mut given_up = 0;
     // The last: a sound task whose runs under way, lost to two changes of
     // holders, were taken for crashes.
     for seed in (0..500).chain([1_720]) {
         let mut world = World::new(seed);
-        add_bad_tasks(&mut world, seed);
-        let world = play_on(world, seed);
-        crashes += world.bad.values().map(|task| task.crashes).sum::<u32>();
+        add_crashing_tasks(&mut world, seed);
+        let world = run_world(world, seed);
+        crashes +=
+            world.crashing.values().map(|task| task.crashes).sum::<u32>();
         given_up += check_given_up(&world, seed);
     }
     // The runs must have put the promises to the test.
@@ -104,20 +105,20 @@
 }
 
 #[test]
-fn rooms_that_nobody_else_guards_are_never_overfilled() {
+fn capacity_is_never_exceeded_where_workers_do_not_enforce_it() {
     let mut shrinks = 0;
     for seed in 0..300 {
-        shrinks += play_on(World::unguarded(seed), seed).shrinks;
+        shrinks += run_world(World::unenforced(seed), seed).shrinks;
     }
     // The runs must have put the promise to the test.
     assert!(shrinks > 1_000, "{shrinks}");
 }
 
 #[test]
-fn a_job_waits_until_a_worker_has_begun_one_of_its_tasks() {
+fn a_job_is_pending_until_a_worker_has_begun_one_of_its_tasks() {
     let miscounted: Vec<String> = (0..300)
         .filter_map(|seed| {
-            let miscounted = play(seed).miscounted?;
+            let miscounted = run(seed).miscounted?;
             Some(format!("seed {seed}, {miscounted}"))
         })
         .collect();
@@ -129,9 +130,13 @@
 // A run went on for 14 s after its job's cancelling, under a chain of holders
 // of which each left it alone while it loaded.
 #[test]
-fn runs_of_cancelled_jobs_end_though_no_holder_lasts() {
+fn runs_of_cancelled_jobs_end_under_short_lived_holders() {
     let seen: u32 = (0..400)
-        .map(|seed| play_on(World::chained(seed), seed).unwanted.seen)
+        .map(|seed| {
+            run_world(World::short_lived_holders(seed), seed)
+                .cancelled_runs
+                .seen
+        })
         .sum();
     // The runs must have put the promise to the test.
     assert!(seen > 400, "{seen}");
@@ -139,10 +144,10 @@
 
 // A worker that starts again under its identifier was taken for the process before.
 #[test]
-fn holds_though_workers_start_again_under_their_identifiers() {
+fn invariants_hold_when_workers_restart_under_their_identifiers() {
     let mut restarts = 0;
     for seed in 0..1_000 {
-        restarts += play_on(World::restarting(seed), seed).restarts;
+        restarts += run_world(World::restarting(seed), seed).restarts;
     }
     // The runs must have put the promises to the test.
     assert!(restarts > 1_500, "{restarts}");
@@ -151,18 +156,18 @@
 // A start that got no answer was carried out by its worker's next process, before
 // that had seen any token.
 #[test]
-fn holds_though_workers_start_again_and_no_holder_lasts() {
+fn invariants_hold_when_workers_restart_under_short_lived_holders() {
     for seed in 0..300 {
-        play_on(World::restarting_in_chains(seed), seed);
+        run_world(World::restarting_with_short_lived_holders(seed), seed);
     }
 }
 
 // A crash of a worker that starts again under its identifier counted for nothing.
 #[test]
-fn bad_tasks_are_given_up_though_workers_start_again() {
+fn crashing_tasks_are_given_up_when_workers_restart() {
     for seed in 0..300 {
         let mut world = World::restarting(seed);
-        add_bad_tasks(&mut world, seed);
-        check_given_up(&play_on(world, seed), seed);
+        add_crashing_tasks(&mut world, seed);
+        check_given_up(&run_world(world, seed), seed);
     }
 }
--- a/crates/dewspar/tests/schedule_random/world.rs
+++ b/crates/dewspar/tests/schedule_random/world.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        cancelled_runs::{Unwanted, UnwantedRuns},
+        cancelled_runs::{CancelledRun, CancelledRuns},
         pending_jobs::Miscounted,
     },
     dewspar::{
@@ -19,54 +19,54 @@
 };
 
 const POOL: &str = "registry";
-const ROOM: Resources =
+const CAPACITY: Resources =
     Resources { cpu_millis: 3_000, memory_mb: 3_000, gpus: 0 };
 const STEP_MS: u64 = 25;
 const MAX_ATTEMPTS: u32 = 3;
 
 /// How long a holder of a chain lasts at most, in milliseconds.
-const LASTS_MS: u64 = 1_300;
+const MAX_HOLDER_MS: u64 = 1_300;
 
 /// An order that reaches its worker late, and whose answer never comes.
-enum Late {
+enum LateOrder {
     Start(StartOrder),
     Stop(StopOrder),
 }
 
-struct Life {
+struct WorkerProcess {
     worker: TaskWorker,
     listing: WorkerListing,
     /// When its process was started, in milliseconds: its clock begins then.
     started_ms: u64,
     /// How slow its clock is, in thousandths.
-    slow: u64,
-    cut_until_ms: u64,
+    clock_lag: u64,
+    unreachable_until_ms: u64,
     /// What its room was, each until when; it counts for a while after that.
-    former_rooms: Vec<(u64, Resources)>,
+    former_capacities: Vec<(u64, Resources)>,
 }
 
 /// For how long a room counts that has shrunk, in milliseconds: the shortest
 /// time on any site, with a beat.
-const ROOM_COUNTS_MS: u64 = 4_500;
+const CAPACITY_COUNTS_MS: u64 = 4_500;
 
-impl Life {
-    fn has_room_for(&self, used: &Resources, now_ms: u64) -> bool {
-        let counts = |until_ms: u64| now_ms <= until_ms + ROOM_COUNTS_MS;
-        let former = self.former_rooms.iter();
+impl WorkerProcess {
+    fn may_hold(&self, used: &Resources, now_ms: u64) -> bool {
+        let counts = |until_ms: u64| now_ms <= until_ms + CAPACITY_COUNTS_MS;
+        let former = self.former_capacities.iter();
         let mut former = former.filter(|(until, _)| counts(*until));
         self.listing.capacity.contains(used)
             || former.any(|(_, room)| room.contains(used))
     }
 
     /// Makes it the process that is started now: its clock doesn't show when.
-    fn become_process(&mut self, now_ms: u64) {
+    fn set_incarnation(&mut self, now_ms: u64) {
         let process = Incarnation::started_at(1_700_000_000_000 + now_ms);
         self.listing.incarnation = process;
         self.worker = self.worker.clone().incarnated(process);
     }
 
     fn clock(&self, now_ms: u64) -> u64 {
-        (now_ms - self.started_ms) * (1_000 - self.slow) / 1_000
+        (now_ms - self.started_ms) * (1_000 - self.clock_lag) / 1_000
     }
 }
 
@@ -77,7 +77,7 @@
     pub jobs: BTreeMap<JobId, (AcceptedJob, u64)>,
     pub cancelled: BTreeSet<JobId>,
     /// The cancelled jobs that holders are told of.
-    on_record: BTreeSet<JobId>,
+    recorded_cancellations: BTreeSet<JobId>,
     pub progress: BTreeMap<JobId, Progress>,
 }
 
@@ -85,21 +85,21 @@
     random: StdRng,
     now_ms: u64,
     pub scheduler: Scheduler,
-    lives: BTreeMap<WorkerId, Life>,
-    next_life: u32,
+    processes: BTreeMap<WorkerId, WorkerProcess>,
+    next_process: u32,
     /// Whether workers that crash mostly start again under their identifiers.
-    keeps_ids: bool,
+    keeps_worker_ids: bool,
     /// How often one did.
     pub restarts: u32,
     pub store: Stored,
     /// Jobs that the new holder hasn't loaded yet.
     to_load: Vec<JobId>,
     outage_until_ms: u64,
-    late: Vec<(u64, WorkerId, Late)>,
+    late: Vec<(u64, WorkerId, LateOrder)>,
     /// Tasks that ended well on a worker that told so.
     done: BTreeSet<TaskId>,
     /// Tasks whose good end was acknowledged to the worker.
-    noted: BTreeSet<TaskId>,
+    acknowledged_done: BTreeSet<TaskId>,
     /// Jobs of which a worker has begun a task, whoever knows.
     pub begun: BTreeSet<JobId>,
     /// What was first said of a job that hadn't begun, if it was wrong.
@@ -107,32 +107,32 @@
     pub faults: bool,
     pub starts: u64,
     /// The tasks that crash each worker that starts them.
-    pub bad: BTreeMap<TaskId, BadTask>,
+    pub crashing: BTreeMap<TaskId, CrashingTask>,
     /// How often each task has failed by itself.
     pub failures: BTreeMap<TaskId, u32>,
     /// Whether workers start whatever they are told, in rooms that change.
-    unguarded: bool,
+    unenforced: bool,
     /// How often a room has shrunk.
     pub shrinks: u32,
     /// Whether jobs differ in when and before whom they get their turn, and
     /// what that depends on changes while they wait.
     varied: bool,
     /// By how much the time of day is wrong, in milliseconds.
-    off_by_ms: i64,
+    clock_error_ms: i64,
     /// How often the time of day was set.
-    pub settings: u32,
-    pub unwanted: UnwantedRuns,
+    pub clock_changes: u32,
+    pub cancelled_runs: CancelledRuns,
     /// When the next holder takes over, in a chain of those that don't last.
     next_holder_ms: Option<u64>,
 }
 
 /// By how much the time of day is wrong at most, in milliseconds: more than
 /// any job here waits.
-const MOST_OFF_MS: i64 = 60_000;
+const MAX_CLOCK_ERROR_MS: i64 = 60_000;
 
 /// What a task has done that crashes each worker that starts it.
 #[derive(Default)]
-pub struct BadTask {
+pub struct CrashingTask {
     pub crashes: u32,
     /// How often it was started since the third crash.
     starts_since: u32,
@@ -152,32 +152,32 @@
             random: StdRng::seed_from_u64(seed),
             now_ms: 1_000,
             scheduler: Scheduler::new(1, Options::default()),
-            lives: BTreeMap::new(),
-            next_life: 0,
-            keeps_ids: false,
+            processes: BTreeMap::new(),
+            next_process: 0,
+            keeps_worker_ids: false,
             restarts: 0,
             store: Stored { revision: 1, ..Stored::default() },
             to_load: Vec::new(),
             outage_until_ms: 0,
             late: Vec::new(),
             done: BTreeSet::new(),
-            noted: BTreeSet::new(),
+            acknowledged_done: BTreeSet::new(),
             begun: BTreeSet::new(),
             miscounted: None,
             faults: true,
             starts: 0,
-            bad: BTreeMap::new(),
+            crashing: BTreeMap::new(),
             failures: BTreeMap::new(),
-            unguarded: false,
+            unenforced: false,
             shrinks: 0,
             varied: false,
-            off_by_ms: 0,
-            settings: 0,
-            unwanted: UnwantedRuns::default(),
+            clock_error_ms: 0,
+            clock_changes: 0,
+            cancelled_runs: CancelledRuns::default(),
             next_holder_ms: None,
         };
         for vm in 0..4 {
-            world.start_life(vm);
+            world.start_process(vm);
         }
         world.take_over();
         world
@@ -186,34 +186,34 @@
     /// Makes a world whose workers mostly start again under their identifiers.
     pub fn restarting(seed: u64) -> World {
         let mut world = World::new(seed);
-        world.keeps_ids = true;
-        world.tell_processes();
+        world.keeps_worker_ids = true;
+        world.assign_incarnations();
         world
     }
 
     /// Makes a world of such workers in which no holder lasts for long.
-    pub fn restarting_in_chains(seed: u64) -> World {
-        let mut world = World::chained(seed);
-        world.keeps_ids = true;
-        world.tell_processes();
+    pub fn restarting_with_short_lived_holders(seed: u64) -> World {
+        let mut world = World::short_lived_holders(seed);
+        world.keeps_worker_ids = true;
+        world.assign_incarnations();
         world
     }
 
     /// Lets the workers tell which processes they are, which a new holder hears.
-    fn tell_processes(&mut self) {
-        for life in self.lives.values_mut() {
-            life.become_process(self.now_ms);
+    fn assign_incarnations(&mut self) {
+        for process in self.processes.values_mut() {
+            process.set_incarnation(self.now_ms);
         }
         self.take_over();
     }
 
     /// Makes a world whose workers start whatever they are told.
-    pub fn unguarded(seed: u64) -> World {
+    pub fn unenforced(seed: u64) -> World {
         let mut world = World::new(seed);
-        world.unguarded = true;
-        world.lives.clear();
+        world.unenforced = true;
+        world.processes.clear();
         for vm in 0..4 {
-            world.start_life(vm);
+            world.start_process(vm);
         }
         world.take_over();
         world
@@ -227,11 +227,11 @@
     }
 
     /// Sets the time of day, or gives the queue another priority.
-    fn change_turns(&mut self) {
+    fn change_order_inputs(&mut self) {
         if self.chance(30) {
-            let wrong_ms = -MOST_OFF_MS..MOST_OFF_MS;
-            self.off_by_ms = self.random.random_range(wrong_ms);
-            self.settings += 1;
+            let range_ms = -MAX_CLOCK_ERROR_MS..MAX_CLOCK_ERROR_MS;
+            self.clock_error_ms = self.random.random_range(range_ms);
+            self.clock_changes += 1;
         }
         if self.chance(20) {
             let terms = self.any_terms();
@@ -262,21 +262,22 @@
     }
 
     /// Makes a world in which no holder lasts much longer than it loads.
-    pub fn chained(seed: u64) -> World {
+    pub fn short_lived_holders(seed: u64) -> World {
         let mut world = World::new(seed);
-        world.next_holder_ms = Some(world.now_ms + LASTS_MS);
+        world.next_holder_ms = Some(world.now_ms + MAX_HOLDER_MS);
         world
     }
 
     /// Lets the next holder of a chain take over, if it is time.
-    fn follow(&mut self) {
+    fn take_over_if_due(&mut self) {
         let Some(next_ms) = self.next_holder_ms else { return };
         if !self.faults {
             // The last one lasts.
             self.next_holder_ms = None;
-        } else if self.now_ms >= next_ms && !self.is_out() {
-            let lasts_ms = self.random.random_range(LASTS_MS / 4..LASTS_MS);
-            self.next_holder_ms = Some(self.now_ms + lasts_ms);
+        } else if self.now_ms >= next_ms && !self.is_store_out() {
+            let holder_ms =
+                self.random.random_range(MAX_HOLDER_MS / 4..MAX_HOLDER_MS);
+            self.next_holder_ms = Some(self.now_ms + holder_ms);
             // Now and then the last thing that a holder does is to store that
             // a job is cancelled; its orders to stop never leave.
             if self.random.random_ratio(1, 3) {
@@ -288,33 +289,33 @@
         }
     }
 
-    fn is_out(&self) -> bool {
+    fn is_store_out(&self) -> bool {
         self.now_ms < self.outage_until_ms
     }
 
     /// Lets a worker's room become another one, which the directory shows
     /// with its next reading.
-    fn change_room(&mut self) {
+    fn change_capacity(&mut self) {
         let thirds = self.random.random_range(1..=3);
         let room = Resources {
-            cpu_millis: ROOM.cpu_millis * thirds / 3,
-            memory_mb: ROOM.memory_mb * thirds / 3,
+            cpu_millis: CAPACITY.cpu_millis * thirds / 3,
+            memory_mb: CAPACITY.memory_mb * thirds / 3,
             gpus: 0,
         };
         let now_ms = self.now_ms;
-        let Some(life) = self.any_life() else { return };
-        let before = life.listing.capacity;
-        life.former_rooms.push((now_ms, before));
-        life.listing.capacity = room;
+        let Some(process) = self.any_process() else { return };
+        let before = process.listing.capacity;
+        process.former_capacities.push((now_ms, before));
+        process.listing.capacity = room;
         self.shrinks += u32::from(!room.contains(&before));
     }
 
     pub fn now(&self) -> Now {
-        let off_by_ms = if self.faults { self.off_by_ms } else { 0 };
+        let clock_error_ms = if self.faults { self.clock_error_ms } else { 0 };
         let unix_ms = 1_700_000_000_000 + self.now_ms;
         Now {
             steady_ms: self.now_ms,
-            unix_ms: unix_ms.saturating_add_signed(off_by_ms),
+            unix_ms: unix_ms.saturating_add_signed(clock_error_ms),
         }
     }
 
@@ -322,9 +323,9 @@
         self.faults && self.random.random_range(0..1_000) < per_mille
     }
 
-    fn start_life(&mut self, vm: u32) {
-        self.next_life += 1;
-        let name = format!("w{vm}-{}", self.next_life);
+    fn start_process(&mut self, vm: u32) {
+        self.next_process += 1;
+        let name = format!("w{vm}-{}", self.next_process);
         let listing = WorkerListing {
             id: WorkerId::new(&name),
             incarnation: Incarnation::UNKNOWN,
@@ -333,37 +334,38 @@
             pool: POOL.to_owned(),
             rack: String::new(),
             labels: Vec::new(),
-            capacity: ROOM,
+            capacity: CAPACITY,
             draining: false,
             remaining_ms: None,
         };
-        let mut life = Life {
-            worker: TaskWorker::new(ROOM),
+        let mut process = WorkerProcess {
+            worker: TaskWorker::new(CAPACITY),
             listing: listing.clone(),
             started_ms: 0,
-            slow: u64::from(vm) * 6,
-            cut_until_ms: 0,
-            former_rooms: Vec::new(),
+            clock_lag: u64::from(vm) * 6,
+            unreachable_until_ms: 0,
+            former_capacities: Vec::new(),
         };
-        if self.unguarded {
-            life.worker = life.worker.unguarded();
+        if self.unenforced {
+            process.worker = process.worker.unguarded();
         }
-        self.lives.insert(listing.id, life);
+        self.processes.insert(listing.id, process);
     }
 
     /// Lets a new holder load what is stored, at once or by and by.
     fn take_over(&mut self) {
-        for task in self.bad.values_mut().filter(|task| task.crashes > 0) {
+        for task in self.crashing.values_mut().filter(|task| task.crashes > 0)
+        {
             task.takeovers += 1;
         }
         self.store.revision += 1;
         let mut scheduler =
             Scheduler::new(self.store.revision, Options::default());
-        if self.unguarded {
+        if self.unenforced {
             scheduler.enforce_capacity([POOL.to_owned()].into());
         }
         scheduler.begin_loading();
-        for id in &self.store.on_record {
+        for id in &self.store.recorded_cancellations {
             scheduler.cancel(*id, self.now());
         }
         self.scheduler = scheduler;
@@ -377,12 +379,12 @@
             self.load(usize::MAX);
         }
         self.list();
-        let lives: Vec<(WorkerId, String)> = self
-            .lives
+        let processes: Vec<(WorkerId, String)> = self
+            .processes
             .keys()
             .map(|id| (id.clone(), POOL.to_owned()))
             .collect();
-        self.scheduler.expect_workers(self.now(), lives);
+        self.scheduler.expect_workers(self.now(), processes);
     }
 
     /// Loads so many more jobs, and says when these were the last.
@@ -399,8 +401,11 @@
     }
 
     fn list(&mut self) {
-        let listings =
-            self.lives.values().map(|life| life.listing.clone()).collect();
+        let listings = self
+            .processes
+            .values()
+            .map(|process| process.listing.clone())
+            .collect();
         self.scheduler.list_workers(self.now(), listings);
     }
 
@@ -436,7 +441,7 @@
     fn cancel(&mut self, number: u64) {
         if self.store.jobs.contains_key(&id(number)) {
             self.store.cancelled.insert(id(number));
-            self.store.on_record.insert(id(number));
+            self.store.recorded_cancellations.insert(id(number));
             self.scheduler.cancel(id(number), self.now());
         }
     }
@@ -451,21 +456,21 @@
         }
         if self.chance(15) {
             let until = self.now_ms + self.random.random_range(500..9_000);
-            if let Some(life) = self.any_life() {
-                life.cut_until_ms = until;
+            if let Some(process) = self.any_process() {
+                process.unreachable_until_ms = until;
             }
         }
-        if self.unguarded && self.chance(40) {
-            self.change_room();
+        if self.unenforced && self.chance(40) {
+            self.change_capacity();
         }
         if self.varied {
-            self.change_turns();
+            self.change_order_inputs();
         }
         if self.chance(6) {
             self.crash();
         }
         if self.chance(8) {
-            let longest_ms = if self.unguarded { 9_000 } else { 3_000 };
+            let longest_ms = if self.unenforced { 9_000 } else { 3_000 };
             let for_ms = self.random.random_range(200..longest_ms);
             self.outage_until_ms = self.now_ms + for_ms;
         }
@@ -474,39 +479,41 @@
         }
     }
 
-    fn any_life(&mut self) -> Option<&mut Life> {
-        let chosen = self.random.random_range(0..self.lives.len());
-        self.lives.values_mut().nth(chosen)
+    fn any_process(&mut self) -> Option<&mut WorkerProcess> {
+        let chosen = self.random.random_range(0..self.processes.len());
+        self.processes.values_mut().nth(chosen)
     }
 
     fn crash(&mut self) {
-        let chosen = self.random.random_range(0..self.lives.len());
-        let Some(id) = self.lives.keys().nth(chosen).cloned() else { return };
+        let chosen = self.random.random_range(0..self.processes.len());
+        let Some(id) = self.processes.keys().nth(chosen).cloned() else {
+            return;
+        };
         self.replace(&id);
     }
 
     /// Ends a worker's process, and starts another one on its VM.
     fn replace(&mut self, id: &WorkerId) {
-        let Some(former) = self.lives.remove(id) else { return };
+        let Some(former) = self.processes.remove(id) else { return };
         let vm = id.as_str()[1..2].parse().unwrap_or(0);
-        if !self.keeps_ids || self.random.random_ratio(1, 5) {
-            self.start_life(vm);
-            if self.keeps_ids {
-                let newest = format!("w{vm}-{}", self.next_life);
-                let life = self.lives.get_mut(&WorkerId::new(&newest));
+        if !self.keeps_worker_ids || self.random.random_ratio(1, 5) {
+            self.start_process(vm);
+            if self.keeps_worker_ids {
+                let newest = format!("w{vm}-{}", self.next_process);
+                let process = self.processes.get_mut(&WorkerId::new(&newest));
                 // OK because it was started a moment ago.
-                life.expect("started").become_process(self.now_ms);
+                process.expect("started").set_incarnation(self.now_ms);
             }
             return;
         }
         self.restarts += 1;
-        let mut life = Life {
-            worker: TaskWorker::new(ROOM),
+        let mut process = WorkerProcess {
+            worker: TaskWorker::new(CAPACITY),
             started_ms: self.now_ms,
             ..former
         };
-        life.become_process(self.now_ms);
-        self.lives.insert(id.clone(), life);
+        process.set_incarnation(self.now_ms);
+        self.processes.insert(id.clone(), process);
     }
 
     pub fn step(&mut self, step: u64) {
@@ -514,8 +521,8 @@
         if self.faults {
             self.disturb(step);
         }
-        self.arrive_late();
-        self.follow();
+        self.deliver_late();
+        self.take_over_if_due();
         if self.scheduler.is_loading() {
             // Ten jobs take 0.5 s, and in a chain as long as a holder lasts.
             let most = match self.next_holder_ms {
@@ -525,8 +532,9 @@
             self.load(most);
         }
         // What changes during an outage is read after it.
-        let is_out = self.unguarded && self.now_ms < self.outage_until_ms;
-        if step.is_multiple_of(10) && !is_out {
+        let is_store_out =
+            self.unenforced && self.now_ms < self.outage_until_ms;
+        if step.is_multiple_of(10) && !is_store_out {
             self.list();
         }
         let now = self.now();
@@ -566,19 +574,19 @@
 
     /// Deletes cancellings that the holder takes for settled.
     fn delete_settled(&mut self) {
-        if self.is_out() {
+        if self.is_store_out() {
             return;
         }
         let now = self.now();
         for id in self.scheduler.take_settled_cancellations(now, 31) {
-            self.store.on_record.remove(&id);
+            self.store.recorded_cancellations.remove(&id);
         }
     }
 
     fn carry_out(&mut self, action: Action) {
         // A chain is looked at for what its holders' orders didn't reach.
-        let chained = self.next_holder_ms.is_some();
-        let lost = self.chance(if chained { 400 } else { 60 });
+        let short_lived_holders = self.next_holder_ms.is_some();
+        let lost = self.chance(if short_lived_holders { 400 } else { 60 });
         let late = lost && self.chance(700);
         let now = self.now();
         match action {
@@ -586,7 +594,7 @@
                 self.check_start(&order);
                 let result = if lost {
                     if late {
-                        self.delay(&worker, Late::Start(order.clone()));
+                        self.delay(&worker, LateOrder::Start(order.clone()));
                     }
                     Err(OrderError::Unknown)
                 } else {
@@ -599,7 +607,7 @@
             Action::Stop { worker, order, .. } => {
                 let result = if lost {
                     if late {
-                        self.delay(&worker, Late::Stop(order));
+                        self.delay(&worker, LateOrder::Stop(order));
                     }
                     Err(OrderError::Unknown)
                 } else {
@@ -612,7 +620,7 @@
                 let result = self.hold(&worker, &held);
                 match result {
                     Ok(report) if !lost => {
-                        self.note_done(&report);
+                        self.record_ends(&report);
                         self.scheduler
                             .hold_answered(&worker, &held, &report, now);
                     }
@@ -631,7 +639,7 @@
         }
     }
 
-    fn note_done(&mut self, report: &HoldReport) {
+    fn record_ends(&mut self, report: &HoldReport) {
         let failed = EndCause::Failed;
         for end in report.ended.iter().filter(|end| end.cause == failed) {
             *self.failures.entry(end.task).or_default() += 1;
@@ -641,34 +649,38 @@
         self.done.extend(done.map(|end| end.task));
     }
 
-    fn delay(&mut self, worker: &WorkerId, order: Late) {
+    fn delay(&mut self, worker: &WorkerId, order: LateOrder) {
         let at = self.now_ms + self.random.random_range(100..6_000);
         self.late.push((at, worker.clone(), order));
     }
 
-    fn arrive_late(&mut self) {
+    fn deliver_late(&mut self) {
         let now_ms = self.now_ms;
         let (due, later) = std::mem::take(&mut self.late)
             .into_iter()
             .partition(|(at, _, _)| *at <= now_ms);
         self.late = later;
-        let due: Vec<(u64, WorkerId, Late)> = due;
+        let due: Vec<(u64, WorkerId, LateOrder)> = due;
         for (_, worker, order) in due {
             // Whatever comes of it, nobody is told.
             let _ = match order {
-                Late::Start(order) => self.start(&worker, &order),
-                Late::Stop(order) => self.stop(&worker, &order),
+                LateOrder::Start(order) => self.start(&worker, &order),
+                LateOrder::Stop(order) => self.stop(&worker, &order),
             };
         }
     }
 
-    fn reach(&mut self, worker: &WorkerId) -> Result<&mut Life, OrderError> {
+    fn reach(
+        &mut self,
+        worker: &WorkerId,
+    ) -> Result<&mut WorkerProcess, OrderError> {
         let now_ms = self.now_ms;
-        let life = self.lives.get_mut(worker).ok_or(OrderError::NotSent)?;
-        if now_ms < life.cut_until_ms {
+        let process =
+            self.processes.get_mut(worker).ok_or(OrderError::NotSent)?;
+        if now_ms < process.unreachable_until_ms {
             return Err(OrderError::Unknown);
         }
-        Ok(life)
+        Ok(process)
     }
 
     fn start(
@@ -677,16 +689,16 @@
         order: &StartOrder,
     ) -> Result<u64, OrderError> {
         let fails = self.chance(80);
-        let chained = self.next_holder_ms.is_some();
-        let long = self.chance(if chained { 500 } else { 30 });
+        let short_lived_holders = self.next_holder_ms.is_some();
+        let long = self.chance(if short_lived_holders { 500 } else { 30 });
         let work_ms = if long {
             self.random.random_range(9_000..14_000)
         } else {
             self.random.random_range(100..900)
         };
         let now_ms = self.now_ms;
-        let life = self.reach(worker)?;
-        let clock = life.clock(now_ms);
+        let process = self.reach(worker)?;
+        let clock = process.clock(now_ms);
         let demand = Resources {
             cpu_millis: 1_000,
             memory_mb: 500,
@@ -694,16 +706,16 @@
         };
         let fate =
             if fails { Fate::failed(work_ms) } else { Fate::done(work_ms) };
-        let used_before = life.worker.used();
-        let result = life.worker.start(clock, order, demand, fate);
-        let used = life.worker.used();
-        if used != used_before && !life.has_room_for(&used, now_ms) {
-            let room = life.listing.capacity;
+        let used_before = process.worker.used();
+        let result = process.worker.start(clock, order, demand, fate);
+        let used = process.worker.used();
+        if used != used_before && !process.may_hold(&used, now_ms) {
+            let room = process.listing.capacity;
             panic!("{}: {used:?} of {room:?}", order.task);
         }
         if result.is_ok() {
             self.begun.insert(order.task.job);
-            if self.bad.contains_key(&order.task) {
+            if self.crashing.contains_key(&order.task) {
                 self.crash_under(worker, &order.task);
                 return Err(OrderError::Unknown);
             }
@@ -714,13 +726,13 @@
     /// Lets a worker crash under a bad task, and another life begin there.
     fn crash_under(&mut self, worker: &WorkerId, task: &TaskId) {
         self.replace(worker);
-        let Some(bad) = self.bad.get_mut(task) else { return };
-        if bad.crashes >= 3 {
-            bad.starts_since += 1;
+        let Some(crashing) = self.crashing.get_mut(task) else { return };
+        if crashing.crashes >= 3 {
+            crashing.starts_since += 1;
         }
-        bad.crashes += 1;
-        let most = 2 + bad.takeovers;
-        let starts = bad.starts_since;
+        crashing.crashes += 1;
+        let most = 2 + crashing.takeovers;
+        let starts = crashing.starts_since;
         assert!(starts <= most, "{task}: {starts} starts after 3 crashes");
     }
 
@@ -730,9 +742,9 @@
         order: &StopOrder,
     ) -> Result<u64, OrderError> {
         let now_ms = self.now_ms;
-        let life = self.reach(worker)?;
-        let clock = life.clock(now_ms);
-        life.worker.stop(clock, order)
+        let process = self.reach(worker)?;
+        let clock = process.clock(now_ms);
+        process.worker.stop(clock, order)
     }
 
     fn hold(
@@ -741,15 +753,15 @@
         held: &dewspar::schedule::SentHold,
     ) -> Result<HoldReport, OrderError> {
         let now_ms = self.now_ms;
-        let life = self.reach(worker)?;
-        let clock = life.clock(now_ms);
+        let process = self.reach(worker)?;
+        let clock = process.clock(now_ms);
         let acknowledged = held.order().acknowledged;
-        let ended = life.worker.ended().to_vec();
-        let report = life.worker.hold(clock, held.order())?;
-        let noted = ended.into_iter().filter(|end| {
+        let ended = process.worker.ended().to_vec();
+        let report = process.worker.hold(clock, held.order())?;
+        let acknowledged_done = ended.into_iter().filter(|end| {
             end.number <= acknowledged && end.cause == EndCause::Done
         });
-        self.noted.extend(noted.map(|end| end.task));
+        self.acknowledged_done.extend(acknowledged_done.map(|end| end.task));
         Ok(report)
     }
 
@@ -759,8 +771,8 @@
         let task = order.task;
         let cancelled = self.store.cancelled.contains(&task.job);
         assert!(!cancelled, "{task} of a cancelled job");
-        let noted = self.noted.contains(&task);
-        assert!(!noted, "{task} was acknowledged as done");
+        let acknowledged_done = self.acknowledged_done.contains(&task);
+        assert!(!acknowledged_done, "{task} was acknowledged as done");
         let stored = self.store.progress.get(&task.job);
         let records = stored.into_iter().flat_map(|p| &p.tasks);
         for record in records {
@@ -785,21 +797,22 @@
     /// job is cancelled.
     fn check(&mut self) {
         let now_ms = self.now_ms;
-        let is_out = self.is_out();
+        let is_store_out = self.is_store_out();
         let mut running = BTreeSet::new();
-        let mut unwanted = Vec::new();
-        for (id, life) in &mut self.lives {
-            let clock = life.clock(now_ms);
-            let in_touch = now_ms >= life.cut_until_ms && !is_out;
-            for (task, run) in life.worker.running(clock) {
+        let mut cancelled_runs = Vec::new();
+        for (id, process) in &mut self.processes {
+            let clock = process.clock(now_ms);
+            let in_touch =
+                now_ms >= process.unreachable_until_ms && !is_store_out;
+            for (task, run) in process.worker.running(clock) {
                 assert!(running.insert(task), "{task} runs twice, {run}");
                 if self.store.cancelled.contains(&task.job) {
-                    let run = Unwanted { worker: id.clone(), task, run };
-                    unwanted.push((run, in_touch));
+                    let run = CancelledRun { worker: id.clone(), task, run };
+                    cancelled_runs.push((run, in_touch));
                 }
             }
         }
-        self.unwanted.look(now_ms, unwanted);
+        self.cancelled_runs.check_all(now_ms, cancelled_runs);
     }
 
     pub fn is_over(&self) -> bool {
