--- a/crates/dewspar/src/schedule/placement.rs
+++ b/crates/dewspar/src/schedule/placement.rs
@@ -100,7 +100,7 @@
         self.candidates.update(&mut self.jobs, late_last, now);
         debug_assert!(
             self.candidates.match_full_rebuild(&mut self.jobs, late_last, now),
-            "what was kept of the order is out of date"
+            "the cached scheduling order is out of date"
         );
         // Moved out because starting a task borrows the scheduler mutably.
         let candidates = mem::take(&mut self.candidates);
@@ -257,7 +257,7 @@
         };
         let suspected = |index: &&u32| {
             let task = &state.tasks[**index as usize];
-            task.crashes.are_on_record()
+            task.crashes.is_on_record()
                 || self.may_have_crashed_unseen(job, task)
         };
         let waiting = state.waiting.iter();
--- a/crates/dewspar/src/schedule/placement/candidates.rs
+++ b/crates/dewspar/src/schedule/placement/candidates.rs
@@ -239,7 +239,7 @@
             let suspects = state
                 .waiting
                 .iter()
-                .any(|i| state.tasks[*i as usize].crashes.are_on_record());
+                .any(|i| state.tasks[*i as usize].crashes.is_on_record());
             let spec = &job.spec.steps[step];
             // A long-running step has no deadline that it could miss: it is
             // interrupted from the moment at which it doesn't run.
