--- a/crates/dewspar/tests/schedule/reservation_cases.rs
+++ b/crates/dewspar/tests/schedule/reservation_cases.rs
@@ -159,7 +159,7 @@
     world.run_for(3_000);
     let from = world.starts[0].0.clone();
     request_wave_of(&mut world, &[&format!("vm-of-{from}")]);
-    world.stops_take_ms = STOP_MS;
+    world.stop_duration_ms = STOP_MS;
     plan_round(&mut world);
     let decisions = world.scheduler.take_decisions();
     let place = decisions.iter().find_map(|decision| match decision {
@@ -230,7 +230,7 @@
         leaving.remaining_ms = Some(6_000);
     }
     world.list();
-    world.stops_take_ms = STOP_MS;
+    world.stop_duration_ms = STOP_MS;
     for _ in 0..MAX_WAIT_MS / 50 {
         submit_peak_round(&mut world, &mut next);
         submit_peak_round(&mut world, &mut next);
@@ -252,7 +252,7 @@
         plan_round(&mut world);
     }
     request_wave_of(&mut world, &[&format!("vm-of-{from}")]);
-    world.stops_take_ms = STOP_MS;
+    world.stop_duration_ms = STOP_MS;
     for _ in 0..2 * MAX_WAIT_MS / 50 {
         submit_peak_round(&mut world, &mut next);
         submit_peak_round(&mut world, &mut next);
@@ -282,7 +282,7 @@
 
 /// Runs for 50 ms with an adviser that allows every worker.
 fn advised_round(world: &mut World) {
-    world.advises = true;
+    world.adviser_answers = true;
     world.run_for(50);
 }
 
@@ -388,7 +388,7 @@
         // Only the first order to restart the task is lost.
         let first = format!("{}.0.0.0", id(1));
         let is_over = !world.running().contains(&first);
-        world.loses_starts = is_over && starts_of(&world, id(1)) == 1;
+        world.drops_starts = is_over && starts_of(&world, id(1)) == 1;
         plan_round(&mut world);
     }
     assert_eq!(
