--- a/crates/dewspar/tests/schedule/gang_reservations.rs
+++ b/crates/dewspar/tests/schedule/gang_reservations.rs
@@ -12,7 +12,7 @@
 use {
     crate::{
         task_moves::{STOP_MS, long_running, plan_round},
-        waves::{maintain_for_a_while, request_wave, request_wave_of},
+        waves::{maintain_for_50_ms, request_wave, request_wave_of},
         world::{POOL, ROOM, RunKind, World, at, id, job, listing, step},
     },
     dewspar::{
@@ -115,7 +115,7 @@
     /// Runs one round that also carries out VM orders.
     fn maintain(&mut self) {
         self.submit_round();
-        maintain_for_a_while(&mut self.world);
+        maintain_for_50_ms(&mut self.world);
     }
 
     fn submit(&mut self, number: u64, spec: StepSpec, fate: Fate) {
@@ -189,7 +189,7 @@
     }
 
     /// Loses a worker; the VM service reports that immediately.
-    fn lose(&mut self, worker: &WorkerId) {
+    fn lose_worker(&mut self, worker: &WorkerId) {
         let now = at(self.world.now_ms);
         self.world.workers.remove(worker);
         self.world.listings.retain(|listing| listing.id != *worker);
@@ -333,7 +333,7 @@
         }
     }
     assert!(!peak.runs_completely(id(1)));
-    peak.lose(&kept.expect("capacity is reserved on some worker"));
+    peak.lose_worker(&kept.expect("capacity is reserved on some worker"));
     peak.run_for(MAX_WAIT_MS);
     assert!(peak.runs_completely(id(1)));
 }
@@ -346,7 +346,7 @@
     let kept = peak.idle_worker().expect("capacity is reserved for a member");
     let names = ["w1", "w2"].map(WorkerId::new);
     let full = names.into_iter().find(|name| *name != kept);
-    peak.lose(&full.expect("there are two workers"));
+    peak.lose_worker(&full.expect("there are two workers"));
     // Enough for a review and a scheduling pass.
     peak.run_for(1_000);
     for _ in 0..MAX_IDLE_MS / 50 {
@@ -384,7 +384,7 @@
     peak.run_for(3_000);
     assert!(peak.runs_completely(id(1)));
     peak.begin();
-    peak.world.stops_take_ms = STOP_MS;
+    peak.world.stop_duration_ms = STOP_MS;
     peak
 }
 
@@ -491,7 +491,7 @@
 fn a_gang_that_lost_a_worker_restarts_under_load() {
     let mut peak = peak_with_gang(&["w1", "w2", "w3", "w4"]);
     let lost = peak.running_on(id(1))[0].clone();
-    peak.lose(&lost);
+    peak.lose_worker(&lost);
     peak.run_for(MAX_WAIT_MS);
     assert!(peak.runs_completely(id(1)));
 }
@@ -517,8 +517,8 @@
         4 => {
             let index = random.random_range(0..peak.world.listings.len());
             let vm = peak.world.listings[index].vm.clone();
-            peak.world.told_after_ms = Some(0);
-            peak.world.crash_vm(&vm);
+            peak.world.crash_report_delay_ms = Some(0);
+            peak.world.crash_worker_on(&vm);
         }
         _ => {}
     }
@@ -593,7 +593,7 @@
     for seed in 0..WAVE_RUNS {
         let mut random = StdRng::seed_from_u64(seed);
         let mut peak = Peak::random(&mut random);
-        peak.world.stops_take_ms = random.random_range(0..STOP_MS);
+        peak.world.stop_duration_ms = random.random_range(0..STOP_MS);
         let serving = [POOL.to_owned()].into();
         peak.world.scheduler.configure_pools(serving, [].into());
         for _ in 0..3_000 / 50 {
