--- a/crates/dewspar/src/schedule/long_running.rs
+++ b/crates/dewspar/src/schedule/long_running.rs
@@ -58,7 +58,7 @@
 struct PoolDemand<'a> {
     steps: Vec<StepDemand<'a>>,
     /// The workers that stay, with what their long-running tasks use.
-    on: HashMap<&'a WorkerId, Resources>,
+    used_by_worker: HashMap<&'a WorkerId, Resources>,
 }
 
 /// A VM into which tasks are packed.
@@ -153,7 +153,8 @@
         for first in &self.long_running_steps {
             let Some(job) = self.jobs.get(&first.job) else { continue };
             let pool = pools.entry(&job.terms.pool).or_default();
-            let step = self.step_demand(job, *first, &mut pool.on, now);
+            let step =
+                self.step_demand(job, *first, &mut pool.used_by_worker, now);
             pool.steps.extend(step);
         }
         for pool in pools.values_mut() {
@@ -165,12 +166,12 @@
     }
 
     /// Returns the demand of a step, and adds its tasks on workers that stay
-    /// to `on`.
+    /// to `used_by_worker`.
     fn step_demand<'a>(
         &'a self,
         job: &'a Job,
         first: TaskId,
-        on: &mut HashMap<&'a WorkerId, Resources>,
+        used_by_worker: &mut HashMap<&'a WorkerId, Resources>,
         now: Now,
     ) -> Option<StepDemand<'a>> {
         let spec = job.step_spec(&first)?;
@@ -186,7 +187,7 @@
             });
             let mut stays = false;
             for worker in staying {
-                on.entry(worker).or_default().add(&demand);
+                used_by_worker.entry(worker).or_default().add(&demand);
                 stays = true;
             }
             unplaced += u64::from(!stays);
@@ -214,7 +215,7 @@
     }
 
     fn floor_vms(&self, pool: &PoolDemand) -> u64 {
-        let bins = pool.on.iter().filter_map(|(id, used)| {
+        let bins = pool.used_by_worker.iter().filter_map(|(id, used)| {
             let worker = self.workers.get(id)?;
             let free = worker.listing.capacity.minus(used);
             Some(Bin { free, worker: Some(worker) })
--- a/crates/dewspar/src/schedule/placement.rs
+++ b/crates/dewspar/src/schedule/placement.rs
@@ -213,8 +213,8 @@
             }
             let task = TaskId { index, ..first };
             let chosen = match &mut uniform {
-                Some(places) if !self.needs_own_placement(&task) => {
-                    places.next(self, &task).ok_or(PlacementError::NoRoom)
+                Some(placement) if !self.needs_own_placement(&task) => {
+                    placement.next(self, &task).ok_or(PlacementError::NoRoom)
                 }
                 _ => self.choose_worker(spec, &task, now),
             };
@@ -470,7 +470,7 @@
             true => self.isolation_score(worker, spec),
             false => self.score_for(worker, spec),
         };
-        let kept = self.places.worker_for(task);
+        let reserved = self.places.worker_for(task);
         // A long-running task avoids VMs with pending maintenance: it would
         // have to move again and be interrupted twice.
         let stays = |worker: &Worker| {
@@ -479,10 +479,10 @@
         self.suitable_workers(spec, task, now)
             .filter(|worker| self.ticket(task, worker.id(), now).is_some())
             .max_by_key(|worker| {
-                let is_kept = kept == Some(worker.id());
+                let is_reserved = reserved == Some(worker.id());
                 let avoided = state.avoid.contains(worker.id());
                 let stays = stays(worker);
-                (is_kept, !avoided, stays, score(worker), worker.id())
+                (is_reserved, !avoided, stays, score(worker), worker.id())
             })
     }
 
--- a/crates/dewspar/src/schedule/reservations.rs
+++ b/crates/dewspar/src/schedule/reservations.rs
@@ -189,12 +189,13 @@
             self.reserve_room_of_member(task, to, now);
             return;
         }
-        let lasts = self.step_spec(task).is_some_and(|s| s.long_running);
+        let long_running =
+            self.step_spec(task).is_some_and(|s| s.long_running);
         let waits = self.jobs.get(&task.job).is_some_and(|job| {
             let step = job.step(task);
             step.is_some_and(|step| step.waiting.contains(&task.index))
         });
-        if lasts && waits && self.places.worker_for(task).is_none() {
+        if long_running && waits && self.places.worker_for(task).is_none() {
             self.reserve_room(task, None, to);
         }
     }
@@ -288,9 +289,9 @@
             return;
         };
         self.release_reservation(task, now);
-        let place = self.best_worker_for(task, now).cloned();
-        let place = place.or_else(|| self.worker_with_room_soon(task, now));
-        if let Some(to) = place {
+        let worker = self.best_worker_for(task, now).cloned();
+        let worker = worker.or_else(|| self.worker_with_room_soon(task, now));
+        if let Some(to) = worker {
             self.reserve_room(task, reservation.from, &to);
         }
     }
--- a/crates/dewspar/src/schedule/reservations/search.rs
+++ b/crates/dewspar/src/schedule/reservations/search.rs
@@ -52,7 +52,7 @@
 /// Tentative assignments of the members of one gang to workers.
 #[derive(Default)]
 struct Assignments<'a> {
-    on: HashMap<&'a WorkerId, u64>,
+    count_by_worker: HashMap<&'a WorkerId, u64>,
 }
 
 impl<'a> Assignments<'a> {
@@ -70,7 +70,8 @@
             RoomHorizon::Now => worker.free_for(member),
             RoomHorizon::AfterShortTasks => worker.free_soon_for(member),
         };
-        let assigned = self.on.get(worker.id()).copied().unwrap_or(0);
+        let assigned =
+            self.count_by_worker.get(worker.id()).copied().unwrap_or(0);
         let most = u64::from(spec.max_per_worker);
         let siblings = worker.runs_of_step(member) as u64;
         let apart = match most {
@@ -89,7 +90,7 @@
     }
 
     fn assign(&mut self, worker: &'a WorkerId) {
-        *self.on.entry(worker).or_default() += 1;
+        *self.count_by_worker.entry(worker).or_default() += 1;
     }
 }
 
--- a/crates/dewspar/src/schedule/workers.rs
+++ b/crates/dewspar/src/schedule/workers.rs
@@ -261,6 +261,6 @@
     let id = |number: &WorkerNumber| {
         workers.get(number.0)?.as_ref().map(Worker::id)
     };
-    let place = numbers.partition_point(|other| id(other) < id(&number));
-    numbers.insert(place, number);
+    let index = numbers.partition_point(|other| id(other) < id(&number));
+    numbers.insert(index, number);
 }
