--- a/crates/dewspar/tests/schedule/main.rs
+++ b/crates/dewspar/tests/schedule/main.rs
@@ -1,4 +1,4 @@
-//! What the scheduler must and must not order, case by case.
+//! Tests of the scheduler: what it must and must not order, case by case.
 
 mod cancelling;
 mod chain;
--- a/crates/dewspar/tests/schedule/small_link.rs
+++ b/crates/dewspar/tests/schedule/small_link.rs
@@ -1,5 +1,5 @@
-//! A takeover on a node with a link of 2 Mbit/s: 2,000 open jobs of 2 kB have
-//! to come in over it while renewals and new jobs need it too.
+//! A takeover on a node with a link of 2 Mbit/s, over which 2,000 open jobs of
+//! 2 kB are loaded while lease renewals and new jobs share it.
 
 use {
     crate::world::{POOL, at, id, job, listing, step},
@@ -17,41 +17,43 @@
 
 const LINK_MBPS: f64 = 2.0;
 
-/// What the link carries in a step, in bytes.
+/// The capacity of the link per step, in bytes.
 const BYTES_PER_STEP: u64 = 250 * STEP_MS;
 
-/// How the scheduler is called, in milliseconds.
+/// The interval between calls of the scheduler, in milliseconds.
 const STEP_MS: u64 = 5;
 
-/// How long an order may take, in milliseconds.
+/// The timeout of an order, in milliseconds.
 const TIMEOUT_MS: u64 = 460;
 
-/// What a tenth of a core sends in a step, in orders.
+/// The number of orders that a tenth of a core sends per step.
 const ORDERS_PER_STEP: usize = 5;
 
 const WORKERS: u64 = 132;
 
-/// How many tasks of former holders run, each of another job.
+/// The number of running tasks of former holders, each of another job.
 const LONG_RUNNING: u64 = 100;
 
 const OPEN_JOBS: u64 = 2_000;
 const SLICES: u64 = 16;
 const JOB_BYTES: u64 = 2_000;
 
-/// What a reading of the directory takes, in bytes, and how often it comes.
+/// The size of a read of the directory, in bytes, and the interval between
+/// reads.
 const DIRECTORY_BYTES: u64 = 40_000;
 const DIRECTORY_INTERVAL_MS: u64 = 2_500;
 
-/// How many copies run of tasks that another copy has done, each of another
-/// job, of which a second task is still to run: two in each slice.
+/// The number of running copies of tasks that another copy has finished, two
+/// in each slice. Each is of another job, of which a second task is still to
+/// run.
 const COPIES: u64 = 32;
 
-/// How long after its slice was loaded a copy may go on, in milliseconds: 500
-/// until its worker is asked again, 300 for which that may wait for an end, and
-/// what the order to stop takes on a link that is in use.
+/// How long a copy may continue after its slice was loaded, in milliseconds:
+/// 500 until its worker is polled again, 300 for which the worker may wait for
+/// an end, and the time of the stop order on a link in use.
 const MAX_COPY_MS: u64 = 1_500;
 
-/// New jobs of two tasks come so often, in milliseconds.
+/// The interval between new jobs of two tasks, in milliseconds.
 const NEW_JOB_INTERVAL_MS: u64 = 20;
 const PAYLOAD_BYTES: usize = 500;
 
@@ -62,30 +64,30 @@
 const TASK: Resources =
     Resources { cpu_millis: 1_000, memory_mb: 100, gpus: 0 };
 
-/// An order on its way.
+/// An order in transit.
 struct Sent {
     action: Action,
     sent_ms: u64,
     bytes_left: u64,
 }
 
-/// A node, its link, and the workers beyond it.
+/// A node, its link, and the workers behind it.
 struct Node {
     scheduler: Scheduler,
     workers: BTreeMap<WorkerId, TaskWorker>,
     now_ms: u64,
-    /// Orders that wait for the link or are under way.
+    /// The orders that wait for the link or are in transit.
     orders: VecDeque<Sent>,
-    /// Questions for which a worker waits, with when it answers.
+    /// The holds at workers, each with the time of the answer.
     waiting: Vec<(u64, Action)>,
-    /// What is read in bulk: bytes left, and which slice that is, if any.
+    /// The bulk reads: the bytes left, and the number of the slice, if any.
     bulk: VecDeque<(u64, Option<u64>)>,
     slices_loaded: u64,
     has_copies: bool,
     loaded_ms: Option<u64>,
-    /// When each slice was loaded.
+    /// The time at which each slice was loaded.
     slice_loaded_ms: Vec<u64>,
-    /// When each copy was gone.
+    /// The time at which each copy had ended.
     copy_ended_ms: BTreeMap<JobId, u64>,
     first_start_ms: Option<u64>,
     sent: u64,
@@ -105,8 +107,8 @@
     job
 }
 
-/// A job of a former holder of which one task is done, while a copy of it goes
-/// on, and the other isn't ready before that job's second step.
+/// A job of a former holder. One task is done while a copy of it still runs;
+/// the other isn't ready before the job's second step.
 fn job_with_a_copy() -> AcceptedJob {
     let copied = StepSpec { may_duplicate: true, ..step(1) };
     let long_running =
@@ -124,7 +126,7 @@
     (LONG_RUNNING..LONG_RUNNING + COPIES).contains(&number)
 }
 
-/// What a former holder started of a job, a second before.
+/// The start order of a former holder, a second ago.
 fn started_before(number: u64, run: u64) -> StartOrder {
     StartOrder {
         task: format!("{}.0.0.0", id(number)).parse().unwrap(),
@@ -178,7 +180,7 @@
         }
     }
 
-    /// Has copies run, on the workers on which nothing else does.
+    /// Starts the copies, on the workers that run nothing else.
     fn with_copies(mut self) -> Node {
         self.has_copies = true;
         let numbers = LONG_RUNNING..LONG_RUNNING + COPIES;
@@ -216,7 +218,7 @@
         }
     }
 
-    /// New jobs come, and the directory is read.
+    /// Submits new jobs, and starts reads of the directory.
     fn add_arrivals(&mut self) {
         if self.now_ms.is_multiple_of(NEW_JOB_INTERVAL_MS) {
             let number = OPEN_JOBS + self.now_ms;
@@ -230,7 +232,8 @@
         }
     }
 
-    /// The link carries what waits; orders and bulk share it evenly.
+    /// Transmits what waits for the link, which orders and bulk reads share
+    /// evenly.
     fn transmit(&mut self) {
         let both = !self.orders.is_empty() && !self.bulk.is_empty();
         let half = BYTES_PER_STEP / 2;
@@ -241,7 +244,7 @@
         self.answer_due();
     }
 
-    /// Returns the bytes that weren't used.
+    /// Returns the unused bytes.
     fn transmit_orders(&mut self, mut bytes: u64) -> u64 {
         let mut most = ORDERS_PER_STEP;
         while let Some(first) = self.orders.front_mut() {
@@ -342,7 +345,7 @@
         let fate = Fate::done(800);
         let mut result = at_worker.start(self.now_ms, order, TASK, fate);
         if late {
-            // It arrives all the same, and nobody waits for the answer.
+            // The order arrives, but after the timeout.
             self.failed += 1;
             result = Err(OrderError::Unknown);
         } else {
@@ -377,7 +380,7 @@
         }
     }
 
-    /// Counts the lasting tasks that still run.
+    /// Returns the number of long-running tasks that still run.
     fn count_long_running(&mut self) -> usize {
         let now_ms = self.now_ms;
         let long_running: Vec<JobId> = (0..LONG_RUNNING).map(id).collect();
@@ -398,7 +401,7 @@
     let first_start_ms = node.first_start_ms.expect("a start");
     assert!(first_start_ms < 2_000, "first start after {first_start_ms} ms");
     let loaded_ms = node.loaded_ms.expect("all loaded");
-    // 4 MB take 16 s if nothing else is carried.
+    // Loading 4 MB takes 16 s if nothing else uses the link.
     assert!(loaded_ms < 36_000, "all loaded after {loaded_ms} ms");
     let long_running = u64::try_from(node.count_long_running()).unwrap();
     assert_eq!(
@@ -413,9 +416,10 @@
     );
 }
 
-// Only its job tells that a copy isn't needed any more, so under a new holder it
-// goes on until its job has come, and takes the room of one worker meanwhile. It
-// isn't kept for all the loading: that takes half a minute here.
+// Only the record of its job shows that a copy isn't needed any more. So under
+// a new holder the copy continues until its job is loaded, and takes resources
+// of one worker meanwhile. It must not continue until all jobs are loaded,
+// which takes half a minute here.
 #[test]
 fn an_unneeded_copy_is_stopped_once_its_slice_is_loaded() {
     let mut node = Node::take_over(small_link()).with_copies();
--- a/crates/dewspar/tests/schedule/vm_order_takeover.rs
+++ b/crates/dewspar/tests/schedule/vm_order_takeover.rs
@@ -1,4 +1,4 @@
-//! Which VMs a new holder may order changes of.
+//! Which VMs a new holder may order to change.
 
 use {
     crate::{
@@ -16,7 +16,7 @@
     OrderIssuer { node: node.to_owned(), incarnation }
 }
 
-/// A pool that needs its spare VM.
+/// A world with a pool that needs the spare VM.
 fn world_with_deficit() -> World {
     let mut world = world_with_spare();
     world.fate = Fate::endless();
@@ -25,7 +25,8 @@
     world
 }
 
-/// What `holder` leaves on record after it ordered the spare VM.
+/// Returns the record that `holder` leaves after it ordered the spare VM to
+/// move.
 fn record_of(holder: &OrderIssuer) -> OrderedVms {
     let mut world = world_with_deficit();
     assert_eq!(vm_orders(&mut world), [move_of_spare()]);
@@ -78,7 +79,7 @@
     let first = process("n1", 1);
     let mut before = world_with_deficit();
     assert_eq!(vm_orders(&mut before), [move_of_spare()]);
-    // Recorded again, 2.5 s or so after the order.
+    // Recorded again, some 2.5 s after the order.
     let record =
         before.scheduler.ordered_vms(at(before.now_ms + 1_500), &first);
     assert!(!record.is_empty());
--- a/crates/dewspar/tests/schedule/vm_service_results.rs
+++ b/crates/dewspar/tests/schedule/vm_service_results.rs
@@ -1,5 +1,5 @@
-//! What was ordered of the VM service isn't what is so: only its answers and
-//! its list say what began.
+//! Orders to the VM service may fail or have no answer: only its answers and
+//! its list of VMs show what was carried out.
 
 use {
     crate::world::{POOL, ROOM, World, at, id, job, listing, managed, step},
@@ -34,8 +34,8 @@
     world.scheduler.list_vms(at(world.now_ms), world.now_ms, &vms);
 }
 
-/// Plans what is to be ordered of the VM service for so long, and returns
-/// which VMs are to be maintained, and when.
+/// Plans orders to the VM service for up to `for_ms`, until maintenance is
+/// ordered. Returns the VMs to maintain, each with the time of the order.
 fn ordered_maintenance(world: &mut World, for_ms: u64) -> Vec<(u64, String)> {
     let end_ms = world.now_ms + for_ms;
     let mut ordered = Vec::new();
@@ -54,7 +54,7 @@
     ordered
 }
 
-/// Workers that nothing runs on, and a wave over all of their VMs.
+/// Idle workers, and a wave over all of their VMs.
 fn idle_world(names: &[&str], max_down: usize) -> World {
     let mut world = World::new(5, names);
     world.list();
@@ -94,15 +94,15 @@
     let mut world = idle_world(&["w1", "w2"], 1);
     let first = ordered_maintenance(&mut world, 2_000);
     let vm = first[0].1.clone();
-    // The VM service takes it as done; the life goes on, and the list of VMs
-    // still has it.
+    // The VM service answers that it is done. The worker keeps running, and
+    // the list of VMs still has it.
     answer(&mut world, &vm, Ok(()));
     world.run_for(600);
     let second = ordered_maintenance(&mut world, 3_000);
     assert_eq!(second.len(), 1, "the wave goes on");
     assert_ne!(second[0].1, vm);
     answer(&mut world, &second[0].1, Ok(()));
-    // The first one's worker is there for tasks, the other one's isn't.
+    // The first VM's worker accepts tasks, the second one's doesn't.
     world.scheduler.submit(id(1), job(vec![step(1)]), 6, None);
     let other = second[0].1.clone();
     let gone = world.listings.iter().find(|l| l.vm == other);
@@ -124,7 +124,7 @@
     let vm = first[0].1.clone();
     world.run_for(50);
     answer(&mut world, &vm, Ok(()));
-    // This list was asked for before the VM went down.
+    // This list was requested before the VM went down.
     world.scheduler.list_vms(at(world.now_ms), asked_ms, &vms);
     let listing = world.listings.iter().find(|l| l.vm == vm);
     let life = listing.expect("a listed VM").id.clone();
@@ -148,7 +148,7 @@
         |node: &str| OrderIssuer { node: node.to_owned(), incarnation: 1 };
     let (now, former) = (at(world.now_ms), orderer("node-1"));
     let ordered = world.scheduler.ordered_vms(now, &former);
-    // It dies before the VM service has carried the order out.
+    // The holder is lost before the VM service has carried out the order.
     world.take_over(9);
     world.now_ms += 500;
     let now = at(world.now_ms);
@@ -157,7 +157,7 @@
     world.list();
     world.expect_all();
     world.run_for(100);
-    // The next holder uses its worker, and so takes another VM first.
+    // The next holder uses the VM's worker, and so takes another VM first.
     world.fate = Fate::done(8_000);
     let there = StepSpec { data_rack: "rack-9".to_owned(), ..step(1) };
     world.scheduler.submit(id(1), job(vec![there]), 10, None);
@@ -228,8 +228,8 @@
     world.fate = Fate::endless();
     world.scheduler.submit(id(1), job(vec![step(8)]), 6, None);
     world.run_for(100);
-    // The list of VMs is a moment old: a former holder's order has brought
-    // the VM to the pool since, and its new worker is at work.
+    // The list of VMs is outdated: since then, a former holder's order has
+    // moved the VM to the pool, and its new worker is running.
     list_vms(&mut world);
     world.listings[2] = listing("w3+");
     world.listings[2].vm = "vm-of-w3".to_owned();
@@ -261,7 +261,7 @@
     let first = ordered_maintenance(&mut world, 2_000);
     let vm = first[0].1.clone();
     answer(&mut world, &vm, Err(VmOrderError::Unknown));
-    // It was carried out all the same, and the VM is back and at work.
+    // The order was carried out, and the VM is back and at work.
     let found = world.listings.iter_mut().find(|l| l.vm == vm);
     let back = found.expect("a listed VM");
     back.id = WorkerId::new("w1+");
@@ -288,7 +288,8 @@
     let mut world = idle_world(&["w1", "w2", "w3"], 1);
     let first = ordered_maintenance(&mut world, 2_000);
     let vm = first[0].1.clone();
-    // It has failed since the last list: nothing is down by an order.
+    // The VM has failed since the last list: nothing is down because of an
+    // order.
     answer(&mut world, &vm, Err(VmOrderError::Busy));
     // OK because there is a worker on each VM.
     let gone = world.listings.iter().find(|l| l.vm == vm).unwrap();
--- a/crates/dewspar/tests/schedule/wave_deadlines.rs
+++ b/crates/dewspar/tests/schedule/wave_deadlines.rs
@@ -1,9 +1,9 @@
-//! Large waves that end in time.
+//! The deadlines of large waves.
 //!
-//! On a register of 1,100 workers a wave of some 600 VMs was to end within
-//! 26 s, and 171 of them were left. Nearly all were idle, as many as 229 might
-//! be down at once, and no more than 70 were: one more was emptied at each
-//! look, and a node that is busy looks 11 to 20 times a second.
+//! Guards against waves that select one more VM per pass: a busy node runs
+//! only 11 to 20 passes a second. With 1,100 workers, 171 of some 600 VMs were
+//! then left after the 26 s of a wave, nearly all of them idle, with at most
+//! 70 down of 229 allowed.
 
 use {
     crate::{
@@ -21,15 +21,15 @@
 /// How long a VM is down, in milliseconds.
 const DOWN_MS: u64 = 2_000;
 
-/// A world in which a wave goes on, its VMs being down for a while each.
+/// A world with a wave in progress. Each VM is down for a while.
 struct Wave {
     world: World,
     request: WaveRequest,
-    /// The VMs that are down, and when each is back.
+    /// The VMs that are down, each with the time at which it is back.
     down: BTreeMap<String, u64>,
     begun: BTreeSet<String>,
     most_down: usize,
-    /// The VMs that move on as soon as they are back.
+    /// The VMs that move to another pool as soon as they are back.
     moving: BTreeSet<String>,
     completed: bool,
     begun_ms: u64,
@@ -116,7 +116,7 @@
         self.world.scheduler.list_workers(at(now_ms), up);
     }
 
-    /// Looks once and lets so much time pass, in milliseconds.
+    /// Runs one pass, then lets this time pass, in milliseconds.
     fn pass(&mut self, every_ms: u64) {
         self.list_vms();
         let now = at(self.world.now_ms);
@@ -131,7 +131,7 @@
         self.restore_workers();
     }
 
-    /// Looks at it until its time is over.
+    /// Runs passes until the deadline.
     fn run_to_deadline(&mut self, every_ms: u64) {
         while self.world.now_ms < self.begun_ms + self.request.duration_ms {
             self.pass(every_ms);
@@ -157,7 +157,7 @@
 
 #[test]
 fn a_large_wave_is_spread_over_its_duration() {
-    // What is down is missed as soon as jobs come.
+    // VMs that are down are missed as soon as jobs arrive.
     let mut wave = Wave::of(200, 200, 24_000);
     let begin = wave.world.now_ms;
     while wave.world.now_ms < begin + 1_000 {
@@ -169,8 +169,9 @@
 
 #[test]
 fn a_wave_completes_when_its_vms_move_before_the_list_shows_them_up() {
-    // A VM that is back is wanted elsewhere at once; where the list of VMs is
-    // read once in 1.2 s, each reading showed it on its way to another pool.
+    // A VM that is back may be needed elsewhere at once. If the list of VMs is
+    // read only every 1.2 s, each read may show it moving to another pool
+    // instead of up.
     let mut wave = Wave::of(4, 4, 5_000);
     for _ in 0..10 {
         wave.pass(50);
@@ -195,9 +196,9 @@
 
 #[test]
 fn a_vm_is_added_for_a_task_that_no_other_worker_can_take() {
-    // One VM of 572 was left when its wave was due: its pool had no other
-    // place for the last of six tasks that it held, for five seconds, and
-    // got no VM, since nothing waited.
+    // Guards against a VM that is never drained: the pool had no other place
+    // for the last of its six tasks for 5 s, and got no VM because no task was
+    // waiting. One of 572 VMs was left when its wave was due.
     let mut world = World::new(5, &["w1", "w2", "w4", "w5", "w6"]);
     let mut spare = listing("w3");
     spare.pool = "off".to_owned();
@@ -208,7 +209,7 @@
     world.scheduler.configure_pools(serving, ["off".to_owned()].into());
     world.run_for(100);
     world.fate = Fate::endless();
-    // It lacks memory, of which its size says nothing.
+    // The pool lacks memory, which its target size doesn't account for.
     let long = StepSpec {
         long_running: true,
         memory_mb: 3_000,
@@ -226,14 +227,14 @@
     };
     let (now, none) = (at(world.now_ms), BTreeMap::new());
     world.scheduler.request_waves(now, &[request], &none, &[]);
-    // The holder orders nothing before a former one's stops are over.
+    // The holder orders nothing until stops of a former one must be over.
     world.run_for(2_000);
     let orders: Vec<VmOrder> = vm_orders(&mut world);
     assert!(orders.contains(&move_of_spare()), "{orders:?}");
     assert_eq!(world.running().len(), 5);
 }
 
-/// A wave of 400 VMs on 40 of which tasks are to last, one on each.
+/// A wave of 400 VMs, of which 40 run one long-running task each.
 fn wave_with_long_running_tasks() -> (Wave, BTreeSet<String>) {
     let mut wave = Wave::of(400, 200, 20_000);
     let long = StepSpec {
@@ -246,7 +247,7 @@
     wave.world.scheduler.submit(id(1), job(vec![long]), 6, None);
     wave.world.run_for(500);
     assert_eq!(wave.world.running().len(), 40);
-    // The holder stops nothing before a former one's stops are over.
+    // The holder evicts nothing until stops of a former one must be over.
     wave.world.run_for(2_000);
     wave.begun_ms = wave.world.now_ms;
     let starts = wave.world.starts.iter();
@@ -256,8 +257,8 @@
 
 #[test]
 fn long_running_tasks_leave_throughout_a_wave() {
-    // They took longest to leave and were left for the end. There the peak
-    // of their queue took each place that they could have gone to.
+    // Guards against long-running tasks left for the end of a wave, when a
+    // peak of their queue takes every place that they could move to.
     let (mut wave, long_running_vms) = wave_with_long_running_tasks();
     while wave.world.now_ms < wave.begun_ms + 8_000 {
         wave.pass(50);
--- a/crates/dewspar/tests/schedule/wave_progress.rs
+++ b/crates/dewspar/tests/schedule/wave_progress.rs
@@ -1,4 +1,4 @@
-//! What is told of a wave while it goes on: what keeps each VM that is left.
+//! The reports on waves in progress, and what blocks their remaining VMs.
 
 use {
     crate::{
@@ -21,14 +21,14 @@
     reports.collect()
 }
 
-/// Looks at a wave once and returns what is told.
+/// Runs one planning pass and returns the report of the wave, if one is due.
 fn next_report(world: &mut World) -> Option<WaveProgress> {
     world.scheduler.take_decisions();
     world.scheduler.plan_vms(at(world.now_ms));
     reports(world).pop()
 }
 
-/// Lets time pass, after which the VM service tells of its VMs, changed so.
+/// Lets time pass, then applies the list of VMs with a change.
 fn advance(world: &mut World, ms: u64, change: impl Fn(&mut Vec<ManagedVm>)) {
     world.run_for(ms);
     let mut vms: Vec<ManagedVm> = world.listings.iter().map(managed).collect();
@@ -41,7 +41,8 @@
     world_with_unreachable(&[])
 }
 
-/// Makes a world in which a wave begins and these workers don't answer.
+/// Returns a world with a new wave, in which the named workers are
+/// unreachable.
 fn world_with_unreachable(cut: &[&str]) -> World {
     let mut world = World::new(5, &["w1", "w2", "w3", "w4", "w5"]);
     world.unreachable.extend(cut.iter().map(|name| WorkerId::new(name)));
@@ -57,7 +58,7 @@
     let mut world = idle_world();
     let begin = world.now_ms;
     let mut report = Vec::new();
-    // Nothing is answered, so that nothing is ever done.
+    // Without answers, no VM is ever done.
     while world.now_ms < begin + 21_000 {
         world.scheduler.plan_vms(at(world.now_ms));
         let times = reports(&mut world).into_iter().map(|a| a.time);
--- a/crates/dewspar/tests/schedule/waves.rs
+++ b/crates/dewspar/tests/schedule/waves.rs
@@ -13,8 +13,7 @@
     std::collections::BTreeMap,
 };
 
-/// A world in which a long-running step of four tasks runs on five workers
-/// and all of their VMs are to be maintained.
+/// A world with a long-running step of four tasks on five workers.
 pub fn world_with_wave(revision: u64) -> World {
     let mut world = World::new(revision, &["w1", "w2", "w3", "w4", "w5"]);
     world.list();
@@ -50,7 +49,7 @@
     scheduler.list_vms(now, world.now_ms, &vms);
 }
 
-/// Asks for the maintenance of some VMs only.
+/// Requests the maintenance of some VMs only.
 pub fn request_wave_of(world: &mut World, vms: &[&str]) {
     let listed: Vec<ManagedVm> = world.listings.iter().map(managed).collect();
     let mut request = wave_of(&listed);
@@ -61,14 +60,14 @@
     scheduler.list_vms(now, world.now_ms, &listed);
 }
 
-/// Plans maintenance for 50 ms; a VM that goes down is back at once, with a
-/// new life of its worker. Returns whether the wave was completed.
+/// Plans maintenance once and runs for 50 ms. A VM that goes down is back at
+/// once, with a new worker. Returns whether the wave was completed.
 pub fn maintain_for_50_ms(world: &mut World) -> bool {
     let now = at(world.now_ms);
     let mut completed = false;
     for order in world.scheduler.plan_vms(now) {
         match order {
-            // One whose worker was lost meanwhile can't be taken down.
+            // A VM whose worker was lost meanwhile can't be taken down.
             VmOrder::Maintain { vm, wave } if world.is_restarting(&vm) => {
                 let busy = Err(VmOrderError::Busy);
                 world.scheduler.maintenance_answered(&vm, wave, busy, now);
@@ -89,7 +88,7 @@
     completed
 }
 
-/// Gives a VM a new worker; returns whether the old one was empty.
+/// Gives a VM a new worker; returns whether the old one was idle.
 fn replace_worker(world: &mut World, vm: &str) -> bool {
     let now_ms = world.now_ms;
     let found = world.listings.iter_mut().find(|l| l.vm == vm);
@@ -146,8 +145,8 @@
     let unseen = world.scheduler.request_waves(begun, &request, &none, &[]);
     assert_eq!(unseen, [1], "to be recorded");
     let record = world.scheduler.wave_record(1).expect("a wave").clone();
-    // Little time is left when the next holder begins, so that as many go
-    // down at once as may.
+    // Little time is left for the next holder, so the maximum number of VMs
+    // goes down at once.
     world.now_ms += 50_000;
     world.take_over(9);
     world.list();
@@ -212,7 +211,7 @@
     let lost = Err(VmOrderError::Unknown);
     let vm = "vm-of-w1";
     world.scheduler.maintenance_answered(vm, 1, lost, at(world.now_ms));
-    // It was carried out all the same, and the VM is back and at work.
+    // The order was carried out, and the VM is back and at work.
     assert!(replace_worker(&mut world, vm));
     world.list();
     world.run_for(200);
--- a/crates/dewspar/tests/schedule/world.rs
+++ b/crates/dewspar/tests/schedule/world.rs
@@ -1,4 +1,5 @@
-//! A scheduler and its workers, every order carried out at once.
+//! A simulated scheduler with its workers, which carries out every order at
+//! once.
 
 use {
     dewspar::{
@@ -15,10 +16,10 @@
 
 pub const POOL: &str = "registry";
 
-/// How long a worker that has crashed is away, in milliseconds.
+/// How long a crashed worker takes to restart, in milliseconds.
 const RESTART_MS: u64 = 2_000;
 
-/// When the first processes of workers were started, in milliseconds of the Unix
+/// The start time of the workers' first processes, in milliseconds of the Unix
 /// epoch.
 const FIRST_START_MS: u64 = 1_600_000_000_000;
 
@@ -72,15 +73,15 @@
     format!("{number:016x}").parse().unwrap()
 }
 
-/// What a job's runs take, and how they end.
+/// The resources that a job's runs take, and how they end.
 #[derive(Clone, Copy)]
 pub struct RunKind {
     pub demand: Resources,
     pub fate: Fate,
 }
 
-/// A scheduler and its workers, every order carried out at once unless a
-/// worker is cut off.
+/// A scheduler and its workers. Every order is carried out at once, unless its
+/// worker is unreachable.
 pub struct World {
     pub scheduler: Scheduler,
     pub workers: BTreeMap<WorkerId, TaskWorker>,
@@ -89,40 +90,43 @@
     pub starts: Vec<(WorkerId, StartOrder)>,
     pub now_ms: u64,
     pub fate: Fate,
-    /// The runs of jobs that differ from `fate` and the usual demand.
+    /// The runs of jobs that differ from `fate` and the default demand.
     pub kinds: BTreeMap<JobId, RunKind>,
     /// The tasks that crash each worker that starts them.
     pub crashing: Vec<TaskId>,
-    /// How many workers have crashed.
+    /// The number of workers that have crashed.
     pub crashes: u32,
-    /// The workers that crashed, and when they are back.
+    /// The crashed workers, each with the time at which it is back.
     restarting: Vec<(u64, WorkerListing)>,
-    /// Whether a worker that has crashed starts again under its identifier.
+    /// Whether a crashed worker restarts under its identifier.
     pub keeps_worker_ids: bool,
-    /// When the workers' processes were started that were started again, in
-    /// milliseconds: their clocks begin then.
+    /// The time at which restarted workers started, in milliseconds: their
+    /// clocks begin then.
     started_ms: BTreeMap<WorkerId, u64>,
-    /// How long after a crash the VM service tells of it, in milliseconds;
+    /// How long after a crash the VM service reports it, in milliseconds;
     /// `None` for never.
     pub crash_report_delay_ms: Option<u64>,
-    /// The workers that crashed, and when the VM service tells of it.
+    /// The crashed workers, each with the time at which the VM service reports
+    /// the crash.
     crash_reports: Vec<(u64, WorkerId)>,
-    /// Whether the adviser answers, and allows whatever it is asked for.
+    /// Whether the adviser answers, and allows every worker that it is asked
+    /// about.
     pub adviser_answers: bool,
     /// How long a worker takes to stop a run, in milliseconds.
     pub stop_duration_ms: u64,
-    /// The runs that are being stopped, and until when.
+    /// The runs that are being stopped, each with the time at which the stop
+    /// is done.
     stopping: Vec<(u64, WorkerId, StopOrder)>,
-    /// Whether orders to start get lost on their way.
+    /// Whether orders to start are lost on their way.
     pub drops_starts: bool,
-    /// Whether the store is out of reach.
+    /// Whether the store is unavailable.
     pub outage: bool,
     /// Whether the holder is lost as soon as it has ordered a start, before it
-    /// has stored anything more.
+    /// stores anything more.
     pub lost_after_start: bool,
-    /// What was stored of each job.
+    /// The stored progress of each job.
     pub stored: BTreeMap<JobId, Progress>,
-    /// The phase of each job that was stored.
+    /// The stored phase of each job.
     pub phases: BTreeMap<JobId, &'static str>,
 }
 
@@ -161,7 +165,7 @@
         }
     }
 
-    /// Makes a world whose workers have that much room.
+    /// Returns a world whose workers have this capacity.
     pub fn with_room(revision: u64, names: &[&str], room: Resources) -> World {
         let mut world = World::new(revision, names);
         for listing in &mut world.listings {
@@ -173,8 +177,7 @@
         world
     }
 
-    /// Lets the worker on a VM crash, if there is one; another life of it
-    /// comes later.
+    /// Crashes the worker on a VM, if there is one; it restarts later.
     pub fn crash_worker_on(&mut self, vm: &str) {
         let known = |id: &WorkerId| self.workers.contains_key(id);
         let here = |l: &&WorkerListing| l.vm == vm && known(&l.id);
@@ -198,7 +201,7 @@
         self.restarting.push((back_ms, next));
     }
 
-    /// Lets every worker tell which process it is.
+    /// Gives every worker an incarnation that it reports.
     pub fn assign_incarnations(&mut self) {
         let incarnation = Incarnation::started_at(FIRST_START_MS);
         for listing in &mut self.listings {
@@ -209,14 +212,14 @@
         }
     }
 
-    /// Ends a worker's process, and starts another one under its identifier,
-    /// which the directory shows with its next reading.
+    /// Replaces a worker's process by another one under its identifier, which
+    /// the directory shows with its next read.
     pub fn restart_worker(&mut self, id: &WorkerId) {
         let process = Incarnation::started_at(FIRST_START_MS + self.now_ms);
         self.restart_worker_as(id, process);
     }
 
-    /// The same, with a process that says that it was started at another time.
+    /// Like [`World::restart_worker`], with a given incarnation.
     pub fn restart_worker_as(&mut self, id: &WorkerId, process: Incarnation) {
         let here = |listing: &&mut WorkerListing| listing.id == *id;
         // OK because only listed workers are started again.
@@ -227,7 +230,7 @@
         self.started_ms.insert(id.clone(), self.now_ms);
     }
 
-    /// Returns what a worker's clock shows now, in milliseconds.
+    /// Returns the reading of a worker's clock, in milliseconds.
     pub fn clock_of(&self, id: &WorkerId) -> u64 {
         self.now_ms - self.started_ms.get(id).copied().unwrap_or(0)
     }
@@ -245,7 +248,7 @@
         }
     }
 
-    /// Lets the VM service tell of crashes.
+    /// Reports crashes from the VM service that are due.
     fn report_crashes(&mut self) {
         let now = at(self.now_ms);
         let due = |(at, _): &mut (u64, WorkerId)| *at <= now.steady_ms;
@@ -256,7 +259,7 @@
         }
     }
 
-    /// Lets workers come back whose time it is.
+    /// Restarts the workers that are due.
     fn restore_workers(&mut self) {
         let now_ms = self.now_ms;
         let due = |(at, _): &mut (u64, WorkerListing)| *at <= now_ms;
@@ -277,7 +280,7 @@
         self.list();
     }
 
-    /// Tells the scheduler of every life that there is.
+    /// Lists every worker to the scheduler.
     pub fn expect_all(&mut self) {
         let lives: Vec<(WorkerId, String)> = self
             .listings
@@ -297,7 +300,8 @@
         self.scheduler.list_workers(now, self.listings.clone());
     }
 
-    /// Plans every 50 ms for so long, and stores what changed.
+    /// Plans every 50 ms for this time, in milliseconds, and stores what
+    /// changed.
     pub fn run_for(&mut self, ms: u64) {
         let end = self.now_ms + ms;
         while self.now_ms < end {
@@ -328,7 +332,7 @@
         self.scheduler.changes_stored(&changes, now);
     }
 
-    /// Ends the runs whose stop has taken its time.
+    /// Ends the runs whose stop is due.
     fn finish_stops(&mut self) {
         let now_ms = self.now_ms;
         let due = |(at, ..): &mut (u64, WorkerId, StopOrder)| *at <= now_ms;
@@ -336,7 +340,7 @@
         for (_, worker, order) in due {
             let clock = self.clock_of(&worker);
             if let Some(reached) = self.workers.get_mut(&worker) {
-                // OK to pass over: the run may be over by itself.
+                // OK to ignore: the run may have ended by itself.
                 let _ = reached.stop(clock, &order);
             }
         }
@@ -449,7 +453,7 @@
         let mut running: Vec<String> = Vec::new();
         for id in ids {
             let clock = self.clock_of(&id);
-            // OK because it was named a moment ago.
+            // OK because its name was read above.
             let worker = self.workers.get_mut(&id).expect("known");
             let runs = worker.running(clock).into_iter();
             running.extend(runs.map(|(task, _)| task.to_string()));
@@ -459,7 +463,7 @@
     }
 }
 
-/// Plans at this moment and returns the hold that goes to a worker.
+/// Plans now and returns the hold for a worker.
 pub fn next_hold(world: &mut World, worker: &WorkerId) -> SentHold {
     let actions = world.scheduler.plan(at(world.now_ms));
     let held = actions.into_iter().find_map(|action| match action {
--- a/crates/dewspar/tests/schedule_random/cancelled_runs.rs
+++ b/crates/dewspar/tests/schedule_random/cancelled_runs.rs
@@ -1,13 +1,13 @@
-//! For how long the runs of cancelled jobs go on.
+//! Checks how long runs of cancelled jobs continue.
 
 use {
     dewspar::{job::TaskId, schedule::WorkerId},
     std::collections::BTreeMap,
 };
 
-/// For how long a run may go on after its job's cancelling while its worker
-/// and the store are in touch, in milliseconds: 5 s until nothing starts, and
-/// 900 ms that a stop may take.
+/// How long a run may continue after its job was cancelled while its worker
+/// and the store can be reached, in milliseconds: 5 s until nothing starts,
+/// and 900 ms for the stop.
 const MAX_RUN_AFTER_CANCEL_MS: u64 = 5_000 + 900;
 
 /// A run of a cancelled job.
@@ -18,18 +18,18 @@
     pub run: u64,
 }
 
-/// The runs of cancelled jobs, each with since when it goes on although it
-/// could be stopped.
+/// The runs of cancelled jobs, each with the time since when it could be
+/// stopped.
 #[derive(Debug, Default)]
 pub struct CancelledRuns {
     since_ms: BTreeMap<CancelledRun, u64>,
-    /// How many runs were at work when their job was cancelled, or began
-    /// after that.
+    /// The number of runs that were in progress when their job was cancelled,
+    /// or began after that.
     pub seen: u32,
 }
 
 impl CancelledRuns {
-    /// Takes in all such runs, each with whether it can be stopped now.
+    /// Checks all such runs, each with whether it can be stopped now.
     pub fn check_all(&mut self, now_ms: u64, runs: Vec<(CancelledRun, bool)>) {
         let mut since_ms = BTreeMap::new();
         for (run, in_touch) in runs {
--- a/crates/dewspar/tests/schedule_random/job_order.rs
+++ b/crates/dewspar/tests/schedule_random/job_order.rs
@@ -1,9 +1,11 @@
-//! A plan looks only at the jobs that something has happened to; what it keeps
-//! of the others has to be what looking at all of them would give. Each plan of
-//! a build with assertions compares the two, so it is enough to let everything
-//! happen that a job's turn depends on: its tasks start, end, fail and crash
-//! their workers, its round falls due, it gets too late, its queue gets other
-//! terms, and the time of day is set to and fro.
+//! The order of jobs, which is updated incrementally.
+//!
+//! A plan re-evaluates only the jobs that have changed; the order kept for the
+//! others must equal that of a full scan. Each plan of a build with debug
+//! assertions compares the two, so this test only has to cause every change
+//! that a job's position depends on: its tasks start, end, fail and crash
+//! their workers, its round falls due, it becomes late, its queue gets other
+//! terms, and the wall clock is stepped.
 
 use crate::{run_world, world::World};
 
@@ -13,6 +15,6 @@
     for seed in 0..300 {
         clock_changes += run_world(World::varied(seed), seed).clock_changes;
     }
-    // The runs must have put the promise to the test.
+    // Enough cases must have occurred to test the invariant.
     assert!(clock_changes > 1_000, "{clock_changes}");
 }
--- a/crates/dewspar/tests/schedule_random/main.rs
+++ b/crates/dewspar/tests/schedule_random/main.rs
@@ -1,5 +1,6 @@
-//! Thousands of interleavings of orders, lost and late answers, takeovers,
-//! cuts, crashes, cancellations and store outages, against what must hold.
+//! Randomized tests of the scheduler: thousands of interleavings of orders,
+//! lost and late answers, takeovers, unreachable workers, crashes,
+//! cancellations and store outages, checked against invariants.
 
 mod cancelled_runs;
 mod job_order;
@@ -19,7 +20,7 @@
     for step in 0..400 {
         world.step(step);
     }
-    // With the faults over, every job comes to its end.
+    // After the faults, every job must finish.
     world.faults = false;
     for step in 0..4_000 {
         world.step(step);
@@ -54,12 +55,12 @@
             .filter(|progress| progress.phase == Phase::Completed)
             .count();
     }
-    // The runs must have put the promises to the test.
+    // Enough cases must have occurred to test the invariants.
     assert!(starts > 30_000, "{starts}");
     assert!(completed > 5_000, "{completed}");
 }
 
-/// Lets two jobs have a task that crashes its workers.
+/// Gives two jobs a task that crashes its workers.
 fn add_crashing_tasks(world: &mut World, seed: u64) {
     for number in [1, 2 + seed % 7] {
         let job = world::id(number);
@@ -68,8 +69,8 @@
     }
 }
 
-/// Checks that no job has failed but with a bad task, or by itself; returns how
-/// many have with a bad one.
+/// Checks that each failed job has a crashing task or a task that failed too
+/// often. Returns the number of failed jobs with a crashing task.
 fn check_given_up(world: &World, seed: u64) -> u32 {
     let mut given_up = 0;
     for (id, progress) in &world.store.progress {
@@ -89,8 +90,8 @@
 fn only_crashing_tasks_are_given_up() {
     let mut crashes = 0;
     let mut given_up = 0;
-    // The last: a sound task whose runs under way, lost to two changes of
-    // holders, were taken for crashes.
+    // The last seed covers a sound task whose runs in progress, lost at two
+    // takeovers, were mistaken for crashes.
     for seed in (0..500).chain([1_720]) {
         let mut world = World::new(seed);
         add_crashing_tasks(&mut world, seed);
@@ -99,7 +100,7 @@
             world.crashing.values().map(|task| task.crashes).sum::<u32>();
         given_up += check_given_up(&world, seed);
     }
-    // The runs must have put the promises to the test.
+    // Enough cases must have occurred to test the invariants.
     assert!(crashes > 2_000, "{crashes}");
     assert!(given_up > 600, "{given_up}");
 }
@@ -110,7 +111,7 @@
     for seed in 0..300 {
         shrinks += run_world(World::unenforced(seed), seed).shrinks;
     }
-    // The runs must have put the promise to the test.
+    // Enough cases must have occurred to test the invariant.
     assert!(shrinks > 1_000, "{shrinks}");
 }
 
@@ -127,8 +128,9 @@
     assert!(count == 0, "{count} of 300 runs, the first {first:?}");
 }
 
-// A run went on for 14 s after its job's cancelling, under a chain of holders
-// of which each left it alone while it loaded.
+// Guards against runs that continue after their job was cancelled, because
+// each holder of a chain ignores them while it is loading: one went on for 14
+// s.
 #[test]
 fn runs_of_cancelled_jobs_end_under_short_lived_holders() {
     let seen: u32 = (0..400)
@@ -138,23 +140,24 @@
                 .seen
         })
         .sum();
-    // The runs must have put the promise to the test.
+    // Enough cases must have occurred to test the invariant.
     assert!(seen > 400, "{seen}");
 }
 
-// A worker that starts again under its identifier was taken for the process before.
+// Guards against mistaking a worker restarted under its identifier for the
+// previous process.
 #[test]
 fn invariants_hold_when_workers_restart_under_their_identifiers() {
     let mut restarts = 0;
     for seed in 0..1_000 {
         restarts += run_world(World::restarting(seed), seed).restarts;
     }
-    // The runs must have put the promises to the test.
+    // Enough cases must have occurred to test the invariants.
     assert!(restarts > 1_500, "{restarts}");
 }
 
-// A start that got no answer was carried out by its worker's next process, before
-// that had seen any token.
+// Guards against an unanswered start that is carried out by the worker's next
+// process before that process has seen any fencing token.
 #[test]
 fn invariants_hold_when_workers_restart_under_short_lived_holders() {
     for seed in 0..300 {
@@ -162,7 +165,8 @@
     }
 }
 
-// A crash of a worker that starts again under its identifier counted for nothing.
+// Guards against not counting the crashes of workers that restart under their
+// identifiers.
 #[test]
 fn crashing_tasks_are_given_up_when_workers_restart() {
     for seed in 0..300 {
--- a/crates/dewspar/tests/schedule_random/pending_jobs.rs
+++ b/crates/dewspar/tests/schedule_random/pending_jobs.rs
@@ -1,4 +1,4 @@
-//! What is said of jobs that no worker has begun.
+//! Checks the phase and the count of jobs that no worker has begun.
 
 use {
     crate::world::World,
@@ -6,12 +6,12 @@
     std::fmt,
 };
 
-/// A job that hadn't begun and was taken to have.
+/// A job that hadn't begun and was treated as if it had.
 #[derive(Clone, Copy, Debug)]
 pub enum Miscounted {
-    /// It was shown as running.
+    /// It was reported as running.
     ShownRunning { at_step: u64, job: JobId },
-    /// Fewer jobs were counted as waiting than hadn't begun.
+    /// Fewer jobs were counted as pending than hadn't begun.
     Fewer { at_step: u64, counted: u64, waiting: u64 },
 }
 
@@ -30,9 +30,10 @@
 }
 
 impl World {
-    /// Compares what is said of the jobs that haven't begun with what is so.
+    /// Compares the phases and the count of the jobs that haven't begun with
+    /// the truth.
     ///
-    /// A holder that hasn't loaded all jobs counts none.
+    /// A holder that hasn't loaded all jobs doesn't count any.
     pub fn miscount(&self, at_step: u64) -> Option<Miscounted> {
         if self.scheduler.is_loading() {
             return None;
@@ -50,7 +51,7 @@
         if let Some(job) = waiting.iter().find(running).copied() {
             return Some(Miscounted::ShownRunning { at_step, job });
         }
-        // Every job is of the one queue without a name.
+        // Every job belongs to the one queue, which has an empty name.
         let counted = self.scheduler.pending(self.now().unix_ms);
         let counted = counted.get("").copied().unwrap_or(0);
         let waiting = waiting.len() as u64;
--- a/crates/dewspar/tests/schedule_random/world.rs
+++ b/crates/dewspar/tests/schedule_random/world.rs
@@ -1,4 +1,4 @@
-//! A scheduler, its workers and its store, with everything that can go wrong.
+//! A simulated scheduler with its workers and store, and random faults.
 
 use {
     crate::{
@@ -24,10 +24,10 @@
 const STEP_MS: u64 = 25;
 const MAX_ATTEMPTS: u32 = 3;
 
-/// How long a holder of a chain lasts at most, in milliseconds.
+/// The maximum lifetime of a holder in a chain, in milliseconds.
 const MAX_HOLDER_MS: u64 = 1_300;
 
-/// An order that reaches its worker late, and whose answer never comes.
+/// An order that reaches its worker late, without an answer.
 enum LateOrder {
     Start(StartOrder),
     Stop(StopOrder),
@@ -36,17 +36,18 @@
 struct WorkerProcess {
     worker: TaskWorker,
     listing: WorkerListing,
-    /// When its process was started, in milliseconds: its clock begins then.
+    /// The start time of the process, in milliseconds: its clock begins then.
     started_ms: u64,
-    /// How slow its clock is, in thousandths.
+    /// How much slower its clock runs, in thousandths.
     clock_lag: u64,
     unreachable_until_ms: u64,
-    /// What its room was, each until when; it counts for a while after that.
+    /// Former capacities, each with the time until which it was valid; they
+    /// count for a while after that.
     former_capacities: Vec<(u64, Resources)>,
 }
 
-/// For how long a room counts that has shrunk, in milliseconds: the shortest
-/// time on any site, with a beat.
+/// How long a former capacity counts, in milliseconds: the shortest time on
+/// any site, with a margin.
 const CAPACITY_COUNTS_MS: u64 = 4_500;
 
 impl WorkerProcess {
@@ -58,7 +59,8 @@
             || former.any(|(_, room)| room.contains(used))
     }
 
-    /// Makes it the process that is started now: its clock doesn't show when.
+    /// Gives it the incarnation of a process that starts now; its clock isn't
+    /// reset.
     fn set_incarnation(&mut self, now_ms: u64) {
         let process = Incarnation::started_at(1_700_000_000_000 + now_ms);
         self.listing.incarnation = process;
@@ -70,13 +72,13 @@
     }
 }
 
-/// What the store holds.
+/// The contents of the store.
 #[derive(Default)]
 pub struct Stored {
     revision: u64,
     pub jobs: BTreeMap<JobId, (AcceptedJob, u64)>,
     pub cancelled: BTreeSet<JobId>,
-    /// The cancelled jobs that holders are told of.
+    /// The cancellations that are stored for later holders.
     recorded_cancellations: BTreeSet<JobId>,
     pub progress: BTreeMap<JobId, Progress>,
 }
@@ -87,57 +89,57 @@
     pub scheduler: Scheduler,
     processes: BTreeMap<WorkerId, WorkerProcess>,
     next_process: u32,
-    /// Whether workers that crash mostly start again under their identifiers.
+    /// Whether crashed workers mostly restart under their identifiers.
     keeps_worker_ids: bool,
-    /// How often one did.
+    /// The number of such restarts.
     pub restarts: u32,
     pub store: Stored,
-    /// Jobs that the new holder hasn't loaded yet.
+    /// The jobs that the new holder hasn't loaded yet.
     to_load: Vec<JobId>,
     outage_until_ms: u64,
     late: Vec<(u64, WorkerId, LateOrder)>,
-    /// Tasks that ended well on a worker that told so.
+    /// The tasks whose success was reported by a worker.
     done: BTreeSet<TaskId>,
-    /// Tasks whose good end was acknowledged to the worker.
+    /// The tasks whose success was acknowledged to the worker.
     acknowledged_done: BTreeSet<TaskId>,
-    /// Jobs of which a worker has begun a task, whoever knows.
+    /// The jobs of which a worker has begun a task, even if no holder knows.
     pub begun: BTreeSet<JobId>,
-    /// What was first said of a job that hadn't begun, if it was wrong.
+    /// The first wrong statement about a job that hadn't begun.
     pub miscounted: Option<Miscounted>,
     pub faults: bool,
     pub starts: u64,
     /// The tasks that crash each worker that starts them.
     pub crashing: BTreeMap<TaskId, CrashingTask>,
-    /// How often each task has failed by itself.
+    /// The number of reported failures of each task.
     pub failures: BTreeMap<TaskId, u32>,
-    /// Whether workers start whatever they are told, in rooms that change.
+    /// Whether workers don't enforce their capacity, which varies.
     unenforced: bool,
-    /// How often a room has shrunk.
+    /// The number of times a capacity has shrunk.
     pub shrinks: u32,
-    /// Whether jobs differ in when and before whom they get their turn, and
-    /// what that depends on changes while they wait.
+    /// Whether jobs differ in what their order depends on, which also changes
+    /// while they wait.
     varied: bool,
-    /// By how much the time of day is wrong, in milliseconds.
+    /// The current error of the wall clock, in milliseconds.
     clock_error_ms: i64,
-    /// How often the time of day was set.
+    /// The number of times the wall clock was stepped.
     pub clock_changes: u32,
     pub cancelled_runs: CancelledRuns,
-    /// When the next holder takes over, in a chain of those that don't last.
+    /// The time of the next takeover, in a chain of short-lived holders.
     next_holder_ms: Option<u64>,
 }
 
-/// By how much the time of day is wrong at most, in milliseconds: more than
-/// any job here waits.
+/// The maximum error of the wall clock, in milliseconds: more than any job
+/// here waits.
 const MAX_CLOCK_ERROR_MS: i64 = 60_000;
 
-/// What a task has done that crashes each worker that starts it.
+/// The crashes and starts of a task that crashes each worker that starts it.
 #[derive(Default)]
 pub struct CrashingTask {
     pub crashes: u32,
-    /// How often it was started since the third crash.
+    /// The number of starts since the third crash.
     starts_since: u32,
-    /// How often another holder took over since it was first started, and may
-    /// not have seen a crash.
+    /// The number of takeovers since its first crash; each new holder may have
+    /// missed a crash.
     takeovers: u32,
 }
 
@@ -183,7 +185,7 @@
         world
     }
 
-    /// Makes a world whose workers mostly start again under their identifiers.
+    /// Returns a world whose workers mostly restart under their identifiers.
     pub fn restarting(seed: u64) -> World {
         let mut world = World::new(seed);
         world.keeps_worker_ids = true;
@@ -191,7 +193,7 @@
         world
     }
 
-    /// Makes a world of such workers in which no holder lasts for long.
+    /// Returns a world with such workers and short-lived holders.
     pub fn restarting_with_short_lived_holders(seed: u64) -> World {
         let mut world = World::short_lived_holders(seed);
         world.keeps_worker_ids = true;
@@ -199,7 +201,7 @@
         world
     }
 
-    /// Lets the workers tell which processes they are, which a new holder hears.
+    /// Gives the workers incarnations, which a new holder then sees.
     fn assign_incarnations(&mut self) {
         for process in self.processes.values_mut() {
             process.set_incarnation(self.now_ms);
@@ -207,7 +209,7 @@
         self.take_over();
     }
 
-    /// Makes a world whose workers start whatever they are told.
+    /// Returns a world whose workers don't enforce their capacity.
     pub fn unenforced(seed: u64) -> World {
         let mut world = World::new(seed);
         world.unenforced = true;
@@ -219,14 +221,14 @@
         world
     }
 
-    /// Makes a world in which the turns of jobs change while they wait.
+    /// Returns a world in which the order of jobs changes while they wait.
     pub fn varied(seed: u64) -> World {
         let mut world = World::new(seed);
         world.varied = true;
         world
     }
 
-    /// Sets the time of day, or gives the queue another priority.
+    /// Steps the wall clock, or changes the terms of the queue.
     fn change_order_inputs(&mut self) {
         if self.chance(30) {
             let range_ms = -MAX_CLOCK_ERROR_MS..MAX_CLOCK_ERROR_MS;
@@ -250,7 +252,7 @@
         }
     }
 
-    /// Lets some jobs fall due later, each with a turn of its own.
+    /// Varies a job's terms, and makes some jobs due later.
     fn vary(&mut self, job: &mut AcceptedJob) {
         job.terms = self.any_terms();
         if self.random.random() {
@@ -261,25 +263,25 @@
         }
     }
 
-    /// Makes a world in which no holder lasts much longer than it loads.
+    /// Returns a world in which no holder lasts much longer than it loads.
     pub fn short_lived_holders(seed: u64) -> World {
         let mut world = World::new(seed);
         world.next_holder_ms = Some(world.now_ms + MAX_HOLDER_MS);
         world
     }
 
-    /// Lets the next holder of a chain take over, if it is time.
+    /// Lets the next holder of a chain take over, if it is due.
     fn take_over_if_due(&mut self) {
         let Some(next_ms) = self.next_holder_ms else { return };
         if !self.faults {
-            // The last one lasts.
+            // The last holder stays.
             self.next_holder_ms = None;
         } else if self.now_ms >= next_ms && !self.is_store_out() {
             let holder_ms =
                 self.random.random_range(MAX_HOLDER_MS / 4..MAX_HOLDER_MS);
             self.next_holder_ms = Some(self.now_ms + holder_ms);
-            // Now and then the last thing that a holder does is to store that
-            // a job is cancelled; its orders to stop never leave.
+            // Sometimes a holder's last action is to store that a job is
+            // cancelled; its stop orders are never sent.
             if self.random.random_ratio(1, 3) {
                 let number = self.random.random_range(0..10);
                 self.cancel(number);
@@ -293,8 +295,8 @@
         self.now_ms < self.outage_until_ms
     }
 
-    /// Lets a worker's room become another one, which the directory shows
-    /// with its next reading.
+    /// Changes a worker's capacity, which the directory shows with its next
+    /// read.
     fn change_capacity(&mut self) {
         let thirds = self.random.random_range(1..=3);
         let room = Resources {
@@ -352,7 +354,7 @@
         self.processes.insert(listing.id, process);
     }
 
-    /// Lets a new holder load what is stored, at once or by and by.
+    /// Lets a new holder take over, and load the store at once or gradually.
     fn take_over(&mut self) {
         for task in self.crashing.values_mut().filter(|task| task.crashes > 0)
         {
@@ -370,8 +372,8 @@
         }
         self.scheduler = scheduler;
         self.to_load = self.store.jobs.keys().copied().collect();
-        // Holders load in the same order each time: in a chain, some jobs come
-        // last again and again.
+        // Holders load in the same order each time, so that in a chain some
+        // jobs come last again and again.
         if self.next_holder_ms.is_none() {
             self.to_load.shuffle(&mut self.random);
         }
@@ -387,7 +389,7 @@
         self.scheduler.expect_workers(self.now(), processes);
     }
 
-    /// Loads so many more jobs, and says when these were the last.
+    /// Loads up to `most` more jobs, and finishes loading after the last.
     fn load(&mut self, most: usize) {
         let kept = self.to_load.len().saturating_sub(most);
         for id in self.to_load.split_off(kept) {
@@ -492,7 +494,7 @@
         self.replace(&id);
     }
 
-    /// Ends a worker's process, and starts another one on its VM.
+    /// Replaces a worker's process by another one on its VM.
     fn replace(&mut self, id: &WorkerId) {
         let Some(former) = self.processes.remove(id) else { return };
         let vm = id.as_str()[1..2].parse().unwrap_or(0);
@@ -501,7 +503,7 @@
             if self.keeps_worker_ids {
                 let newest = format!("w{vm}-{}", self.next_process);
                 let process = self.processes.get_mut(&WorkerId::new(&newest));
-                // OK because it was started a moment ago.
+                // OK because it was started above.
                 process.expect("started").set_incarnation(self.now_ms);
             }
             return;
@@ -524,14 +526,15 @@
         self.deliver_late();
         self.take_over_if_due();
         if self.scheduler.is_loading() {
-            // Ten jobs take 0.5 s, and in a chain as long as a holder lasts.
+            // Loading ten jobs takes 0.5 s, and in a chain as long as a holder
+            // lasts.
             let most = match self.next_holder_ms {
                 Some(_) => usize::from(self.random.random_ratio(1, 4)),
                 None => self.random.random_range(0..2),
             };
             self.load(most);
         }
-        // What changes during an outage is read after it.
+        // Changes during an outage are read after it.
         let is_store_out =
             self.unenforced && self.now_ms < self.outage_until_ms;
         if step.is_multiple_of(10) && !is_store_out {
@@ -563,7 +566,8 @@
                 assert!(!was_final, "a job is over only once");
                 self.store.progress.insert(*id, progress.clone());
             }
-            // Now and then the holder dies before it knows.
+            // Sometimes the holder is lost before it learns that the changes
+            // are stored.
             if self.chance(20) {
                 self.take_over();
                 return;
@@ -572,7 +576,7 @@
         }
     }
 
-    /// Deletes cancellings that the holder takes for settled.
+    /// Deletes the cancellations that the holder considers settled.
     fn delete_settled(&mut self) {
         if self.is_store_out() {
             return;
@@ -584,7 +588,7 @@
     }
 
     fn carry_out(&mut self, action: Action) {
-        // A chain is looked at for what its holders' orders didn't reach.
+        // A chain tests the effects of lost orders.
         let short_lived_holders = self.next_holder_ms.is_some();
         let lost = self.chance(if short_lived_holders { 400 } else { 60 });
         let late = lost && self.chance(700);
@@ -662,7 +666,7 @@
         self.late = later;
         let due: Vec<(u64, WorkerId, LateOrder)> = due;
         for (_, worker, order) in due {
-            // Whatever comes of it, nobody is told.
+            // The result is dropped.
             let _ = match order {
                 LateOrder::Start(order) => self.start(&worker, &order),
                 LateOrder::Stop(order) => self.stop(&worker, &order),
@@ -723,7 +727,8 @@
         result
     }
 
-    /// Lets a worker crash under a bad task, and another life begin there.
+    /// Crashes the worker that started a crashing task, and replaces its
+    /// process.
     fn crash_under(&mut self, worker: &WorkerId, task: &TaskId) {
         self.replace(worker);
         let Some(crashing) = self.crashing.get_mut(task) else { return };
@@ -765,7 +770,7 @@
         Ok(report)
     }
 
-    /// Checks an order to start against what is known for certain.
+    /// Checks an order to start against the recorded facts.
     fn check_start(&mut self, order: &StartOrder) {
         self.starts += 1;
         let task = order.task;
@@ -793,8 +798,8 @@
         }
     }
 
-    /// Checks that no task runs twice at a time, and that none goes on whose
-    /// job is cancelled.
+    /// Checks that no task runs twice at a time, and that no run of a
+    /// cancelled job continues for too long.
     fn check(&mut self) {
         let now_ms = self.now_ms;
         let is_store_out = self.is_store_out();
