--- a/crates/dewspar/tests/schedule/gang_reservations.rs
+++ b/crates/dewspar/tests/schedule/gang_reservations.rs
@@ -324,16 +324,16 @@
 fn a_lost_member_reservation_is_replaced_on_another_worker() {
     let mut peak = Peak::new(&["w1", "w2", "w3"]);
     peak.submit_gang(1, gang(2));
-    let mut kept = None;
+    let mut reserved = None;
     for _ in 0..MAX_WAIT_MS / 50 {
         peak.round();
-        kept = peak.idle_worker();
-        if kept.is_some() || peak.runs_completely(id(1)) {
+        reserved = peak.idle_worker();
+        if reserved.is_some() || peak.runs_completely(id(1)) {
             break;
         }
     }
     assert!(!peak.runs_completely(id(1)));
-    peak.lose_worker(&kept.expect("capacity is reserved on some worker"));
+    peak.lose_worker(&reserved.expect("capacity is reserved on some worker"));
     peak.run_for(MAX_WAIT_MS);
     assert!(peak.runs_completely(id(1)));
 }
@@ -343,15 +343,16 @@
     let mut peak = peak_beside_long_runs();
     peak.submit_gang(1, gang(2));
     peak.run_for(2_000);
-    let kept = peak.idle_worker().expect("capacity is reserved for a member");
+    let reserved =
+        peak.idle_worker().expect("capacity is reserved for a member");
     let names = ["w1", "w2"].map(WorkerId::new);
-    let full = names.into_iter().find(|name| *name != kept);
+    let full = names.into_iter().find(|name| *name != reserved);
     peak.lose_worker(&full.expect("there are two workers"));
     // Enough for a review and a scheduling pass.
     peak.run_for(1_000);
     for _ in 0..MAX_IDLE_MS / 50 {
         peak.round();
-        let used = peak.used(&kept.to_string());
+        let used = peak.used(&reserved.to_string());
         assert!(used > 1_000, "capacity is reserved for half a gang");
     }
 }
--- a/crates/dewspar/tests/schedule/move_safety.rs
+++ b/crates/dewspar/tests/schedule/move_safety.rs
@@ -111,7 +111,7 @@
         StepSpec { required_label: "only".to_owned(), ..long_running() };
     submit_long_running(&mut world, 1, job(vec![only]));
     world.run_for(3_500);
-    let (from, _) = world.starts.last().expect("it runs");
+    let (from, _) = world.starts.last().expect("the task runs");
     assert_eq!(from.to_string(), "w1");
     // From now on a pool without any VM is served, and a wave begins.
     let serving = [POOL.to_owned(), "other".to_owned()].into();
--- a/crates/dewspar/tests/schedule/reservation_cases.rs
+++ b/crates/dewspar/tests/schedule/reservation_cases.rs
@@ -162,25 +162,25 @@
     world.stop_duration_ms = STOP_MS;
     plan_round(&mut world);
     let decisions = world.scheduler.take_decisions();
-    let place = decisions.iter().find_map(|decision| match decision {
+    let target = decisions.iter().find_map(|decision| match decision {
         Decision::Displaced { place, .. } => place.clone(),
         _ => None,
     });
-    (world, from, place.expect("the task is to move"))
+    (world, from, target.expect("the task is to move"))
 }
 
 #[test]
 fn a_reservation_on_a_shrunken_worker_is_replaced() {
-    let (mut world, _, place) = world_with_move();
+    let (mut world, _, target) = world_with_move();
     let mut next = 100;
     let shrunk = Resources { cpu_millis: 1_000, ..ROOM };
     for listing in &mut world.listings {
-        if listing.id == place {
+        if listing.id == target {
             listing.capacity = shrunk;
         }
     }
     world.list();
-    // The load goes on on the third worker.
+    // The load continues on the third worker.
     for _ in 0..(STOP_MS + MAX_WAIT_MS) / 50 {
         submit_peak_round(&mut world, &mut next);
         plan_round(&mut world);
@@ -194,7 +194,7 @@
 
 #[test]
 fn a_reservation_in_the_former_pool_of_a_queue_is_released() {
-    let (mut world, _, place) = world_with_move();
+    let (mut world, _, target) = world_with_move();
     // From now on the queue is served by another pool, which has no worker.
     let mut terms = job(vec![]).terms;
     terms.pool = "other".to_owned();
@@ -208,8 +208,8 @@
     of_old.spec.queue = "old".to_owned();
     submit(&mut world, 200, of_old, Fate::done(30_000));
     world.run_for(500);
-    let here = world.workers.get_mut(&place).expect("the worker is known");
-    let used = here.used().cpu_millis;
+    let worker = world.workers.get_mut(&target).expect("the worker is known");
+    let used = worker.used().cpu_millis;
     assert_eq!(used, 4_000, "capacity is reserved for a task of another pool");
 }
 
@@ -352,17 +352,17 @@
     submit_long_running(&mut world, 1, job(vec![only]));
     world.run_for(3_000);
     request_wave_of(&mut world, &["vm-of-w1"]);
-    let mut brought = 0;
+    let mut moved = 0;
     for _ in 0..MAX_WAIT_MS / 50 {
         for order in plan_round(&mut world) {
             let VmOrder::Move { vm, pool } = order else { continue };
             if pool != POOL {
                 continue;
             }
-            brought += 1;
+            moved += 1;
             // The VM arrives immediately, with a new process of its worker.
             world.listings.retain(|listing| listing.vm != vm);
-            let name = format!("new-{brought}");
+            let name = format!("new-{moved}");
             let mut new = listing(&name);
             new.vm = vm;
             world.workers.insert(new.id.clone(), TaskWorker::new(ROOM));
@@ -370,13 +370,13 @@
             world.list();
         }
     }
-    brought
+    moved
 }
 
 #[test]
 fn vms_do_not_keep_moving_for_a_task_that_none_suits() {
-    let brought = count_useless_vm_moves();
-    assert!(brought <= 2, "{brought} VMs moved in vain");
+    let moved = count_useless_vm_moves();
+    assert!(moved <= 2, "{moved} VMs moved in vain");
 }
 
 #[test]
--- a/crates/dewspar/tests/schedule/reservations.rs
+++ b/crates/dewspar/tests/schedule/reservations.rs
@@ -74,11 +74,11 @@
 /// Returns the workers selected for draining since the last call.
 fn drained(world: &mut World) -> BTreeSet<String> {
     let decisions = world.scheduler.take_decisions();
-    let emptied = decisions.iter().filter_map(|decision| match decision {
+    let drained = decisions.iter().filter_map(|decision| match decision {
         Decision::DrainStarted { worker, .. } => Some(worker.to_string()),
         _ => None,
     });
-    emptied.collect()
+    drained.collect()
 }
 
 #[test]
@@ -449,9 +449,9 @@
     let mut steps = BTreeSet::new();
     for _ in 0..4 {
         world.run_for(500);
-        let told = long_waits(&mut world);
-        assert!(told.len() <= 4, "{} in half a second", told.len());
-        steps.extend(told.iter().map(|(task, ..)| task.step));
+        let waits = long_waits(&mut world);
+        assert!(waits.len() <= 4, "{} in half a second", waits.len());
+        steps.extend(waits.iter().map(|(task, ..)| task.step));
     }
     assert!(steps.len() >= 12, "each check reports other steps: {steps:?}");
 }
@@ -465,8 +465,8 @@
     world.expect_all();
     world.scheduler.submit(id(1), job(vec![large()]), 6, None);
     world.run_for(1_200);
-    let told = long_waits(&mut world);
-    let reasons: Vec<&str> = told.iter().map(|(_, _, why, _)| *why).collect();
+    let waits = long_waits(&mut world);
+    let reasons: Vec<&str> = waits.iter().map(|(_, _, why, _)| *why).collect();
     assert_eq!(reasons, ["a worker that may run it wasn't asked yet"]);
 }
 
--- a/crates/dewspar/tests/schedule/task_moves.rs
+++ b/crates/dewspar/tests/schedule/task_moves.rs
@@ -168,11 +168,11 @@
     );
     // The VM arrives.
     let mut orders = Vec::new();
-    let mut come = listing("w3-again");
-    come.vm = "vm-of-w3".to_owned();
-    world.workers.insert(come.id.clone(), TaskWorker::new(ROOM));
-    world.listings.retain(|listing| listing.vm != come.vm);
-    world.listings.push(come);
+    let mut arrived = listing("w3-again");
+    arrived.vm = "vm-of-w3".to_owned();
+    world.workers.insert(arrived.id.clone(), TaskWorker::new(ROOM));
+    world.listings.retain(|listing| listing.vm != arrived.vm);
+    world.listings.push(arrived);
     world.list();
     world.expect_all();
     let _ = world.scheduler.take_decisions();
@@ -201,19 +201,19 @@
     world.stop_duration_ms = STOP_MS;
     plan_round(&mut world);
     let decisions = world.scheduler.take_decisions();
-    let place = decisions.iter().find_map(|decision| match decision {
+    let target = decisions.iter().find_map(|decision| match decision {
         Decision::Displaced { place, .. } => place.clone(),
         _ => None,
     });
-    let place = place.expect("the task is to move");
-    world.scheduler.worker_gone(&place, "test", at(world.now_ms));
-    world.listings.retain(|listing| listing.id != place);
+    let target = target.expect("the task is to move");
+    world.scheduler.worker_gone(&target, "test", at(world.now_ms));
+    world.listings.retain(|listing| listing.id != target);
     for _ in 0..(STOP_MS / 50 + 4) {
         plan_round(&mut world);
     }
     assert_eq!(world.running().len(), 1);
     let (to, _) = world.starts.last().expect("the task was restarted");
-    assert!(*to != place && *to != from);
+    assert!(*to != target && *to != from);
 }
 
 /// Continues a load of short tasks for 50 ms. Each takes a quarter of a
--- a/crates/dewspar/tests/schedule/worker_answers.rs
+++ b/crates/dewspar/tests/schedule/worker_answers.rs
@@ -424,8 +424,8 @@
         wait_ms: 0,
     };
     let now_ms = world.now_ms;
-    let odd = world.reach(&listing("w1").id).expect("a worker");
-    odd.hold(now_ms, &claim).expect("an answer");
+    let worker = world.reach(&listing("w1").id).expect("a worker");
+    worker.hold(now_ms, &claim).expect("an answer");
     world.scheduler.submit(id(1), job(vec![step(6)]), 6, None);
     world.run_for(50);
     assert!(world.scheduler.may_be_superseded());
