--- a/crates/dewspar/src/schedule/directory.rs
+++ b/crates/dewspar/src/schedule/directory.rs
@@ -123,8 +123,9 @@
         if self.directory_ms == 0 {
             return Vec::new();
         }
-        let lives = self.vms.values().filter_map(|vm| vm.worker.as_ref());
-        let unlisted = lives.filter(|id| {
+        let live_workers =
+            self.vms.values().filter_map(|vm| vm.worker.as_ref());
+        let unlisted = live_workers.filter(|id| {
             let known = self.workers.get(id).is_some_and(|w| w.listed);
             // One that the list still shows may have started again.
             let ended = self.former.has_ended(id)
@@ -199,13 +200,13 @@
     pub fn expect_workers(
         &mut self,
         now: Now,
-        lives: impl IntoIterator<Item = (WorkerId, String)>,
+        live_workers: impl IntoIterator<Item = (WorkerId, String)>,
     ) {
         if self.workers_known {
             return;
         }
         self.workers_known = true;
-        for (id, pool) in lives {
+        for (id, pool) in live_workers {
             let known = self.workers.contains_key(&id);
             if known || self.former.has_ended(&id) {
                 continue;
--- a/crates/dewspar/tests/schedule/runs.rs
+++ b/crates/dewspar/tests/schedule/runs.rs
@@ -114,8 +114,8 @@
     let all = world.listings.clone();
     world.listings.retain(|listing| listing.id != first);
     world.list();
-    let lives = all.iter().map(|l| (l.id.clone(), l.pool.clone()));
-    world.scheduler.expect_workers(at(world.now_ms), lives);
+    let live_workers = all.iter().map(|l| (l.id.clone(), l.pool.clone()));
+    world.scheduler.expect_workers(at(world.now_ms), live_workers);
     world.scheduler.submit(id(1), job(vec![step(1)]), 4, None);
     world.run_for(1_000);
     assert_eq!(world.starts.len(), 1, "it may run where nobody looked");
@@ -133,8 +133,8 @@
     world.scheduler.submit(id(1), job(vec![step(1)]), 4, None);
     world.run_for(500);
     assert!(world.starts.is_empty());
-    let lives = [(WorkerId::new("w1"), POOL.to_owned())];
-    world.scheduler.expect_workers(at(world.now_ms), lives);
+    let live_workers = [(WorkerId::new("w1"), POOL.to_owned())];
+    world.scheduler.expect_workers(at(world.now_ms), live_workers);
     world.run_for(100);
     assert_eq!(world.starts.len(), 1);
 }
--- a/crates/dewspar/tests/schedule/start_log.rs
+++ b/crates/dewspar/tests/schedule/start_log.rs
@@ -63,8 +63,9 @@
     fn take_over(&mut self, revision: u64, jobs: &[JobId]) {
         let world = &mut self.world;
         let workers = &world.workers;
-        let lives = |worker: &WorkerListing| workers.contains_key(&worker.id);
-        world.listings.retain(lives);
+        let is_alive =
+            |worker: &WorkerListing| workers.contains_key(&worker.id);
+        world.listings.retain(is_alive);
         world.take_over(revision);
         world.scheduler.enable_start_log();
         let logs = std::mem::take(&mut self.logs);
--- a/crates/dewspar/tests/schedule/takeover.rs
+++ b/crates/dewspar/tests/schedule/takeover.rs
@@ -58,14 +58,15 @@
                 ..listing(&format!("w{number}"))
             })
             .collect();
-        let lives = listings.iter().map(|l| (l.id.clone(), POOL.to_owned()));
-        let lives: Vec<(WorkerId, String)> = lives.collect();
-        let workers = lives
+        let live_workers =
+            listings.iter().map(|l| (l.id.clone(), POOL.to_owned()));
+        let live_workers: Vec<(WorkerId, String)> = live_workers.collect();
+        let workers = live_workers
             .iter()
             .map(|(id, _)| (id.clone(), TaskWorker::new(ROOM)))
             .collect();
         scheduler.list_workers(at(1_000), listings);
-        scheduler.expect_workers(at(1_000), lives);
+        scheduler.expect_workers(at(1_000), live_workers);
         // As many tasks as the workers have room for.
         for number in 0..WORKERS {
             let tasks = u32::try_from(TASKS_A_WORKER).unwrap();
--- a/crates/dewspar/tests/schedule/unseen_starts.rs
+++ b/crates/dewspar/tests/schedule/unseen_starts.rs
@@ -32,8 +32,8 @@
     jobs: &[JobId],
 ) {
     let workers = &world.workers;
-    let lives = |worker: &WorkerListing| workers.contains_key(&worker.id);
-    world.listings.retain(lives);
+    let is_alive = |worker: &WorkerListing| workers.contains_key(&worker.id);
+    world.listings.retain(is_alive);
     world.take_over(revision);
     for number in jobs {
         let progress = world.stored.get(number).cloned();
@@ -142,9 +142,9 @@
 }
 
 /// Reports the VM list with the first VM in this state.
-fn show_first_vm_as(world: &mut World, life: VmStatus) {
+fn show_first_vm_as(world: &mut World, status: VmStatus) {
     let mut vms: Vec<_> = world.listings.iter().map(managed).collect();
-    vms[0].status = life;
+    vms[0].status = status;
     vms[0].worker = None;
     world.scheduler.list_vms(at(world.now_ms), world.now_ms, &vms);
 }
@@ -152,11 +152,11 @@
 /// The previous holder had emptied the worker before it ordered the change.
 #[test]
 fn a_worker_whose_vm_was_moved_has_not_crashed() {
-    for life in [VmStatus::Moving, VmStatus::Maintenance] {
+    for status in [VmStatus::Moving, VmStatus::Maintenance] {
         let mut world = hand_over_with_a_silent_worker();
-        show_first_vm_as(&mut world, life);
+        show_first_vm_as(&mut world, status);
         world.run_for(200);
-        assert_eq!(starts_of(&world, &first_task(id(1))), 1, "{life:?}");
+        assert_eq!(starts_of(&world, &first_task(id(1))), 1, "{status:?}");
     }
 }
 
--- a/crates/dewspar/tests/schedule/write_ahead.rs
+++ b/crates/dewspar/tests/schedule/write_ahead.rs
@@ -149,13 +149,14 @@
                 ..listing(&format!("w{number}"))
             })
             .collect();
-        let lives = listings.iter().map(|l| (l.id.clone(), POOL.to_owned()));
-        let lives: Vec<(WorkerId, String)> = lives.collect();
+        let live_workers =
+            listings.iter().map(|l| (l.id.clone(), POOL.to_owned()));
+        let live_workers: Vec<(WorkerId, String)> = live_workers.collect();
         let worker =
             |(id, _): &(WorkerId, String)| (id.clone(), TaskWorker::new(room));
-        let workers = lives.iter().map(worker).collect();
+        let workers = live_workers.iter().map(worker).collect();
         scheduler.list_workers(at(1_000), listings);
-        scheduler.expect_workers(at(1_000), lives);
+        scheduler.expect_workers(at(1_000), live_workers);
         for number in 0..TASKS {
             scheduler.submit(id(number), job(vec![step(1)]), 6, None);
         }
