--- a/crates/dewspar-cli/src/commands/experiment/queueing.rs
+++ b/crates/dewspar-cli/src/commands/experiment/queueing.rs
@@ -247,7 +247,7 @@
             (0..trace.nodes).map(|n| n.to_string()).collect();
         let live: Vec<&str> = names.iter().map(String::as_str).collect();
         for name in &live {
-            granter.sync(name, &Sync::nothing(1), &live, 0);
+            granter.sync(name, &Sync::empty(1), &live, 0);
         }
         let nodes = (0..trace.nodes)
             .map(|_| Node {
@@ -323,7 +323,7 @@
                 }
                 self.nodes[node].syncing = false;
                 let now_ms = now_us / 1_000;
-                self.nodes[node].holder.answered(&reply, now_ms);
+                self.nodes[node].holder.apply_reply(&reply, now_ms);
                 self.serve(now_us, node);
             }
             Event::Recall { node, pressure } => {
@@ -348,7 +348,7 @@
         let now_ms = now_us / 1_000;
         while let Some(index) = self.nodes[node].queue.front().copied() {
             let oldest_ms = self.oldest_ms(node);
-            if self.nodes[node].holder.yields(oldest_ms) {
+            if self.nodes[node].holder.should_yield(oldest_ms) {
                 break;
             }
             let holder = &mut self.nodes[node].holder;
@@ -379,7 +379,7 @@
     fn sync_if_due(&mut self, now_us: u64, index: usize) {
         let oldest_ms = self.oldest_ms(index);
         let node = &mut self.nodes[index];
-        if node.syncing && !node.holder.has_to_yield(oldest_ms) {
+        if node.syncing && !node.holder.must_yield(oldest_ms) {
             return;
         }
         let next_ms = node.holder.next_sync_ms(oldest_ms);
@@ -392,7 +392,7 @@
             }
             return;
         }
-        node.holder.want(node.queue.len() as u32);
+        node.holder.set_wanted(node.queue.len() as u32);
         let sync = node.holder.sync(oldest_ms, now_us / 1_000);
         node.syncing = true;
         self.send(now_us, Event::Sync { node: index, sync });
@@ -406,7 +406,7 @@
         }
         let holders: Vec<(usize, Pressure)> = self
             .granter
-            .recallable(now_us / 1_000)
+            .recall_candidates(now_us / 1_000)
             .into_iter()
             .map(|(name, pressure)| (number_of(name), pressure))
             .collect();
--- a/crates/dewspar/src/slot/granter.rs
+++ b/crates/dewspar/src/slot/granter.rs
@@ -7,7 +7,7 @@
 const PARK_MS: u64 = 20;
 
 /// How many holders are asked for idle slots at a time.
-const MOST_RECALLED: usize = 4;
+const MAX_RECALLED: usize = 4;
 
 /// What one process holds.
 #[derive(Debug, Default)]
@@ -15,7 +15,7 @@
     incarnation: u64,
     sequence: u64,
     held: BTreeMap<String, u32>,
-    heard_ms: u64,
+    last_sync_ms: u64,
 }
 
 impl Record {
@@ -44,10 +44,10 @@
     records: BTreeMap<String, Record>,
     // Processes that were replaced, and may not have let go yet.
     replaced: Vec<Record>,
-    heard: BTreeSet<String>,
+    reported: BTreeSet<String>,
     parked: VecDeque<Parked>,
-    // How many slots of each runner are out, over all records.
-    out: BTreeMap<String, u32>,
+    // How many slots of each runner are outstanding, over all records.
+    outstanding: BTreeMap<String, u32>,
 }
 
 impl Granter {
@@ -60,9 +60,9 @@
             runners: BTreeMap::new(),
             records: BTreeMap::new(),
             replaced: Vec::new(),
-            heard: BTreeSet::new(),
+            reported: BTreeSet::new(),
             parked: VecDeque::new(),
-            out: BTreeMap::new(),
+            outstanding: BTreeMap::new(),
         }
     }
 
@@ -76,9 +76,9 @@
         self.runners.retain(|runner, _| keep(runner));
     }
 
-    /// Returns how many of a runner's slots are out.
-    pub fn out(&self, runner: &str) -> u32 {
-        self.out.get(runner).copied().unwrap_or(0)
+    /// Returns how many of a runner's slots are outstanding.
+    pub fn outstanding(&self, runner: &str) -> u32 {
+        self.outstanding.get(runner).copied().unwrap_or(0)
     }
 
     /// Returns whether it grants yet.
@@ -87,12 +87,12 @@
     }
 
     /// Returns the live nodes that must still say what they hold.
-    pub fn unheard<'a>(&self, live: &[&'a str]) -> Vec<&'a str> {
+    pub fn unreported<'a>(&self, live: &[&'a str]) -> Vec<&'a str> {
         if self.open {
             return Vec::new();
         }
-        let heard = |node: &&&str| !self.heard.contains(**node);
-        live.iter().filter(heard).copied().collect()
+        let reported = |node: &&&str| !self.reported.contains(**node);
+        live.iter().filter(reported).copied().collect()
     }
 
     /// Takes in a holder's statement.
@@ -107,13 +107,13 @@
         live: &[&str],
         now_ms: u64,
     ) -> Option<Reply> {
-        if !self.take_in(node, sync, now_ms) {
+        if !self.record_sync(node, sync, now_ms) {
             return Some(Reply::refused(sync));
         }
-        self.heard.insert(node.to_owned());
+        self.reported.insert(node.to_owned());
         self.parked.retain(|parked| parked.node != node);
         self.expire(now_ms);
-        self.try_open(live, now_ms);
+        self.open_if_safe(live, now_ms);
         if !self.open || sync.want == 0 {
             return Some(self.reply(node, false, Vec::new(), now_ms));
         }
@@ -157,7 +157,7 @@
 
     /// Returns nodes that hold slots while others want some in vain, with
     /// what those wait for; nodes that hold most come first.
-    pub fn recallable(&self, now_ms: u64) -> Vec<(&str, Pressure)> {
+    pub fn recall_candidates(&self, now_ms: u64) -> Vec<(&str, Pressure)> {
         if self.parked.is_empty() {
             return Vec::new();
         }
@@ -173,7 +173,7 @@
             .filter_map(|(node, _)| {
                 Some((node, self.pressure_on(node, now_ms)?))
             })
-            .take(MOST_RECALLED)
+            .take(MAX_RECALLED)
             .collect()
     }
 
@@ -187,7 +187,7 @@
     }
 
     /// Records a statement; returns whether it is news.
-    fn take_in(&mut self, node: &str, sync: &Sync, now_ms: u64) -> bool {
+    fn record_sync(&mut self, node: &str, sync: &Sync, now_ms: u64) -> bool {
         let record = self.records.entry(node.to_owned()).or_default();
         let known = (record.incarnation, record.sequence);
         if (sync.incarnation, sync.sequence) <= known {
@@ -199,40 +199,44 @@
         }
         record.incarnation = sync.incarnation;
         record.sequence = sync.sequence;
-        record.heard_ms = now_ms;
+        record.last_sync_ms = now_ms;
         let held = sync
             .held
             .iter()
             .map(|count| (count.runner.clone(), count.slots))
             .collect();
         let before = std::mem::replace(&mut record.held, held);
-        subtract(&mut self.out, &before);
+        subtract(&mut self.outstanding, &before);
         for count in &sync.held {
-            *self.out.entry(count.runner.clone()).or_default() += count.slots;
+            *self.outstanding.entry(count.runner.clone()).or_default() +=
+                count.slots;
         }
         true
     }
 
-    fn try_open(&mut self, live: &[&str], now_ms: u64) {
-        let all_heard = live.iter().all(|node| self.heard.contains(*node));
-        let all_ended = now_ms >= self.since_ms + self.limits.let_go_ms();
-        self.open |= all_heard || all_ended;
+    fn open_if_safe(&mut self, live: &[&str], now_ms: u64) {
+        let all_reported =
+            live.iter().all(|node| self.reported.contains(*node));
+        let all_ended =
+            now_ms >= self.since_ms + self.limits.reclaim_after_ms();
+        self.open |= all_reported || all_ended;
     }
 
     fn expire(&mut self, now_ms: u64) {
-        let let_go_ms = self.limits.let_go_ms();
-        let counts = |record: &Record| record.heard_ms + let_go_ms > now_ms;
-        let out = &mut self.out;
+        let reclaim_after_ms = self.limits.reclaim_after_ms();
+        let counts =
+            |record: &Record| record.last_sync_ms + reclaim_after_ms > now_ms;
+        let outstanding = &mut self.outstanding;
         self.replaced.retain(|record| {
             let kept = counts(record);
             if !kept {
-                subtract(out, &record.held);
+                subtract(outstanding, &record.held);
             }
             kept
         });
         for record in self.records.values_mut() {
             if !counts(record) {
-                subtract(out, &std::mem::take(&mut record.held));
+                subtract(outstanding, &std::mem::take(&mut record.held));
             }
         }
     }
@@ -277,7 +281,7 @@
             *slots -= 1;
             left -= 1;
             *granted.entry(runner.clone()).or_default() += 1;
-            *self.out.entry(runner.clone()).or_default() += 1;
+            *self.outstanding.entry(runner.clone()).or_default() += 1;
             free.retain(|_, slots| *slots > 0);
         }
         if let Some(record) = self.records.get_mut(node) {
@@ -296,7 +300,7 @@
         self.runners
             .iter()
             .map(|(runner, slots)| {
-                (runner, slots.saturating_sub(self.out(runner)))
+                (runner, slots.saturating_sub(self.outstanding(runner)))
             })
             .filter(|(_, slots)| *slots > 0)
             .map(|(runner, slots)| (runner.clone(), slots))
@@ -305,9 +309,12 @@
 }
 
 /// Takes what a record held out of the sums.
-fn subtract(out: &mut BTreeMap<String, u32>, held: &BTreeMap<String, u32>) {
+fn subtract(
+    outstanding: &mut BTreeMap<String, u32>,
+    held: &BTreeMap<String, u32>,
+) {
     for (runner, slots) in held {
-        if let Some(sum) = out.get_mut(runner) {
+        if let Some(sum) = outstanding.get_mut(runner) {
             *sum = sum.saturating_sub(*slots);
         }
     }
--- a/crates/dewspar/src/slot/holder.rs
+++ b/crates/dewspar/src/slot/holder.rs
@@ -4,14 +4,14 @@
 };
 
 /// How often held slots are stated to the granter, in milliseconds.
-const RENEW_MS: u64 = 500;
+const RENEW_INTERVAL_MS: u64 = 500;
 
 /// The pause between two syncs while a granter doesn't grant yet, at first,
 /// in milliseconds.
-const FIRST_PAUSE_MS: u64 = 1;
+const MIN_RETRY_DELAY_MS: u64 = 1;
 
 /// The longest such pause, in milliseconds.
-const LONGEST_PAUSE_MS: u64 = 20;
+const MAX_RETRY_DELAY_MS: u64 = 20;
 
 /// Whether a request got a slot.
 #[derive(Clone, Debug, Eq, PartialEq)]
@@ -23,7 +23,7 @@
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Token {
+struct RunnerSlots {
     granted: u32,
     in_use: u32,
     last_use_ms: u64,
@@ -41,9 +41,9 @@
     // Since when others wait, and how many slots they may still have.
     others_since_ms: Option<u64>,
     others_want: u32,
-    pause_ms: u64,
+    retry_delay_ms: u64,
     revoked: BTreeSet<String>,
-    tokens: BTreeMap<String, Token>,
+    runners: BTreeMap<String, RunnerSlots>,
 }
 
 impl Holder {
@@ -64,30 +64,30 @@
             want: 0,
             others_since_ms: None,
             others_want: 0,
-            pause_ms: FIRST_PAUSE_MS,
+            retry_delay_ms: MIN_RETRY_DELAY_MS,
             revoked: BTreeSet::new(),
-            tokens: BTreeMap::new(),
+            runners: BTreeMap::new(),
         }
     }
 
     /// States how many requests wait for a slot.
-    pub fn want(&mut self, want: u32) {
+    pub fn set_wanted(&mut self, want: u32) {
         self.want = want;
     }
 
     /// Returns how many slots the holder has, free or in use.
     pub fn held(&self) -> u32 {
-        self.tokens.values().map(|token| token.granted).sum()
+        self.runners.values().map(|slots| slots.granted).sum()
     }
 
     /// Returns how many of a runner's slots the holder has.
     pub fn granted(&self, runner: &str) -> u32 {
-        self.tokens.get(runner).map_or(0, |token| token.granted)
+        self.runners.get(runner).map_or(0, |slots| slots.granted)
     }
 
     /// Returns how many requests are in flight on a runner.
     pub fn in_use(&self, runner: &str) -> u32 {
-        self.tokens.get(runner).map_or(0, |token| token.in_use)
+        self.runners.get(runner).map_or(0, |slots| slots.in_use)
     }
 
     /// Takes a slot for one request, on the runner with the least in flight.
@@ -103,19 +103,19 @@
         }
         let revoked = &self.revoked;
         let best = self
-            .tokens
+            .runners
             .iter_mut()
-            .filter(|(runner, t)| {
-                t.granted > t.in_use
+            .filter(|(runner, slots)| {
+                slots.granted > slots.in_use
                     && !revoked.contains(*runner)
                     && usable(runner)
             })
-            .min_by_key(|(_, t)| (t.in_use, t.last_use_ms));
+            .min_by_key(|(_, slots)| (slots.in_use, slots.last_use_ms));
         match best {
             None => Acquired::Wait,
-            Some((runner, token)) => {
-                token.in_use += 1;
-                token.last_use_ms = now_ms;
+            Some((runner, slots)) => {
+                slots.in_use += 1;
+                slots.last_use_ms = now_ms;
                 Acquired::Slot(runner.clone())
             }
         }
@@ -123,17 +123,17 @@
 
     /// Gives back a request's slot.
     pub fn release(&mut self, runner: &str) {
-        if let Some(token) = self.tokens.get_mut(runner) {
-            token.in_use = token.in_use.saturating_sub(1);
+        if let Some(slots) = self.runners.get_mut(runner) {
+            slots.in_use = slots.in_use.saturating_sub(1);
         }
     }
 
     /// Returns whether a slot that is free here should go to others.
     ///
     /// `oldest_ms` is since when the holder's own oldest request waits.
-    pub fn yields(&self, oldest_ms: Option<u64>) -> bool {
-        let Some(others_ms) = self.others_since_ms else { return false };
-        let older = oldest_ms.is_none_or(|own_ms| others_ms < own_ms);
+    pub fn should_yield(&self, oldest_ms: Option<u64>) -> bool {
+        let Some(others_since_ms) = self.others_since_ms else { return false };
+        let older = oldest_ms.is_none_or(|own_ms| others_since_ms < own_ms);
         older && self.others_want > 0
     }
 
@@ -142,12 +142,12 @@
     ///
     /// `oldest_ms` is since when the holder's own oldest request waits.
     pub fn next_sync_ms(&self, oldest_ms: Option<u64>) -> Option<u64> {
-        if self.has_to_yield(oldest_ms) {
+        if self.must_yield(oldest_ms) {
             Some(self.sent_ms)
         } else if oldest_ms.is_some() {
-            Some(self.sent_ms + self.pause_ms)
+            Some(self.sent_ms + self.retry_delay_ms)
         } else if self.held() > 0 {
-            Some(self.sent_ms + RENEW_MS)
+            Some(self.sent_ms + RENEW_INTERVAL_MS)
         } else {
             None
         }
@@ -155,15 +155,15 @@
 
     /// Returns whether slots must go back now, also while a sync is under
     /// way: the next one takes its place.
-    pub fn has_to_yield(&self, oldest_ms: Option<u64>) -> bool {
-        self.yields(oldest_ms) && self.idle() > 0
+    pub fn must_yield(&self, oldest_ms: Option<u64>) -> bool {
+        self.should_yield(oldest_ms) && self.idle() > 0
     }
 
     /// Returns what to tell a node that has become the granter.
     ///
     /// An answer of the former granter that is still on its way is passed
     /// over when it arrives.
-    pub fn state(&mut self, now_ms: u64) -> Sync {
+    pub fn sync_for_new_granter(&mut self, now_ms: u64) -> Sync {
         let want = std::mem::take(&mut self.want);
         let sync = self.sync(None, now_ms);
         self.want = want;
@@ -175,31 +175,31 @@
     ///
     /// `oldest_ms` is since when the holder's own oldest request waits.
     pub fn sync(&mut self, oldest_ms: Option<u64>, now_ms: u64) -> Sync {
-        let mut to_yield = match self.yields(oldest_ms) {
+        let mut to_yield = match self.should_yield(oldest_ms) {
             true => self.others_want,
             false => 0,
         };
         let idle_ms = self.limits.idle_ms;
-        for (runner, token) in &mut self.tokens {
-            let mut spare = token.granted - token.in_use;
-            let long_idle =
-                oldest_ms.is_none() && token.last_use_ms + idle_ms <= now_ms;
-            if !long_idle && !self.revoked.contains(runner) {
+        for (runner, slots) in &mut self.runners {
+            let mut spare = slots.granted - slots.in_use;
+            let idle_expired =
+                oldest_ms.is_none() && slots.last_use_ms + idle_ms <= now_ms;
+            if !idle_expired && !self.revoked.contains(runner) {
                 spare = spare.min(to_yield);
             }
-            token.granted -= spare;
+            slots.granted -= spare;
             to_yield = to_yield.saturating_sub(spare);
             self.others_want = self.others_want.saturating_sub(spare);
         }
-        self.tokens.retain(|_, token| token.granted > 0);
+        self.runners.retain(|_, slots| slots.granted > 0);
         self.sequence += 1;
         self.sent_ms = now_ms;
         let held = self
-            .tokens
+            .runners
             .iter()
-            .map(|(runner, token)| Count {
+            .map(|(runner, slots)| Count {
                 runner: runner.clone(),
-                slots: token.granted,
+                slots: slots.granted,
             })
             .collect();
         let waited_ms =
@@ -214,7 +214,7 @@
     }
 
     /// Takes in the granter's answer to the last sync.
-    pub fn answered(&mut self, reply: &Reply, now_ms: u64) {
+    pub fn apply_reply(&mut self, reply: &Reply, now_ms: u64) {
         let is_last = reply.incarnation == self.incarnation
             && reply.sequence == self.sequence;
         if !is_last || !reply.accepted {
@@ -224,23 +224,23 @@
         self.set_pressure(reply.pressure, now_ms);
         self.revoked = reply.revoked.iter().cloned().collect();
         for count in &reply.granted {
-            let token = self.tokens.entry(count.runner.clone()).or_default();
-            token.granted += count.slots;
-            token.last_use_ms = now_ms;
+            let slots = self.runners.entry(count.runner.clone()).or_default();
+            slots.granted += count.slots;
+            slots.last_use_ms = now_ms;
         }
         // One that parked has waited at the granter already.
-        self.pause_ms = match reply.parked {
+        self.retry_delay_ms = match reply.parked {
             true => 0,
-            false => {
-                (self.pause_ms * 2).clamp(FIRST_PAUSE_MS, LONGEST_PAUSE_MS)
-            }
+            false => (self.retry_delay_ms * 2)
+                .clamp(MIN_RETRY_DELAY_MS, MAX_RETRY_DELAY_MS),
         };
     }
 
     /// Records that the last sync got no answer.
-    pub fn unanswered(&mut self) {
-        let doubled = self.pause_ms * 2;
-        self.pause_ms = doubled.clamp(FIRST_PAUSE_MS, LONGEST_PAUSE_MS);
+    pub fn sync_failed(&mut self) {
+        let doubled = self.retry_delay_ms * 2;
+        self.retry_delay_ms =
+            doubled.clamp(MIN_RETRY_DELAY_MS, MAX_RETRY_DELAY_MS);
     }
 
     /// Records what others wait for.
@@ -261,6 +261,6 @@
 
     /// Returns how many slots are granted and not in use.
     pub fn idle(&self) -> u32 {
-        self.tokens.values().map(|t| t.granted - t.in_use).sum()
+        self.runners.values().map(|slots| slots.granted - slots.in_use).sum()
     }
 }
--- a/crates/dewspar/src/slot/mod.rs
+++ b/crates/dewspar/src/slot/mod.rs
@@ -44,11 +44,11 @@
 granter.set_runner("extracts-0", 2);
 let mut holder = Holder::new(limits);
 
-holder.want(1);
+holder.set_wanted(1);
 let sync = holder.sync(Some(9), 10);
 granter.sync("n1", &sync, &["n1"], 11);
 let replies = granter.replies(11);
-holder.answered(&replies[0].1, 12);
+holder.apply_reply(&replies[0].1, 12);
 let Acquired::Slot(runner) = holder.acquire(13, |_| true) else { panic!() };
 assert_eq!(runner, "extracts-0");
 holder.release(&runner);
@@ -96,7 +96,7 @@
 
     /// Returns after how long every slot under an old grant is free again,
     /// in milliseconds.
-    fn let_go_ms(&self) -> u64 {
+    fn reclaim_after_ms(&self) -> u64 {
         self.grant_ms + self.max_request_ms
     }
 }
@@ -148,7 +148,7 @@
 
 impl Sync {
     /// Makes the statement of a process that holds nothing yet.
-    pub fn nothing(incarnation: u64) -> Sync {
+    pub fn empty(incarnation: u64) -> Sync {
         Sync {
             incarnation,
             sequence: 0,
--- a/crates/dewspar/tests/slots.rs
+++ b/crates/dewspar/tests/slots.rs
@@ -13,7 +13,7 @@
 const NODES: [&str; 3] = ["n0", "n1", "n2"];
 
 #[derive(Clone, Copy, Debug)]
-enum Act {
+enum Action {
     /// A node states what it holds and wants; the message may be lost.
     Send { node: usize, want: u8, lost: bool },
     /// The granter takes in the oldest message that is on its way.
@@ -29,30 +29,30 @@
     /// The granter's process is replaced.
     Takeover,
     /// Time passes.
-    Pass { ms: u16 },
+    Advance { ms: u16 },
 }
 
-impl Arbitrary for Act {
-    fn arbitrary(g: &mut Gen) -> Act {
+impl Arbitrary for Action {
+    fn arbitrary(g: &mut Gen) -> Action {
         let node = usize::arbitrary(g) % NODES.len();
         match u8::arbitrary(g) % 16 {
-            0..=3 => Act::Send {
+            0..=3 => Action::Send {
                 node,
                 want: u8::arbitrary(g) % 12,
                 lost: u8::arbitrary(g) % 5 == 0,
             },
-            4..=6 => Act::Receive,
-            7..=9 => Act::Reply { lost: u8::arbitrary(g) % 5 == 0 },
-            10..=11 => Act::Start { node },
-            12 => Act::End { node },
-            13 => Act::Crash { node },
-            14 => Act::Takeover,
-            _ => Act::Pass { ms: u16::arbitrary(g) % 3_000 },
+            4..=6 => Action::Receive,
+            7..=9 => Action::Reply { lost: u8::arbitrary(g) % 5 == 0 },
+            10..=11 => Action::Start { node },
+            12 => Action::End { node },
+            13 => Action::Crash { node },
+            14 => Action::Takeover,
+            _ => Action::Advance { ms: u16::arbitrary(g) % 3_000 },
         }
     }
 }
 
-struct World {
+struct Simulation {
     limits: Limits,
     now_ms: u64,
     granter: Granter,
@@ -63,13 +63,13 @@
     orphans: Vec<(String, u64)>,
     sent: Vec<(usize, u64, Sync)>,
     replies: Vec<(usize, u64, Reply)>,
-    lives: Vec<u64>,
+    incarnations: Vec<u64>,
 }
 
-impl World {
-    fn new() -> World {
+impl Simulation {
+    fn new() -> Simulation {
         let limits = Limits::default().grant_ms(2_000).max_request_ms(3_000);
-        let mut world = World {
+        let mut simulation = Simulation {
             limits,
             now_ms: 10_000,
             granter: Granter::new(limits, 0),
@@ -78,13 +78,13 @@
             orphans: Vec::new(),
             sent: Vec::new(),
             replies: Vec::new(),
-            lives: vec![0; NODES.len()],
+            incarnations: vec![0; NODES.len()],
         };
         for _ in NODES {
-            world.holders.push(Holder::with_incarnation(limits, 1));
+            simulation.holders.push(Holder::with_incarnation(limits, 1));
         }
-        world.takeover();
-        world
+        simulation.takeover();
+        simulation
     }
 
     fn takeover(&mut self) {
@@ -97,54 +97,54 @@
         }
     }
 
-    fn act(&mut self, act: Act) {
-        match act {
-            Act::Send { node, want, lost } => {
+    fn apply(&mut self, action: Action) {
+        match action {
+            Action::Send { node, want, lost } => {
                 let holder = &mut self.holders[node];
-                holder.want(u32::from(want));
+                holder.set_wanted(u32::from(want));
                 let oldest_ms = (want > 0).then_some(self.now_ms);
                 let sync = holder.sync(oldest_ms, self.now_ms);
                 if !lost {
-                    self.sent.push((node, self.lives[node], sync));
+                    self.sent.push((node, self.incarnations[node], sync));
                 }
             }
-            Act::Receive => {
+            Action::Receive => {
                 if self.sent.is_empty() {
                     return;
                 }
-                let (node, life, sync) = self.sent.remove(0);
+                let (node, incarnation, sync) = self.sent.remove(0);
                 let now_ms = self.now_ms;
                 let reply =
                     self.granter.sync(NODES[node], &sync, &NODES, now_ms);
                 if let Some(reply) = reply {
-                    self.replies.push((node, life, reply));
+                    self.replies.push((node, incarnation, reply));
                 }
                 self.collect_replies();
             }
-            Act::Reply { lost } => {
+            Action::Reply { lost } => {
                 if self.replies.is_empty() {
                     return;
                 }
-                let (node, life, reply) = self.replies.remove(0);
-                if !lost && life == self.lives[node] {
-                    self.holders[node].answered(&reply, self.now_ms);
+                let (node, incarnation, reply) = self.replies.remove(0);
+                if !lost && incarnation == self.incarnations[node] {
+                    self.holders[node].apply_reply(&reply, self.now_ms);
                 }
             }
-            Act::Start { node } => self.start(node),
-            Act::End { node } => {
+            Action::Start { node } => self.start(node),
+            Action::End { node } => {
                 if let Some((runner, _)) = self.running[node].pop() {
                     self.holders[node].release(&runner);
                 }
             }
-            Act::Crash { node } => {
+            Action::Crash { node } => {
                 self.orphans.append(&mut self.running[node]);
-                self.lives[node] += 1;
-                let life = self.lives[node] + 1;
+                self.incarnations[node] += 1;
+                let incarnation = self.incarnations[node] + 1;
                 self.holders[node] =
-                    Holder::with_incarnation(self.limits, life);
+                    Holder::with_incarnation(self.limits, incarnation);
             }
-            Act::Takeover => self.takeover(),
-            Act::Pass { ms } => self.pass(u64::from(ms)),
+            Action::Takeover => self.takeover(),
+            Action::Advance { ms } => self.advance(u64::from(ms)),
         }
     }
 
@@ -160,11 +160,11 @@
         for (name, reply) in self.granter.replies(self.now_ms) {
             let node = NODES.iter().position(|node| *node == name);
             let node = node.expect("a known node");
-            self.replies.push((node, self.lives[node], reply));
+            self.replies.push((node, self.incarnations[node], reply));
         }
     }
 
-    fn pass(&mut self, ms: u64) {
+    fn advance(&mut self, ms: u64) {
         self.now_ms += ms;
         self.collect_replies();
         let now_ms = self.now_ms;
@@ -182,7 +182,7 @@
     }
 
     /// Returns the most requests on any runner, dead nodes' included.
-    fn most_in_flight(&self) -> u32 {
+    fn max_in_flight(&self) -> u32 {
         let mut counts: BTreeMap<&str, u32> = BTreeMap::new();
         let all = self.running.iter().flatten().chain(&self.orphans);
         for (runner, _) in all {
@@ -193,19 +193,19 @@
 }
 
 #[test]
-fn runner_never_has_more_than_its_slots() {
-    fn holds(acts: Vec<Act>) -> bool {
-        let mut world = World::new();
-        for act in acts {
-            world.act(act);
-            assert!(world.most_in_flight() <= SLOTS, "too many in flight");
+fn requests_in_flight_never_exceed_the_slots_of_a_runner() {
+    fn property(actions: Vec<Action>) -> bool {
+        let mut simulation = Simulation::new();
+        for action in actions {
+            simulation.apply(action);
+            assert!(simulation.max_in_flight() <= SLOTS, "too many in flight");
         }
         true
     }
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(200, 5))
         .tests(4_000)
-        .quickcheck(holds as fn(Vec<Act>) -> bool);
+        .quickcheck(property as fn(Vec<Action>) -> bool);
 }
 
 /// Brings one sync to the granter, and its reply back if there is one.
@@ -220,57 +220,57 @@
     let replies = granter.replies(now_ms);
     let later = replies.into_iter().find(|(name, _)| name == node);
     if let Some(reply) = at_once.or(later.map(|(_, reply)| reply)) {
-        holder.answered(&reply, now_ms);
+        holder.apply_reply(&reply, now_ms);
     }
 }
 
 #[test]
-fn parked_want_is_met_as_soon_as_idle_slots_come_back() {
+fn parked_want_is_met_as_soon_as_idle_slots_are_returned() {
     let limits = Limits::default();
     let mut granter = Granter::new(limits, 0);
     granter.set_runner("a", SLOTS);
-    let mut one = Holder::new(limits);
-    let mut two = Holder::new(limits);
-    exchange(&mut granter, "n1", &mut two, 10);
-    exchange(&mut granter, "n0", &mut one, 10);
-    one.want(SLOTS);
-    exchange(&mut granter, "n0", &mut one, 11);
-    assert_eq!(one.held(), SLOTS);
-    two.want(1);
-    let sync = two.sync(Some(11), 12);
+    let mut first = Holder::new(limits);
+    let mut second = Holder::new(limits);
+    exchange(&mut granter, "n1", &mut second, 10);
+    exchange(&mut granter, "n0", &mut first, 10);
+    first.set_wanted(SLOTS);
+    exchange(&mut granter, "n0", &mut first, 11);
+    assert_eq!(first.held(), SLOTS);
+    second.set_wanted(1);
+    let sync = second.sync(Some(11), 12);
     assert_eq!(granter.sync("n1", &sync, &["n0", "n1"], 12), None);
     assert_eq!(granter.replies(12), []);
-    let recalled = granter.recallable(12);
+    let recalled = granter.recall_candidates(12);
     assert_eq!(recalled, [("n0", Pressure::new(1, 1))]);
     // The holder gives back what it doesn't use, and the want is met.
-    one.want(0);
-    one.recall(Pressure::new(1, 1), 12);
-    assert!(!one.has_to_yield(Some(10)), "its own request is older");
-    assert!(one.has_to_yield(None));
-    assert_eq!(one.next_sync_ms(None), Some(11), "it goes back at once");
-    let sync = one.sync(None, 13);
+    first.set_wanted(0);
+    first.recall(Pressure::new(1, 1), 12);
+    assert!(!first.must_yield(Some(10)), "its own request is older");
+    assert!(first.must_yield(None));
+    assert_eq!(first.next_sync_ms(None), Some(11), "it goes back at once");
+    let sync = first.sync(None, 13);
     assert!(granter.sync("n0", &sync, &["n0", "n1"], 13).is_some());
     let replies = granter.replies(13);
     assert_eq!(replies.len(), 1);
-    two.answered(&replies[0].1, 14);
-    assert_eq!(two.held(), 1);
-    assert_eq!(one.held(), SLOTS - 1);
-    assert_eq!(granter.recallable(14), []);
+    second.apply_reply(&replies[0].1, 14);
+    assert_eq!(second.held(), 1);
+    assert_eq!(first.held(), SLOTS - 1);
+    assert_eq!(granter.recall_candidates(14), []);
 }
 
 #[test]
-fn revoked_runner_gets_nothing_more() {
+fn revoked_runner_gets_no_more_requests() {
     let limits = Limits::default();
     let mut granter = Granter::new(limits, 0);
     granter.set_runner("a", SLOTS);
     let mut holder = Holder::new(limits);
     let mut other = Holder::new(limits);
     exchange(&mut granter, "n1", &mut other, 9);
-    holder.want(2);
+    holder.set_wanted(2);
     exchange(&mut granter, "n0", &mut holder, 10);
     assert!(matches!(holder.acquire(11, |_| true), Acquired::Slot(_)));
     granter.retain_runners(|_| false);
-    holder.want(0);
+    holder.set_wanted(0);
     exchange(&mut granter, "n0", &mut holder, 12);
     assert_eq!(holder.acquire(13, |_| true), Acquired::Wait);
     // What is in flight there stays counted until it ends.
@@ -278,20 +278,20 @@
 }
 
 #[test]
-fn replaced_process_keeps_its_slots_out_until_it_has_let_go() {
+fn slots_of_a_replaced_process_stay_reserved_until_its_grants_end() {
     let limits = Limits::default().grant_ms(2_000).max_request_ms(3_000);
     let mut granter = Granter::new(limits, 0);
     granter.set_runner("a", SLOTS);
     let mut old = Holder::with_incarnation(limits, 1);
     let mut other = Holder::new(limits);
     exchange(&mut granter, "n1", &mut other, 9);
-    old.want(SLOTS);
+    old.set_wanted(SLOTS);
     exchange(&mut granter, "n0", &mut old, 10);
     let mut fresh = Holder::with_incarnation(limits, 2);
     exchange(&mut granter, "n0", &mut fresh, 20);
-    assert_eq!(granter.out("a"), SLOTS);
+    assert_eq!(granter.outstanding("a"), SLOTS);
     exchange(&mut granter, "n0", &mut fresh, 5_009);
-    assert_eq!(granter.out("a"), SLOTS);
+    assert_eq!(granter.outstanding("a"), SLOTS);
     exchange(&mut granter, "n0", &mut fresh, 5_010);
-    assert_eq!(granter.out("a"), 0);
+    assert_eq!(granter.outstanding("a"), 0);
 }
--- a/crates/dewspard/src/dispatch/core.rs
+++ b/crates/dewspard/src/dispatch/core.rs
@@ -175,7 +175,7 @@
         let mut replies = Vec::new();
         let now_ms = clock::now_ms();
         while !self.queue.is_empty()
-            && !self.holder.yields(self.queue.oldest_ms())
+            && !self.holder.should_yield(self.queue.oldest_ms())
         {
             let Some(grant) = self.acquire(now_ms) else { break };
             let Some(waiting) = self.queue.pop(now_ms) else { break };
@@ -233,7 +233,7 @@
     pub(super) fn has_to_say(&self, syncing: bool) -> bool {
         let oldest_ms = self.queue.oldest_ms();
         if syncing {
-            return self.holder.has_to_yield(oldest_ms);
+            return self.holder.must_yield(oldest_ms);
         }
         let next_ms = self.holder.next_sync_ms(oldest_ms);
         next_ms.is_some_and(|next_ms| next_ms <= clock::now_ms())
--- a/crates/dewspard/src/dispatch/mod.rs
+++ b/crates/dewspard/src/dispatch/mod.rs
@@ -131,7 +131,7 @@
     pub fn holdings(&self, service: &str) -> Sync {
         match self.known(service) {
             Some(service) => service.state(),
-            None => Sync::nothing(self.context.incarnation),
+            None => Sync::empty(self.context.incarnation),
         }
     }
 
--- a/crates/dewspard/src/dispatch/service.rs
+++ b/crates/dewspard/src/dispatch/service.rs
@@ -98,7 +98,7 @@
 
     /// Returns what to tell a node that has become the granter.
     pub(super) fn state(&self) -> Sync {
-        self.shared.lock().holder.state(clock::now_ms())
+        self.shared.lock().holder.sync_for_new_granter(clock::now_ms())
     }
 
     /// Returns how many requests are in flight on each VM, and the version
@@ -140,7 +140,7 @@
         let mut core = self.shared.lock();
         let (replies, ejected) = core.give(given);
         let oldest_ms = core.queue.oldest_ms();
-        let wake = core.holder.has_to_yield(oldest_ms);
+        let wake = core.holder.must_yield(oldest_ms);
         drop(core);
         self.send(replies);
         if wake {
--- a/crates/dewspard/src/dispatch/task.rs
+++ b/crates/dewspard/src/dispatch/task.rs
@@ -87,7 +87,7 @@
             let mut core = shared.lock();
             let waiting = u32::try_from(core.queue.len()).unwrap_or(u32::MAX);
             let oldest_ms = core.queue.oldest_ms();
-            core.holder.want(waiting);
+            core.holder.set_wanted(waiting);
             core.holder.sync(oldest_ms, clock::now_ms())
         };
         self.syncing = true;
@@ -125,8 +125,8 @@
         self.syncing = false;
         let mut core = self.service.shared.lock();
         match &synced.reply {
-            Some(reply) => core.holder.answered(reply, clock::now_ms()),
-            None => core.holder.unanswered(),
+            Some(reply) => core.holder.apply_reply(reply, clock::now_ms()),
+            None => core.holder.sync_failed(),
         }
     }
 }
--- a/crates/dewspard/src/granter.rs
+++ b/crates/dewspard/src/granter.rs
@@ -232,7 +232,7 @@
             }
         }
         let holders: Vec<(String, Pressure)> = granter
-            .recallable(now_ms)
+            .recall_candidates(now_ms)
             .into_iter()
             .map(|(holder, pressure)| (holder.to_owned(), pressure))
             .collect();
@@ -263,7 +263,7 @@
     fn ask_unheard(&mut self, service: &str) {
         let standing = self.options.standing.borrow().clone();
         let Some(granter) = self.granters.get(service) else { return };
-        for node in granter.unheard(&standing.live()) {
+        for node in granter.unreported(&standing.live()) {
             let key = (node.to_owned(), service.to_owned());
             if !self.asking.insert(key) {
                 continue;
