--- a/crates/dewspard/tests/jobs_records.rs
+++ b/crates/dewspard/tests/jobs_records.rs
@@ -39,7 +39,7 @@
 };
 
 /// The timeout of every wait.
-const LIMIT: Duration = Duration::from_secs(60);
+const TIMEOUT: Duration = Duration::from_secs(60);
 
 const POOL: &str = "registry";
 
@@ -167,13 +167,15 @@
 }
 
 /// Waits until a condition holds.
-async fn wait_until<F: Future<Output = bool>>(mut holds: impl FnMut() -> F) {
+async fn wait_until<F: Future<Output = bool>>(
+    mut condition: impl FnMut() -> F,
+) {
     let waiting = async {
-        while !holds().await {
+        while !condition().await {
             sleep(Duration::from_millis(5)).await;
         }
     };
-    timeout(LIMIT, waiting).await.expect("in time");
+    timeout(TIMEOUT, waiting).await.expect("in time");
 }
 
 fn terms() -> QueueTerms {
@@ -532,9 +534,9 @@
 async fn applied_deferred_ends_of_a_running_job_are_deleted() {
     let mut fixture = Fixture::start(&Batch::default(), 0).await;
     fixture.fleet.set_work_ms(6_000_000);
-    let mut lasting = chain(1);
-    lasting.spec.steps[0].long_running = true;
-    fixture.submit(id(1), &lasting).await;
+    let mut long_running_job = chain(1);
+    long_running_job.spec.steps[0].long_running = true;
+    fixture.submit(id(1), &long_running_job).await;
     let runs = async |fixture: &Fixture, run: usize| {
         wait_until(async || fixture.starts(id(1), 0) == run).await;
         fixture.wait_for_phase(id(1), Phase::Running).await;
@@ -649,7 +651,7 @@
     }
     // Takes effect even if its answer is lost.
     let _ = fixture.store.commit(&batch).await;
-    let all_over = async || {
+    let all_completed = async || {
         let (_, records) = match fixture.store.list("run/").await {
             Ok(listed) => listed,
             Err(_) => return false,
@@ -660,7 +662,7 @@
         });
         over.count() == 20
     };
-    wait_until(all_over).await;
+    wait_until(all_completed).await;
     fixture.store_faults.set_lost_per_mille(0);
     assert_eq!(
         fixture.lease_revision().await,
--- a/crates/dewspard/tests/late_orders.rs
+++ b/crates/dewspard/tests/late_orders.rs
@@ -33,7 +33,7 @@
 };
 
 /// The timeout of every wait.
-const LIMIT: Duration = Duration::from_secs(60);
+const TIMEOUT: Duration = Duration::from_secs(60);
 
 /// The length of the suspension: shorter than the lease, which no other node
 /// takes.
@@ -84,13 +84,15 @@
     }
 }
 
-async fn wait_until<F: Future<Output = bool>>(mut holds: impl FnMut() -> F) {
+async fn wait_until<F: Future<Output = bool>>(
+    mut condition: impl FnMut() -> F,
+) {
     let waiting = async {
-        while !holds().await {
+        while !condition().await {
             sleep(Duration::from_millis(5)).await;
         }
     };
-    timeout(LIMIT, waiting).await.expect("in time");
+    timeout(TIMEOUT, waiting).await.expect("in time");
 }
 
 fn terms() -> QueueTerms {
--- a/crates/dewspard/tests/later_tokens.rs
+++ b/crates/dewspard/tests/later_tokens.rs
@@ -32,7 +32,7 @@
 };
 
 /// The timeout of every wait.
-const LIMIT: Duration = Duration::from_secs(60);
+const TIMEOUT: Duration = Duration::from_secs(60);
 
 const POOL: &str = "registry";
 
@@ -206,13 +206,15 @@
 }
 
 /// Waits until a condition holds.
-async fn wait_until<F: Future<Output = bool>>(mut holds: impl FnMut() -> F) {
+async fn wait_until<F: Future<Output = bool>>(
+    mut condition: impl FnMut() -> F,
+) {
     let waiting = async {
-        while !holds().await {
+        while !condition().await {
             sleep(Duration::from_millis(5)).await;
         }
     };
-    timeout(LIMIT, waiting).await.expect("in time");
+    timeout(TIMEOUT, waiting).await.expect("in time");
 }
 
 #[tokio::test(start_paused = true)]
--- a/crates/dewspard/tests/newer_records.rs
+++ b/crates/dewspard/tests/newer_records.rs
@@ -28,7 +28,7 @@
 };
 
 /// The timeout of every wait.
-const LIMIT: Duration = Duration::from_secs(60);
+const TIMEOUT: Duration = Duration::from_secs(60);
 
 const POOL: &str = "registry";
 
@@ -129,7 +129,7 @@
                 sleep(Duration::from_millis(20)).await;
             }
         };
-        timeout(LIMIT, waiting).await.is_ok()
+        timeout(TIMEOUT, waiting).await.is_ok()
     }
 
     fn has_started(&self, id: JobId) -> bool {
@@ -182,7 +182,7 @@
 #[tokio::test]
 async fn records_with_fields_more_are_read() {
     let fixture = Fixture::new();
-    let newer = |value: Value| with_unknown_fields(value).to_string();
+    let with_unknown = |value: Value| with_unknown_fields(value).to_string();
     // Unknown fields are added by hand here: all fields but one are names of
     // VMs.
     let by = json!({ "node": "node-9", "incarnation": 1, "newer": 1 });
@@ -201,7 +201,7 @@
         ("wave/7".to_owned(), wave),
         ("q/claim".to_owned(), claim),
     ] {
-        fixture.put(&key, newer(value).as_bytes()).await;
+        fixture.put(&key, with_unknown(value).as_bytes()).await;
     }
     let _node = fixture.start().await;
     assert!(fixture.completes(id(1)).await);
@@ -247,7 +247,7 @@
             sleep(Duration::from_millis(20)).await;
         }
     };
-    timeout(LIMIT, waiting).await.expect("the wave goes on");
+    timeout(TIMEOUT, waiting).await.expect("the wave goes on");
     assert_eq!(record("wave/7").await["newer"], json!([1]));
     assert_eq!(record("q/claim").await, claim);
 }
@@ -299,7 +299,7 @@
     // The log is deleted once the job's record includes its starts.
     let began = Instant::now();
     while fixture.store.get("starts/1/1").await.expect("a store").is_some() {
-        assert!(began.elapsed() < LIMIT, "the log is still there");
+        assert!(began.elapsed() < TIMEOUT, "the log is still there");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
@@ -408,7 +408,7 @@
             sleep(Duration::from_millis(20)).await;
         }
     };
-    timeout(LIMIT, logged).await.expect("a line about unreadable records");
+    timeout(TIMEOUT, logged).await.expect("a line about unreadable records");
     drop(node);
     let seconds = began.elapsed().as_secs() as usize;
     let lines = fixture.lines.count_unreadable();
--- a/crates/dewspard/tests/suspension.rs
+++ b/crates/dewspard/tests/suspension.rs
@@ -33,17 +33,19 @@
 };
 
 /// The timeout of every wait.
-const LIMIT: Duration = Duration::from_secs(60);
+const TIMEOUT: Duration = Duration::from_secs(60);
 
 const POOL: &str = "registry";
 
-async fn wait_until<F: Future<Output = bool>>(mut holds: impl FnMut() -> F) {
+async fn wait_until<F: Future<Output = bool>>(
+    mut condition: impl FnMut() -> F,
+) {
     let waiting = async {
-        while !holds().await {
+        while !condition().await {
             sleep(Duration::from_millis(20)).await;
         }
     };
-    timeout(LIMIT, waiting).await.expect("in time");
+    timeout(TIMEOUT, waiting).await.expect("in time");
 }
 
 fn terms() -> QueueTerms {
@@ -79,7 +81,7 @@
     let request = empty_request("test", Method::GET, &url);
     let client = Client::builder(TokioExecutor::new()).build_http();
     let answered = client.request(request.expect("a request"));
-    let answered = timeout(LIMIT, answered).await.expect("in time");
+    let answered = timeout(TIMEOUT, answered).await.expect("in time");
     answered.expect("an answer").status()
 }
 
