--- a/crates/dewspar/examples/planning.rs
+++ b/crates/dewspar/examples/planning.rs
@@ -31,7 +31,7 @@
 static ALLOCATOR: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
 /// How long the peak is played, in simulated milliseconds.
-const PLAY_MS: u64 = 3_000;
+const PEAK_MS: u64 = 3_000;
 
 /// How long the fleet is filled before, in simulated milliseconds.
 const WARM_UP_MS: u64 = 3_000;
@@ -90,18 +90,18 @@
     let only = std::env::args().nth(1);
     let wanted = |name| only.as_deref().is_none_or(|only| only == name);
     if wanted("ample") {
-        play("ample", Processor::AMPLE);
+        measure("ample", Processor::AMPLE);
     }
     if wanted("short") {
-        play("half a core", Processor::HALF_A_CORE);
+        measure("half a core", Processor::HALF_A_CORE);
     }
 }
 
-fn play(name: &str, processor: Processor) {
+fn measure(name: &str, processor: Processor) {
     let settings = PeakSettings::default();
     let mut peak = Peak::new(settings, Costs::default());
     peak.warm_up(WARM_UP_MS);
-    let tally = peak.play(PLAY_MS, processor);
+    let tally = peak.play(PEAK_MS, processor);
     print_tally(name, &tally);
     let costs = peak.meter();
     for (part, cost) in &costs.parts {
@@ -110,7 +110,7 @@
     let total = costs.total();
     print_cost("all, a start", &total, tally.starts);
     print_cost("all, an event", &total, tally.events);
-    let per_s = total.time.as_secs_f64() * 1e6 / PLAY_MS as f64;
+    let per_s = total.time.as_secs_f64() * 1e6 / PEAK_MS as f64;
     println!("  {per_s:.0} ms of each simulated second");
 }
 
--- a/crates/dewspar/src/budget.rs
+++ b/crates/dewspar/src/budget.rs
@@ -34,7 +34,7 @@
 let snapshot = Snapshot::default().apply(&changes)?;
 let mut hall = Hall::default();
 for vm in ["vm-1", "vm-2", "vm-3"] {
-    hall.list(&Listing::new(vm, "hall-1", "rack-1", "127.0.0.1:1"));
+    hall.apply_listing(&Listing::new(vm, "hall-1", "rack-1", "127.0.0.1:1"));
     hall.assign(vm, Some("registry"), 0)?;
 }
 let rows: Vec<_> = hall.rows().collect();
--- a/crates/dewspar/src/fleet.rs
+++ b/crates/dewspar/src/fleet.rs
@@ -18,7 +18,7 @@
 use dewspar::fleet::{Hall, Listing, VmState};
 
 let mut hall = Hall::default();
-hall.list(&Listing::new("vm-1", "hall-1", "rack-1", "127.0.0.1:7001"));
+hall.apply_listing(&Listing::new("vm-1", "hall-1", "rack-1", "127.0.0.1:7001"));
 hall.assign("vm-1", Some("registry"), 10)?;
 assert_eq!(hall.row("vm-1").unwrap().state(), VmState::Serving);
 
@@ -127,7 +127,7 @@
 ///
 /// Returns [`Error::SameAddress`] with the first two VMs that share one: an
 /// act on either would be carried out on the other.
-pub fn check_list(list: &[Listing]) -> Result<(), Error> {
+pub fn check_addresses(list: &[Listing]) -> Result<(), Error> {
     let mut names = BTreeMap::new();
     for listing in list {
         let address = listing.worker_address.as_str();
@@ -321,8 +321,8 @@
     /// Takes over a listing; returns whether anything changed.
     ///
     /// Nothing does for a VM whose row can't be read.
-    pub fn list(&mut self, listing: &Listing) -> bool {
-        let new = || Row {
+    pub fn apply_listing(&mut self, listing: &Listing) -> bool {
+        let empty_row = || Row {
             hall: String::new(),
             rack: String::new(),
             worker_address: String::new(),
@@ -334,7 +334,7 @@
             epoch: 0,
             maintained: None,
         };
-        let Some(row) = self.rows.entry(&listing.name, new) else {
+        let Some(row) = self.rows.entry(&listing.name, empty_row) else {
             return false;
         };
         let before = row.clone();
--- a/crates/dewspar/src/link.rs
+++ b/crates/dewspar/src/link.rs
@@ -73,11 +73,11 @@
     /// The share of questions and renewals, in percent.
     pub question_percent: u64,
     /// The lowest that the rate may fall to, in percent of `bytes_per_s`.
-    pub least_percent: u64,
+    pub min_percent: u64,
 }
 
 /// Bytes a second of one megabit a second.
-const BYTES_A_MEGABIT: f64 = 125_000.0;
+const BYTES_PER_MEGABIT: f64 = 125_000.0;
 
 /// The share of a link that is handed out, in percent: the feed, readings of
 /// the directory and writes of progress take the rest.
@@ -86,7 +86,7 @@
 impl LinkLimits {
     /// Returns the limits for a link of so many megabits a second.
     pub fn of_link(megabits_per_s: f64) -> LinkLimits {
-        let bytes_per_s = megabits_per_s * BYTES_A_MEGABIT;
+        let bytes_per_s = megabits_per_s * BYTES_PER_MEGABIT;
         LinkLimits {
             // OK to convert: a float goes to the nearest value that fits.
             bytes_per_s: (bytes_per_s as u64).saturating_mul(ORDER_PERCENT)
@@ -97,24 +97,24 @@
             // A question of 350 bytes for each start of 600.
             question_percent: 40,
             // A link that drops to a tenth still carries this.
-            least_percent: 10,
+            min_percent: 10,
         }
     }
 }
 
 /// How many calls must have ended before the rate is adapted: as many as a
 /// small link carries in some tenths of a second.
-const CALLS_A_LOOK: usize = 32;
+const CALLS_PER_ADJUSTMENT: usize = 32;
 
 /// For how long a share that was used up says that work waits for the link, in
 /// milliseconds: longer than slow orders take to be noticed.
-const SHORT_MS: u64 = 1_000;
+const EXHAUSTED_RECENTLY_MS: u64 = 1_000;
 
 /// The rate falls to this share of itself when calls are slow, in percent.
-const SLOWER_PERCENT: u64 = 70;
+const DECREASE_PERCENT: u64 = 70;
 
 /// The rate rises to this share of itself while calls are fast, in percent.
-const FASTER_PERCENT: u64 = 125;
+const INCREASE_PERCENT: u64 = 125;
 
 /// What an order takes of a link beside what it carries, with its head and the
 /// packets of its answer, in bytes: read off the bytes of orders by purpose,
@@ -133,29 +133,29 @@
     /// What is handed out now, in bytes a second.
     rate: u64,
     refilled_ms: u64,
-    questions: Share,
-    starts: Share,
+    questions: Bucket,
+    starts: Bucket,
     tally: Tally,
     /// When the rate last fell.
-    fell_ms: u64,
+    last_decrease_ms: u64,
     /// When a share was last used up.
-    spent_ms: u64,
+    last_exhausted_ms: u64,
     /// Whether relays carry what is sent.
     relayed: bool,
 }
 
 /// What one share has left; less than nothing after a large order.
 #[derive(Clone, Copy, Debug, Default)]
-struct Share {
+struct Bucket {
     bytes: i64,
-    most: i64,
+    capacity: i64,
 }
 
-impl Share {
+impl Bucket {
     /// Adds bytes; returns those for which there is no room.
     fn add(&mut self, bytes: i64) -> i64 {
         let filled = self.bytes + bytes;
-        self.bytes = filled.min(self.most);
+        self.bytes = filled.min(self.capacity);
         filled - self.bytes
     }
 }
@@ -167,26 +167,26 @@
             limits,
             rate: limits.bytes_per_s,
             refilled_ms: 0,
-            questions: Share::default(),
-            starts: Share::default(),
+            questions: Bucket::default(),
+            starts: Bucket::default(),
             tally: Tally::default(),
-            fell_ms: 0,
-            spent_ms: 0,
+            last_decrease_ms: 0,
+            last_exhausted_ms: 0,
             relayed: false,
         };
-        budget.size_shares();
-        budget.questions.bytes = budget.questions.most;
-        budget.starts.bytes = budget.starts.most;
+        budget.resize_buckets();
+        budget.questions.bytes = budget.questions.capacity;
+        budget.starts.bytes = budget.starts.capacity;
         budget
     }
 
-    fn size_shares(&mut self) {
+    fn resize_buckets(&mut self) {
         let burst = self.rate.saturating_mul(self.limits.burst_ms) / 1_000;
         // OK to convert: far below 2^63.
         let burst = burst.min(i64::MAX as u64 / 100) as i64;
         let questions = burst * self.limits.question_percent as i64 / 100;
-        self.questions.most = questions.max(1);
-        self.starts.most = (burst - questions).max(1);
+        self.questions.capacity = questions.max(1);
+        self.starts.capacity = (burst - questions).max(1);
     }
 
     /// Adds what the link has carried since the last time.
@@ -202,9 +202,9 @@
         self.refilled_ms = now_ms;
         let bytes = bytes.min(i64::MAX as u64 / 200) as i64;
         let questions = bytes * self.limits.question_percent as i64 / 100;
-        let left = self.questions.add(questions);
-        let left = self.starts.add(bytes - questions + left);
-        self.questions.add(left);
+        let overflow = self.questions.add(questions);
+        let overflow = self.starts.add(bytes - questions + overflow);
+        self.questions.add(overflow);
     }
 
     /// Returns whether something of a class may be sent now.
@@ -240,26 +240,26 @@
         };
         share.bytes = share.bytes.saturating_sub(bytes);
         if share.bytes <= 0 {
-            self.spent_ms = self.refilled_ms;
+            self.last_exhausted_ms = self.refilled_ms;
         }
     }
 
     /// Returns whether work waited for the link a short while ago although
     /// the rate could still fall: orders are then slow because there are many
     /// of them, and on no other node of the kind would they be faster.
-    pub fn is_short(&self, now_ms: u64) -> bool {
-        self.has_waited(now_ms) && self.rate > self.least_rate()
+    pub fn is_saturated(&self, now_ms: u64) -> bool {
+        self.was_exhausted(now_ms) && self.rate > self.min_rate()
     }
 
     /// Returns whether a share was used up a short while ago.
-    fn has_waited(&self, now_ms: u64) -> bool {
-        now_ms < self.spent_ms + SHORT_MS
+    fn was_exhausted(&self, now_ms: u64) -> bool {
+        now_ms < self.last_exhausted_ms + EXHAUSTED_RECENTLY_MS
     }
 
-    fn least_rate(&self) -> u64 {
-        let LinkLimits { bytes_per_s, least_percent, .. } = self.limits;
-        let least = (bytes_per_s / 100).saturating_mul(least_percent);
-        least.clamp(1, bytes_per_s.max(1))
+    fn min_rate(&self) -> u64 {
+        let LinkLimits { bytes_per_s, min_percent, .. } = self.limits;
+        let min_rate = (bytes_per_s / 100).saturating_mul(min_percent);
+        min_rate.clamp(1, bytes_per_s.max(1))
     }
 
     /// Notes the end of a call that was sent at this time, and adapts the rate
@@ -275,28 +275,28 @@
         end: CallEnd,
         limits: &WindowLimits,
     ) {
-        if sent_ms < self.fell_ms {
+        if sent_ms < self.last_decrease_ms {
             return;
         }
-        self.tally.note(end, limits);
-        if self.tally.ended < CALLS_A_LOOK {
+        self.tally.record(end, limits);
+        if self.tally.ended < CALLS_PER_ADJUSTMENT {
             return;
         }
         let percent = match std::mem::take(&mut self.tally).speed() {
             // Slow calls on a link that isn't full are the processor's doing
             // or the workers', and sending less leaves them as slow.
-            Speed::Slow if !self.has_waited(now_ms) => return,
+            Speed::Slow if !self.was_exhausted(now_ms) => return,
             Speed::Slow => {
-                self.fell_ms = now_ms;
-                SLOWER_PERCENT
+                self.last_decrease_ms = now_ms;
+                DECREASE_PERCENT
             }
-            Speed::Middling => return,
-            Speed::Fast => FASTER_PERCENT,
+            Speed::Moderate => return,
+            Speed::Fast => INCREASE_PERCENT,
         };
         let rate = (self.rate / 100).saturating_mul(percent);
-        let most = self.limits.bytes_per_s.max(1);
-        self.rate = rate.clamp(self.least_rate(), most);
-        self.size_shares();
+        let max_rate = self.limits.bytes_per_s.max(1);
+        self.rate = rate.clamp(self.min_rate(), max_rate);
+        self.resize_buckets();
     }
 
     /// Returns what is handed out now, in bytes a second.
--- a/crates/dewspar/src/member.rs
+++ b/crates/dewspar/src/member.rs
@@ -18,7 +18,7 @@
 use dewspar::member::{Member, Roster, Timing};
 
 let mut roster = Roster::new("n1", Timing::default());
-roster.list((1..=3).map(|i| Member::new(&format!("n{i}"), i, "hall-1")), 0);
+roster.set_members((1..=3).map(|i| Member::new(&format!("n{i}"), i, "hall-1")), 0);
 assert_eq!(roster.live(0).len(), 3);
 
 // n2 answers, n3 doesn't: after three missed probes it is suspected.
@@ -140,7 +140,7 @@
 
     /// Returns how long a suspicion lasts that nobody repeats, in
     /// milliseconds.
-    fn suspicion_ms(&self) -> u64 {
+    fn suspicion_timeout_ms(&self) -> u64 {
         self.probe_interval_ms * u64::from(self.misses + 1)
     }
 }
@@ -195,7 +195,7 @@
     /// Members that the platform no longer lists are dropped. Callers hold
     /// a list back for a grace period after an outage, so that members whose
     /// leases lapsed meanwhile come back before anyone succeeds them.
-    pub fn list(
+    pub fn set_members(
         &mut self,
         members: impl IntoIterator<Item = Member>,
         now_ms: u64,
@@ -241,7 +241,7 @@
     /// steps as there are probes. So every node is probed by as many others
     /// as it probes, news crosses the ring in a few hops, and the same few
     /// connections serve for good.
-    pub fn targets(&self) -> Vec<Member> {
+    pub fn probe_targets(&self) -> Vec<Member> {
         let others: Vec<&Member> = self.others().collect();
         let count = others.len();
         if count <= self.timing.fan_out {
@@ -250,9 +250,9 @@
         // Members are ordered by name, and this node is not among them.
         let start =
             others.iter().take_while(|m| *m.name() < *self.own).count();
-        let root = (count as f64).powf(1.0 / self.timing.fan_out as f64);
+        let ratio = (count as f64).powf(1.0 / self.timing.fan_out as f64);
         let mut distances: Vec<usize> = (0..self.timing.fan_out)
-            .map(|step| root.powi(step as i32).round() as usize)
+            .map(|step| ratio.powi(step as i32).round() as usize)
             .collect();
         distances.dedup();
         distances
@@ -289,9 +289,9 @@
         if peer.misses < timing.misses {
             return false;
         }
-        let news = peer.suspected_until_ms <= now_ms;
-        peer.suspected_until_ms = now_ms + timing.suspicion_ms();
-        news
+        let changed = peer.suspected_until_ms <= now_ms;
+        peer.suspected_until_ms = now_ms + timing.suspicion_timeout_ms();
+        changed
     }
 
     /// Records that this node is about to stop as planned: from now on
@@ -303,7 +303,7 @@
     /// Records that a peer is about to stop as planned.
     ///
     /// Returns whether that is news, which is worth passing on at once.
-    pub fn peer_leaves(&mut self, name: &str, incarnation: u64) -> bool {
+    pub fn mark_leaving(&mut self, name: &str, incarnation: u64) -> bool {
         match self.peers.get_mut(name) {
             Some(peer) if peer.member.incarnation == incarnation => {
                 !std::mem::replace(&mut peer.leaving, true)
@@ -319,21 +319,21 @@
 
     /// Returns the suspicions to send along with a probe.
     pub fn suspicions(&self, now_ms: u64) -> Vec<Suspicion> {
-        let full_ms = self.timing.suspicion_ms();
+        let timeout_ms = self.timing.suspicion_timeout_ms();
         self.peers
             .values()
             .filter(|peer| !peer.is_live(now_ms))
             .take(MAX_SUSPICIONS)
             .map(|peer| {
                 // One that leaves is as good as suspected just now.
-                let left_ms = match peer.leaving {
-                    true => full_ms,
+                let remaining_ms = match peer.leaving {
+                    true => timeout_ms,
                     false => peer.suspected_until_ms - now_ms,
                 };
                 Suspicion {
                     name: peer.member.name.clone(),
                     incarnation: peer.member.incarnation,
-                    age_ms: full_ms.saturating_sub(left_ms),
+                    age_ms: timeout_ms.saturating_sub(remaining_ms),
                 }
             })
             .collect()
@@ -343,32 +343,38 @@
     /// about a process that has been replaced.
     ///
     /// Returns whether that is news, which is worth passing on at once.
-    pub fn hear(&mut self, suspicions: &[Suspicion], now_ms: u64) -> bool {
-        self.hear_as_of(suspicions, now_ms, now_ms)
+    pub fn merge_suspicions(
+        &mut self,
+        suspicions: &[Suspicion],
+        now_ms: u64,
+    ) -> bool {
+        self.merge_suspicions_as_of(suspicions, now_ms, now_ms)
     }
 
-    /// Takes over what a peer suspected at `said_ms`, in the same way; it has
+    /// Takes over what a peer suspected at `sent_ms`, in the same way; it has
     /// aged since.
-    pub fn hear_as_of(
+    pub fn merge_suspicions_as_of(
         &mut self,
         suspicions: &[Suspicion],
-        said_ms: u64,
+        sent_ms: u64,
         now_ms: u64,
     ) -> bool {
-        let full_ms = self.timing.suspicion_ms();
-        let mut news = false;
+        let timeout_ms = self.timing.suspicion_timeout_ms();
+        let mut changed = false;
         for suspicion in suspicions {
-            let until_ms = said_ms + full_ms.saturating_sub(suspicion.age_ms);
+            let until_ms =
+                sent_ms + timeout_ms.saturating_sub(suspicion.age_ms);
             if let Some(peer) = self.peers.get_mut(&suspicion.name)
                 && peer.member.incarnation == suspicion.incarnation
                 && suspicion.name != self.own
             {
-                news |= peer.suspected_until_ms <= now_ms && until_ms > now_ms;
+                changed |=
+                    peer.suspected_until_ms <= now_ms && until_ms > now_ms;
                 peer.suspected_until_ms =
                     peer.suspected_until_ms.max(until_ms);
             }
         }
-        news
+        changed
     }
 
     /// Returns the names of the members that aren't suspected, in order.
@@ -380,9 +386,9 @@
             .map(|(name, _)| name.as_str())
             .collect();
         if !self.leaving
-            && let Err(place) = live.binary_search(&self.own.as_str())
+            && let Err(index) = live.binary_search(&self.own.as_str())
         {
-            live.insert(place, &self.own);
+            live.insert(index, &self.own);
         }
         live
     }
--- a/crates/dewspar/src/place.rs
+++ b/crates/dewspar/src/place.rs
@@ -47,7 +47,7 @@
 let changes: Vec<Change> = desired.into_iter().map(Change::put).collect();
 let snapshot = Snapshot::default().apply(&changes)?;
 let mut hall = Hall::default();
-hall.list(&Listing::new("vm-1", "hall-1", "rack-1", "127.0.0.1:1"));
+hall.apply_listing(&Listing::new("vm-1", "hall-1", "rack-1", "127.0.0.1:1"));
 hall.assign("vm-1", Some("registry"), 0)?;
 let rows: Vec<_> = hall.rows().collect();
 
@@ -199,17 +199,17 @@
     usage: &Usage,
 ) -> Vec<Step> {
     let wanted = wanted(snapshot, pool);
-    let mut board = Board::new(&wanted, pool, state, rows, usage);
-    let mut steps: Vec<Step> = surplus(&wanted, state);
+    let mut occupancy = Occupancy::new(&wanted, pool, state, rows, usage);
+    let mut steps: Vec<Step> = unwanted(&wanted, state);
     for want in &wanted {
-        if let Some(step) = board.step(want, state, usage) {
+        if let Some(step) = occupancy.step(want, state, usage) {
             steps.push(step);
         }
     }
     steps
 }
 
-fn surplus(wanted: &[Wanted<'_>], state: &PoolState) -> Vec<Step> {
+fn unwanted(wanted: &[Wanted<'_>], state: &PoolState) -> Vec<Step> {
     let names: BTreeSet<&str> =
         wanted.iter().map(|want| want.task.as_str()).collect();
     state
@@ -272,31 +272,33 @@
         return None;
     }
     let wanted = wanted(snapshot, pool);
-    let board = Board::new(&wanted, pool, state, rows, usage);
+    let occupancy = Occupancy::new(&wanted, pool, state, rows, usage);
     wanted.iter().find_map(|want| {
-        let task = state.task(&want.task).filter(|task| stands(task))?;
-        let from = board.vms.get(task.vm())?;
-        let here = from.siblings(want.owner);
-        let to_do = from.row.maintained() != Some(wave);
-        if !from.open || !to_do || here < 2 {
+        let task = state.task(&want.task).filter(|task| is_placed(task))?;
+        let from = occupancy.vms.get(task.vm())?;
+        let siblings_here = from.siblings(want.owner);
+        let not_maintained = from.row.maintained() != Some(wave);
+        if !from.accepts_tasks || !not_maintained || siblings_here < 2 {
             return None;
         }
         let size = usage.size_of(&want.task, want.declared);
-        let vm = board.best(want, size)?;
-        let there = board.vms.get(vm.as_str())?.siblings(want.owner);
+        let vm = occupancy.best_vm(want, size)?;
+        let siblings_there =
+            occupancy.vms.get(vm.as_str())?.siblings(want.owner);
         let allowed =
             budget::may_stop(snapshot, pool, state, rows, &want.task);
-        let helps = there + 1 < here && allowed == budget::Verdict::Yes;
+        let helps = siblings_there + 1 < siblings_here
+            && allowed == budget::Verdict::Yes;
         let (task, owner) = (want.task.clone(), want.owner.to_owned());
         helps.then_some(Step::Place { task, owner, vm })
     })
 }
 
 /// What stands on each VM while a plan is made.
-struct Board<'a> {
+struct Occupancy<'a> {
     vms: BTreeMap<&'a str, Vm<'a>>,
-    largest: Vec<Size>,
-    wave_runs: bool,
+    vm_sizes: Vec<Size>,
+    wave_active: bool,
 }
 
 struct Vm<'a> {
@@ -304,8 +306,8 @@
     room: Size,
     owners: BTreeMap<String, usize>,
     // Whether it takes tasks, and whether it may keep those it has.
-    open: bool,
-    keeps: bool,
+    accepts_tasks: bool,
+    keeps_tasks: bool,
     maintained: bool,
 }
 
@@ -315,14 +317,14 @@
     }
 }
 
-impl<'a> Board<'a> {
+impl<'a> Occupancy<'a> {
     fn new(
         wanted: &[Wanted<'_>],
         pool: &str,
         state: &PoolState,
         rows: &[(&'a str, &'a Row)],
         usage: &Usage,
-    ) -> Board<'a> {
+    ) -> Occupancy<'a> {
         let wave = state.taken().find_map(|(_, taken)| match taken.reason() {
             Reason::Wave(wave) => Some(wave.clone()),
             _ => None,
@@ -330,27 +332,39 @@
         let in_pool = rows.iter().filter(|(_, row)| row.pool() == Some(pool));
         let vms: BTreeMap<&str, Vm<'_>> = in_pool
             .map(|&(name, row)| {
-                let open =
+                let accepts_tasks =
                     row.state() == VmState::Serving && !state.is_taken(name);
-                let keeps = open || is_in_wave(state, name, row);
+                let keeps_tasks =
+                    accepts_tasks || is_in_wave(state, name, row);
                 let maintained =
                     wave.is_some() && row.maintained() == wave.as_deref();
                 let room = size_of_vm(row);
                 let owners = BTreeMap::new();
-                (name, Vm { row, room, owners, open, keeps, maintained })
+                (
+                    name,
+                    Vm {
+                        row,
+                        room,
+                        owners,
+                        accepts_tasks,
+                        keeps_tasks,
+                        maintained,
+                    },
+                )
             })
             .collect();
-        let largest = vms.values().map(|vm| vm.room).collect();
-        let mut board = Board { vms, largest, wave_runs: wave.is_some() };
+        let vm_sizes = vms.values().map(|vm| vm.room).collect();
+        let mut occupancy =
+            Occupancy { vms, vm_sizes, wave_active: wave.is_some() };
         for want in wanted {
             if let Some(task) = state.task(&want.task)
-                && stands(task)
+                && is_placed(task)
             {
                 let size = usage.size_of(&want.task, want.declared);
-                board.occupy(task.vm(), want.owner, size);
+                occupancy.occupy(task.vm(), want.owner, size);
             }
         }
-        board
+        occupancy
     }
 
     fn occupy(&mut self, vm: &str, owner: &str, size: Size) {
@@ -370,31 +384,31 @@
         if task.is_some_and(|task| task.state() == TaskState::Finished) {
             return None;
         }
-        let on = task.filter(|task| stands(task)).map(Task::vm);
-        if on.is_some_and(|vm| self.can_stay(vm)) {
+        let current_vm = task.filter(|task| is_placed(task)).map(Task::vm);
+        if current_vm.is_some_and(|vm| self.can_stay(vm)) {
             return None;
         }
         let size = usage.size_of(&want.task, want.declared);
-        match self.best(want, size) {
+        match self.best_vm(want, size) {
             Some(vm) => {
                 self.occupy(&vm, want.owner, size);
                 let (task, owner) = (want.task.clone(), want.owner.to_owned());
                 Some(Step::Place { task, owner, vm })
             }
-            None => self.homeless(want, on, size),
+            None => self.unplaceable(want, current_vm, size),
         }
     }
 
     /// Says what becomes of a task for which no VM has room.
-    fn homeless(
+    fn unplaceable(
         &self,
         want: &Wanted<'_>,
-        on: Option<&str>,
+        current_vm: Option<&str>,
         size: Size,
     ) -> Option<Step> {
         let task = want.task.clone();
-        let why = self.why(size);
-        let Some(vm) = on else {
+        let why = self.wait_reason(size);
+        let Some(vm) = current_vm else {
             let owner = want.owner.to_owned();
             return Some(Step::Wait { task, owner, why });
         };
@@ -406,17 +420,17 @@
     }
 
     fn can_stay(&self, vm: &str) -> bool {
-        self.vms.get(vm).is_some_and(|vm| vm.keeps)
+        self.vms.get(vm).is_some_and(|vm| vm.keeps_tasks)
     }
 
-    fn why(&self, size: Size) -> String {
+    fn wait_reason(&self, size: Size) -> String {
         let Size { cpu_millis, memory_mb } = size;
         let needs = format!(
             "needs {cpu_millis} cpu_millis and {memory_mb} memory_mb",
         );
-        if self.largest.iter().any(|largest| size.fits(*largest)) {
+        if self.vm_sizes.iter().any(|vm_size| size.fits(*vm_size)) {
             format!("{needs}, and no serving VM has that much room now")
-        } else if self.largest.is_empty() {
+        } else if self.vm_sizes.is_empty() {
             "the pool has no VM".to_owned()
         } else {
             format!(
@@ -425,26 +439,26 @@
         }
     }
 
-    fn best(&self, want: &Wanted<'_>, size: Size) -> Option<String> {
-        let siblings = |same: &dyn Fn(&Row) -> bool| -> usize {
+    fn best_vm(&self, want: &Wanted<'_>, size: Size) -> Option<String> {
+        let siblings = |matches_vm: &dyn Fn(&Row) -> bool| -> usize {
             self.vms
                 .values()
-                .filter(|vm| same(vm.row))
+                .filter(|vm| matches_vm(vm.row))
                 .filter_map(|vm| vm.owners.get(want.owner))
                 .sum()
         };
         let (name, _) = self
             .vms
             .iter()
-            .filter(|(_, vm)| vm.open && size.fits(vm.room))
+            .filter(|(_, vm)| vm.accepts_tasks && size.fits(vm.room))
             .min_by_key(|(name, vm)| {
-                let not_yet = self.wave_runs && !vm.maintained;
-                let here = vm.siblings(want.owner);
+                let not_maintained = self.wave_active && !vm.maintained;
+                let siblings_here = vm.siblings(want.owner);
                 let rack = siblings(&|row| row.rack() == vm.row.rack());
                 let hall = siblings(&|row| row.hall() == vm.row.hall());
                 let room = std::cmp::Reverse(vm.room.cpu_millis);
-                let tie = stable_hash(&want.task, name);
-                (not_yet, here, rack, hall, room, tie)
+                let tie_break = stable_hash(&want.task, name);
+                (not_maintained, siblings_here, rack, hall, room, tie_break)
             })?;
         Some((*name).to_owned())
     }
@@ -458,7 +472,7 @@
     by_wave && row.state() != VmState::Lost
 }
 
-fn stands(task: &Task) -> bool {
+fn is_placed(task: &Task) -> bool {
     matches!(task.state(), TaskState::Starting | TaskState::Running)
 }
 
--- a/crates/dewspar/src/relay.rs
+++ b/crates/dewspar/src/relay.rs
@@ -17,10 +17,10 @@
 
 # How many
 
-[`CarriageDemand`] keeps how much a node sent of late, second by second, and
+[`RelayDemand`] keeps how much a node sent of late, second by second, and
 remembers the most for a while: demand comes in peaks of seconds, and relays
 that come and go with each would be missing when the next begins.
-[`CarriageDemand::relays`] compares that with what nodes carry beside their
+[`RelayDemand::relays`] compares that with what nodes carry beside their
 other work. A node that carries its own orders has no relay.
 
 # Which one
@@ -33,7 +33,7 @@
 # Example
 
 ```
-use dewspar::relay::{CarriageDemand, RelayNode, relay_for};
+use dewspar::relay::{RelayDemand, RelayNode, relay_for};
 
 let node = |name: &str| RelayNode {
     name: name.to_owned(),
@@ -42,10 +42,10 @@
 };
 let nodes = [node("athens-1"), node("athens-2"), node("athens-3")];
 
-let mut demand = CarriageDemand::default();
-demand.note(1_000, 400);
+let mut demand = RelayDemand::default();
+demand.record(1_000, 400);
 assert!(demand.relays(1_000, 500, &nodes).is_empty(), "it carries these");
-demand.note(2_000, 3_000);
+demand.record(2_000, 3_000);
 let relays = demand.relays(2_000, 500, &nodes);
 assert_eq!(relays.len(), 3, "twice what was sent has to fit");
 
@@ -66,15 +66,15 @@
 /// unit of its strength, which is a thousandth of a core where its link
 /// suffices: a call takes 75 us of processor (a profile at 4,500 calls a
 /// second), and this is four tenths of it.
-const CALLS_A_STRENGTH: u64 = 5;
+const CALLS_PER_STRENGTH: u64 = 5;
 
 /// How much more than what was sent relays must be able to carry: what is sent
 /// is what could be, not what waits, and a peak grows by as much in a second.
-const HEADROOM: u64 = 2;
+const HEADROOM_FACTOR: u64 = 2;
 
 /// For how long the most that was sent in a second counts, in milliseconds:
 /// longer than from one peak of a fleet's queues to the next.
-const REMEMBERED_MS: u64 = 60_000;
+const PEAK_WINDOW_MS: u64 = 60_000;
 
 /// A node that offers to carry orders, as it says of itself.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
@@ -97,21 +97,21 @@
 
 /// How much a node sent of late, and how many relays that takes.
 #[derive(Clone, Debug, Default)]
-pub struct CarriageDemand {
+pub struct RelayDemand {
     /// Newest last; each is more than all after it.
     samples: VecDeque<Sample>,
 }
 
-impl CarriageDemand {
+impl RelayDemand {
     /// Notes how many calls a second were sent up to now.
-    pub fn note(&mut self, now_ms: u64, calls_per_s: u64) {
+    pub fn record(&mut self, now_ms: u64, calls_per_s: u64) {
         while self.samples.back().is_some_and(|s| s.calls_per_s <= calls_per_s)
         {
             self.samples.pop_back();
         }
         self.samples.push_back(Sample { at_ms: now_ms, calls_per_s });
-        let is_old = |s: &Sample| now_ms >= s.at_ms + REMEMBERED_MS;
-        while self.samples.front().is_some_and(is_old) {
+        let is_expired = |s: &Sample| now_ms >= s.at_ms + PEAK_WINDOW_MS;
+        while self.samples.front().is_some_and(is_expired) {
             self.samples.pop_front();
         }
     }
@@ -130,10 +130,10 @@
         own_strength: u64,
         others: &[RelayNode],
     ) -> Vec<RelayNode> {
-        let is_new = |s: &&Sample| now_ms < s.at_ms + REMEMBERED_MS;
-        let newest = self.samples.iter().find(is_new);
-        let calls_per_s = newest.map_or(0, |sample| sample.calls_per_s);
-        if calls_per_s <= own_strength * CALLS_A_STRENGTH {
+        let is_recent = |s: &&Sample| now_ms < s.at_ms + PEAK_WINDOW_MS;
+        let peak = self.samples.iter().find(is_recent);
+        let calls_per_s = peak.map_or(0, |sample| sample.calls_per_s);
+        if calls_per_s <= own_strength * CALLS_PER_STRENGTH {
             return Vec::new();
         }
         let mut ranked: Vec<&RelayNode> = others.iter().collect();
@@ -143,10 +143,10 @@
         let mut carried = 0;
         let mut chosen = Vec::new();
         for node in ranked {
-            if carried >= calls_per_s * HEADROOM {
+            if carried >= calls_per_s * HEADROOM_FACTOR {
                 break;
             }
-            carried += node.strength * CALLS_A_STRENGTH;
+            carried += node.strength * CALLS_PER_STRENGTH;
             chosen.push(node.clone());
         }
         chosen
@@ -174,26 +174,26 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Lateness {
     /// How far the receiver's clock is ahead, in milliseconds, at most.
-    ahead_ms: i64,
+    clock_offset_ms: i64,
 }
 
 impl Lateness {
     /// Begins with a first message, by when it was sent and received.
     pub fn new(sent_ms: u64, received_ms: u64) -> Lateness {
-        Lateness { ahead_ms: ahead_ms(sent_ms, received_ms) }
+        Lateness { clock_offset_ms: clock_offset_ms(sent_ms, received_ms) }
     }
 
     /// Returns how late a message is, in milliseconds.
     pub fn of(&mut self, sent_ms: u64, received_ms: u64) -> u64 {
-        let ahead_ms = ahead_ms(sent_ms, received_ms);
-        self.ahead_ms = self.ahead_ms.min(ahead_ms);
-        ahead_ms.abs_diff(self.ahead_ms)
+        let clock_offset_ms = clock_offset_ms(sent_ms, received_ms);
+        self.clock_offset_ms = self.clock_offset_ms.min(clock_offset_ms);
+        clock_offset_ms.abs_diff(self.clock_offset_ms)
     }
 }
 
 /// Returns how far the receiver's clock seems ahead, in milliseconds; what the
 /// sender says may be any number.
-fn ahead_ms(sent_ms: u64, received_ms: u64) -> i64 {
+fn clock_offset_ms(sent_ms: u64, received_ms: u64) -> i64 {
     received_ms.wrapping_sub(sent_ms).cast_signed()
 }
 
@@ -204,7 +204,7 @@
     relays: impl IntoIterator<Item = &'a RelayNode>,
 ) -> Option<usize> {
     let ranked = relays.into_iter().enumerate().map(|(position, relay)| {
-        (position, rank(worker, &relay.name, relay.strength))
+        (position, weighted_score(worker, &relay.name, relay.strength))
     });
     let best = ranked.max_by(|(_, a), (_, b)| a.total_cmp(b));
     best.map(|(position, _)| position)
@@ -214,7 +214,7 @@
 ///
 /// With ranks of `-weight / ln(u)`, `u` being uniform between 0 and 1, each
 /// relay is the highest for a share of workers that is as large as its weight.
-fn rank(worker: &str, relay: &str, strength: u64) -> f64 {
+fn weighted_score(worker: &str, relay: &str, strength: u64) -> f64 {
     // Half a step up, so that it is neither 0 nor 1.
     let hashed = (stable_hash(worker, relay) >> 11) as f64 + 0.5;
     let uniform = hashed / (1u64 << 53) as f64;
--- a/crates/dewspar/src/schedule/scheduler.rs
+++ b/crates/dewspar/src/schedule/scheduler.rs
@@ -631,7 +631,7 @@
     /// order in which they were due.
     fn poll_workers(&mut self, now: Now, actions: &mut Vec<Action>) {
         let long_poll =
-            self.link.is_short(now.steady_ms) || self.poll_pause_ms() > 0;
+            self.link.is_saturated(now.steady_ms) || self.poll_pause_ms() > 0;
         let mut due: Vec<(Class, u64, WorkerNumber)> = Vec::new();
         for number in self.due_workers(now) {
             let Some(worker) = self.workers.at(number) else { continue };
--- a/crates/dewspar/src/wave.rs
+++ b/crates/dewspar/src/wave.rs
@@ -34,7 +34,7 @@
 let snapshot = Snapshot::default().apply(&changes)?;
 let mut hall = Hall::default();
 for vm in ["vm-1", "vm-2"] {
-    hall.list(&Listing::new(vm, "hall-1", "rack-1", "127.0.0.1:1"));
+    hall.apply_listing(&Listing::new(vm, "hall-1", "rack-1", "127.0.0.1:1"));
     hall.assign(vm, Some("registry"), 0)?;
 }
 let rows: Vec<_> = hall.rows().collect();
@@ -114,24 +114,22 @@
     state: &PoolState,
     rows: &[(&str, &Row)],
 ) -> Vec<Step> {
-    let Some(spec) = spec_of(snapshot, wave) else {
+    let Some(spec) = wave_spec(snapshot, wave) else {
         return Vec::new();
     };
     if state.wave_done(wave) {
         return Vec::new();
     }
-    let order = order(&spec.pool, rows);
-    let mut steps: Vec<Step> = order
+    let vms = by_rack(&spec.pool, rows);
+    let mut steps: Vec<Step> = vms
         .iter()
-        .filter_map(|(vm, row)| under_way(wave, state, vm, row))
+        .filter_map(|(vm, row)| next_step_for(wave, state, vm, row))
         .collect();
-    let out = out_for(wave, state);
+    let out = count_out(wave, state);
     // One that failed meanwhile remains too, until it is back or has left
     // the pool.
-    let remaining: Vec<&(&str, &Row)> = order
-        .iter()
-        .filter(|(_, row)| row.maintained() != Some(wave))
-        .collect();
+    let remaining: Vec<&(&str, &Row)> =
+        vms.iter().filter(|(_, row)| row.maintained() != Some(wave)).collect();
     if remaining.is_empty() && out == 0 {
         steps.push(Step::Complete);
     } else if !spec.paused && out < spec.max_parallel as usize {
@@ -147,10 +145,10 @@
     state: &PoolState,
     rows: &[(&str, &Row)],
 ) -> Option<Progress> {
-    let spec = spec_of(snapshot, wave)?;
-    let order = order(&spec.pool, rows);
+    let spec = wave_spec(snapshot, wave)?;
+    let vms = by_rack(&spec.pool, rows);
     let done =
-        order.iter().filter(|(_, row)| row.maintained() == Some(wave)).count();
+        vms.iter().filter(|(_, row)| row.maintained() == Some(wave)).count();
     let steps = steps(snapshot, wave, state, rows);
     let blocked_by = steps.iter().find_map(|step| match step {
         Step::Blocked { shortage } => Some(shortage.to_string()),
@@ -165,11 +163,11 @@
     } else {
         "running"
     };
-    let out = out_for(wave, state);
-    Some(Progress { state: name, done, out, total: order.len(), blocked_by })
+    let out = count_out(wave, state);
+    Some(Progress { state: name, done, out, total: vms.len(), blocked_by })
 }
 
-fn spec_of<'a>(
+fn wave_spec<'a>(
     snapshot: &'a Snapshot,
     wave: &str,
 ) -> Option<&'a MaintenanceWaveSpec> {
@@ -179,7 +177,7 @@
     }
 }
 
-fn out_for(wave: &str, state: &PoolState) -> usize {
+fn count_out(wave: &str, state: &PoolState) -> usize {
     let by_wave = |reason: &Reason| *reason == Reason::Wave(wave.to_owned());
     state.taken().filter(|(_, taken)| by_wave(taken.reason())).count()
 }
@@ -188,7 +186,7 @@
 ///
 /// VMs of one rack share a fate anyway: while the wave is in a rack, the
 /// worst single rack to lose is often that same one.
-fn order<'a>(
+fn by_rack<'a>(
     pool: &str,
     rows: &[(&'a str, &'a Row)],
 ) -> Vec<(&'a str, &'a Row)> {
@@ -203,7 +201,7 @@
 }
 
 /// Returns the next step of a VM that the wave has taken.
-fn under_way(
+fn next_step_for(
     wave: &str,
     state: &PoolState,
     vm: &str,
--- a/crates/dewspar/src/window.rs
+++ b/crates/dewspar/src/window.rs
@@ -87,7 +87,7 @@
 pub struct CallWindow {
     limits: WindowLimits,
     size: usize,
-    under_way: usize,
+    in_flight: usize,
     /// Whether it was full since the last look.
     was_full: bool,
     tally: Tally,
@@ -99,7 +99,7 @@
     /// At least half of them were slow or got no answer.
     Slow,
     /// Neither.
-    Middling,
+    Moderate,
     /// More than half of them were fast.
     Fast,
 }
@@ -114,7 +114,7 @@
 
 impl Tally {
     /// Notes the end of a call.
-    pub(crate) fn note(&mut self, end: CallEnd, limits: &WindowLimits) {
+    pub(crate) fn record(&mut self, end: CallEnd, limits: &WindowLimits) {
         match end {
             CallEnd::Answered { took_ms } => {
                 self.ended += 1;
@@ -136,7 +136,7 @@
         } else if self.fast * 2 > self.ended {
             Speed::Fast
         } else {
-            Speed::Middling
+            Speed::Moderate
         }
     }
 }
@@ -147,7 +147,7 @@
         CallWindow {
             limits,
             size: limits.initial,
-            under_way: 0,
+            in_flight: 0,
             was_full: false,
             tally: Tally::default(),
         }
@@ -155,7 +155,7 @@
 
     /// Returns how many calls may be sent now.
     pub fn room(&self) -> usize {
-        self.size.saturating_sub(self.under_way)
+        self.size.saturating_sub(self.in_flight)
     }
 
     /// Returns how many calls may be under way at once.
@@ -164,8 +164,8 @@
     }
 
     /// Returns how many calls are under way.
-    pub fn under_way(&self) -> usize {
-        self.under_way
+    pub fn in_flight(&self) -> usize {
+        self.in_flight
     }
 
     /// Returns how long calls take at the median on a node that can't keep up,
@@ -185,14 +185,14 @@
     /// Notes calls that are sent; more than there is room for is allowed
     /// where calls must go together.
     pub fn sent(&mut self, calls: usize) {
-        self.under_way += calls;
-        self.was_full |= self.under_way >= self.size;
+        self.in_flight += calls;
+        self.was_full |= self.in_flight >= self.size;
     }
 
     /// Notes the end of a call.
     pub fn ended(&mut self, end: CallEnd) {
-        self.under_way = self.under_way.saturating_sub(1);
-        self.tally.note(end, &self.limits);
+        self.in_flight = self.in_flight.saturating_sub(1);
+        self.tally.record(end, &self.limits);
         if self.tally.ended >= self.size {
             self.adjust();
         }
@@ -206,11 +206,11 @@
                 self.size = (self.size / 2).max(self.limits.least);
             }
             Speed::Fast if was_full => {
-                let more = self.size / 2;
+                let growth = self.size / 2;
                 self.size =
-                    self.size.saturating_add(more).min(self.limits.most);
+                    self.size.saturating_add(growth).min(self.limits.most);
             }
-            Speed::Fast | Speed::Middling => {}
+            Speed::Fast | Speed::Moderate => {}
         }
     }
 }
--- a/crates/dewspar/tests/config.rs
+++ b/crates/dewspar/tests/config.rs
@@ -159,14 +159,14 @@
 
 #[test]
 fn list_with_two_vms_at_one_address_is_refused() {
-    use dewspar::fleet::{Listing, check_list};
+    use dewspar::fleet::{Listing, check_addresses};
     let at = |name: &str, address: &str| {
         Listing::new(name, "hall-1", "rack-1", address)
     };
     let good = [at("vm-1", "127.0.0.1:1"), at("vm-2", "127.0.0.1:2")];
-    assert_eq!(check_list(&good), Ok(()));
+    assert_eq!(check_addresses(&good), Ok(()));
     let bad = [at("vm-1", "127.0.0.1:1"), at("vm-2", "127.0.0.1:1")];
-    let error = check_list(&bad).expect_err("one address");
+    let error = check_addresses(&bad).expect_err("one address");
     assert_eq!(
         error.to_string(),
         "VMs `vm-1` and `vm-2` are both listed at 127.0.0.1:1",
--- a/crates/dewspar/tests/halls.rs
+++ b/crates/dewspar/tests/halls.rs
@@ -14,23 +14,23 @@
     Listing::new(vm, "hall-1", "rack-1", "127.0.0.1:7001")
 }
 
-fn good() -> Hall {
+fn good_hall() -> Hall {
     let mut hall = Hall::default();
-    hall.list(&listing("vm-good"));
+    hall.apply_listing(&listing("vm-good"));
     hall.assign("vm-good", Some("registry"), 10).expect("a free VM");
     hall
 }
 
 /// A document with this row beside a good one.
-fn beside(odd: &str) -> Hall {
-    let good = serde_json::to_value(good()).expect("plain JSON");
+fn hall_with_odd_row(odd: &str) -> Hall {
+    let good = serde_json::to_value(good_hall()).expect("plain JSON");
     let good = &good["rows"]["vm-good"];
     let text = format!(r#"{{"rows":{{"vm-odd":{odd},"vm-good":{good}}}}}"#);
     serde_json::from_str(&text).expect("a document")
 }
 
-fn sleeping() -> String {
-    let mut row = serde_json::to_value(good()).expect("plain JSON");
+fn row_with_unknown_state() -> String {
+    let mut row = serde_json::to_value(good_hall()).expect("plain JSON");
     let mut row = row["rows"]["vm-good"].take();
     row["state"] = json!("sleeping");
     row["wakes_at_ms"] = json!(77);
@@ -39,16 +39,21 @@
 
 #[test]
 fn a_row_that_cant_be_read_hides_itself_alone_and_is_kept() {
-    for odd in [sleeping().as_str(), "null", "[]", "{}", r#"{"epoch":1e999}"#]
-    {
-        let mut hall = beside(odd);
+    for odd in [
+        row_with_unknown_state().as_str(),
+        "null",
+        "[]",
+        "{}",
+        r#"{"epoch":1e999}"#,
+    ] {
+        let mut hall = hall_with_odd_row(odd);
         assert!(hall.row("vm-good").is_some(), "beside {odd}");
         assert!(hall.row("vm-odd").is_none(), "{odd}");
         let unreadable: Vec<&str> =
             hall.unreadable().map(|(vm, _)| vm).collect();
         assert_eq!(unreadable, ["vm-odd"]);
         // Nothing is believed of it, and nothing is made of it anew.
-        assert!(!hall.list(&listing("vm-odd")), "{odd}");
+        assert!(!hall.apply_listing(&listing("vm-odd")), "{odd}");
         let refused = hall.handle("vm-odd", "lose", 20);
         assert_eq!(refused, Err(Error::Unlisted("vm-odd".to_owned())));
         hall.handle("vm-good", "drain", 20).expect("a serving VM");
@@ -63,16 +68,16 @@
 /// A field that this version doesn't know is no reason to hide a VM.
 #[test]
 fn a_row_with_a_field_more_is_read() {
-    let mut row = serde_json::to_value(good()).expect("plain JSON");
+    let mut row = serde_json::to_value(good_hall()).expect("plain JSON");
     let mut row = row["rows"]["vm-good"].take();
     row["power"] = json!({ "watts": 300 });
-    let hall = beside(&row.to_string());
+    let hall = hall_with_odd_row(&row.to_string());
     let row = hall.row("vm-odd").expect("its row");
     assert_eq!(row.pool(), Some("registry"));
 }
 
-fn good_row_is_there(field: usize, with: u8) -> bool {
-    let row = serde_json::to_value(good()).expect("plain JSON");
+fn good_row_is_readable(field: usize, with: u8) -> bool {
+    let row = serde_json::to_value(good_hall()).expect("plain JSON");
     let mut row = row["rows"]["vm-good"].clone();
     let values = [
         Value::Null,
@@ -90,7 +95,7 @@
         Some(value) => fields.insert(name, value.clone()),
         None => fields.remove(&name),
     };
-    let hall = beside(&row.to_string());
+    let hall = hall_with_odd_row(&row.to_string());
     let row = hall.row("vm-good");
     row.is_some_and(|row| row.pool() == Some("registry"))
 }
@@ -100,5 +105,5 @@
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(100, 13))
         .tests(500)
-        .quickcheck(good_row_is_there as fn(usize, u8) -> bool);
+        .quickcheck(good_row_is_readable as fn(usize, u8) -> bool);
 }
--- a/crates/dewspar/tests/link.rs
+++ b/crates/dewspar/tests/link.rs
@@ -27,13 +27,13 @@
 }
 
 /// Sends more than the budget has.
-fn use_up(budget: &mut LinkBudget, now_ms: u64) {
+fn exhaust(budget: &mut LinkBudget, now_ms: u64) {
     budget.refill(now_ms);
     budget.sent(Class::Start, 1_000_000);
 }
 
 #[test]
-fn a_slow_node_with_a_link_to_spare_sends_no_less() {
+fn slow_calls_on_an_idle_link_keep_the_rate() {
     let window = WindowLimits::default();
     let mut budget = LinkBudget::new(LinkLimits::of_link(20.0));
     let full = budget.rate();
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn neither_starts_nor_questions_starve_the_other() {
+fn starts_and_questions_do_not_starve_each_other() {
     let mut budget = LinkBudget::new(LinkLimits::of_link(2.0));
     let (starts, questions) = send_for(&mut budget, 10_000, true);
     // 175 kB/s: 60 % for starts of 1 kB, 40 % for questions of 250 bytes.
@@ -57,14 +57,14 @@
 }
 
 #[test]
-fn what_one_share_leaves_the_other_may_use() {
+fn unused_share_goes_to_the_other_class() {
     let mut budget = LinkBudget::new(LinkLimits::of_link(2.0));
     let (_, questions) = send_for(&mut budget, 10_000, false);
     assert!((6_900..7_200).contains(&questions), "{questions}");
 }
 
 #[test]
-fn renewals_and_stops_go_out_whatever_was_sent() {
+fn renewals_and_stops_are_always_allowed() {
     let mut budget = LinkBudget::new(LinkLimits::of_link(2.0));
     budget.refill(1_000);
     budget.sent(Class::Start, 1_000_000);
@@ -77,11 +77,11 @@
 }
 
 #[test]
-fn one_congestion_lowers_the_rate_once() {
+fn one_congestion_event_lowers_the_rate_once() {
     let window = WindowLimits::default();
     let mut budget = LinkBudget::new(LinkLimits::of_link(2.0));
     let full = budget.rate();
-    use_up(&mut budget, 1_000);
+    exhaust(&mut budget, 1_000);
     // 200 calls that all met the same reading of the directory.
     for _ in 0..200 {
         budget.ended(1_000, 1_300, CallEnd::Unanswered, &window);
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn a_link_that_drops_to_a_tenth_is_found_and_left_again() {
+fn rate_follows_a_link_that_drops_to_a_tenth_and_recovers() {
     let window = WindowLimits::default();
     let limits = LinkLimits::of_link(20.0);
     let mut budget = LinkBudget::new(limits);
@@ -103,20 +103,20 @@
     let mut now_ms = 1_000;
     for _ in 0..1_000 {
         now_ms += 100;
-        use_up(&mut budget, now_ms);
+        exhaust(&mut budget, now_ms);
         let end = CallEnd::Answered { took_ms: 400 };
         budget.ended(now_ms - 50, now_ms, end, &window);
     }
-    assert_eq!(budget.rate(), full / 100 * limits.least_percent);
-    use_up(&mut budget, now_ms);
-    assert!(!budget.is_short(now_ms), "nothing is left to be lowered");
+    assert_eq!(budget.rate(), full / 100 * limits.min_percent);
+    exhaust(&mut budget, now_ms);
+    assert!(!budget.is_saturated(now_ms), "nothing is left to be lowered");
     for _ in 0..1_000 {
         now_ms += 100;
         let end = CallEnd::Answered { took_ms: 3 };
         budget.ended(now_ms - 3, now_ms, end, &window);
     }
     assert_eq!(budget.rate(), full);
-    use_up(&mut budget, now_ms);
-    assert!(budget.is_short(now_ms), "work waits");
-    assert!(!budget.is_short(now_ms + 2_000));
+    exhaust(&mut budget, now_ms);
+    assert!(budget.is_saturated(now_ms), "work waits");
+    assert!(!budget.is_saturated(now_ms + 2_000));
 }
--- a/crates/dewspar/tests/relay.rs
+++ b/crates/dewspar/tests/relay.rs
@@ -1,7 +1,7 @@
 //! Which nodes carry a holder's orders, and how many of them.
 
 use {
-    dewspar::relay::{CarriageDemand, Lateness, RelayNode, relay_for},
+    dewspar::relay::{Lateness, RelayDemand, RelayNode, relay_for},
     quickcheck::quickcheck,
     std::collections::BTreeMap,
 };
@@ -18,12 +18,12 @@
 /// it sends.
 fn relays_over(calls_per_s: &[u64]) -> Vec<usize> {
     let others = nodes(17, 500);
-    let mut demand = CarriageDemand::default();
+    let mut demand = RelayDemand::default();
     (1_000..)
         .step_by(1_000)
         .zip(calls_per_s)
         .map(|(now_ms, calls)| {
-            demand.note(now_ms, *calls);
+            demand.record(now_ms, *calls);
             demand.relays(now_ms, 500, &others).len()
         })
         .collect()
@@ -32,18 +32,18 @@
 /// A queue's demand turns each 20 s: five seconds at five times its mean,
 /// fifteen at a twentieth. Relays are there for the second peak from its start.
 #[test]
-fn relays_stay_from_one_peak_to_the_next() {
-    let turn = [200, 900, 3_600, 4_000, 4_000]
+fn relays_are_kept_between_peaks() {
+    let cycle = [200, 900, 3_600, 4_000, 4_000]
         .into_iter()
         .chain(std::iter::repeat_n(180, 15));
-    let two_turns: Vec<u64> = turn.clone().chain(turn).collect();
-    let relays = relays_over(&two_turns);
+    let two_cycles: Vec<u64> = cycle.clone().chain(cycle).collect();
+    let relays = relays_over(&two_cycles);
     assert_eq!(relays[..5], [0, 0, 3, 4, 4]);
     assert!(relays[5..].iter().all(|relays| *relays == 4), "{relays:?}");
 }
 
 #[test]
-fn relays_go_once_no_peak_has_come_for_long() {
+fn relays_are_released_after_a_minute_without_a_peak() {
     let mut calls = vec![4_000];
     calls.extend(std::iter::repeat_n(100, 70));
     let relays = relays_over(&calls);
@@ -52,19 +52,19 @@
 }
 
 #[test]
-fn a_node_that_carries_all_by_itself_has_no_relay() {
+fn a_node_that_suffices_alone_uses_no_relay() {
     assert!(relays_over(&[2_500; 30]).iter().all(|relays| *relays == 0));
 }
 
 #[test]
-fn the_strongest_are_taken_and_all_where_none_suffices() {
+fn strongest_nodes_are_chosen_first_and_all_if_needed() {
     let mut others = nodes(3, 100);
     others.push(node("athens-strong", 2_000));
-    let mut demand = CarriageDemand::default();
-    demand.note(1_000, 3_000);
+    let mut demand = RelayDemand::default();
+    demand.record(1_000, 3_000);
     let relays = demand.relays(1_000, 500, &others);
     assert_eq!(relays, [node("athens-strong", 2_000)]);
-    demand.note(2_000, 30_000);
+    demand.record(2_000, 30_000);
     assert_eq!(demand.relays(2_000, 500, &others).len(), 4);
 }
 
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_relay_gets_workers_by_its_strength() {
+fn workers_are_shared_in_proportion_to_strength() {
     let relays = [node("a", 500), node("b", 500), node("c", 1_000)];
     let shares = shares(&relays);
     for (name, expected) in [("a", 2_500), ("b", 2_500), ("c", 5_000)] {
@@ -88,13 +88,13 @@
 }
 
 #[test]
-fn no_relay_carries_where_there_is_none() {
+fn no_relay_is_chosen_from_an_empty_list() {
     assert_eq!(relay_for("worker-1", &[]), None);
 }
 
 quickcheck! {
     /// Whatever relay is lost, no worker moves that it didn't carry for.
-    fn a_lost_relay_moves_only_its_own_workers(
+    fn losing_a_relay_moves_only_its_own_workers(
         strengths: Vec<u16>, worker: u32, lost: usize
     ) -> bool {
         let relays: Vec<RelayNode> = strengths
@@ -118,20 +118,20 @@
 /// longer than the fastest one so far; also where the receiver was suspended
 /// before the first one.
 #[test]
-fn messages_are_as_late_as_they_took_longer_than_the_fastest() {
-    for apart_ms in [0, 7, 1_000_000_000, u64::MAX - 5] {
-        let received = |sent_ms: u64, way_ms: u64| {
-            (sent_ms.wrapping_add(apart_ms), sent_ms + way_ms)
+fn lateness_is_the_excess_over_the_fastest_message() {
+    for offset_ms in [0, 7, 1_000_000_000, u64::MAX - 5] {
+        let received = |sent_ms: u64, delay_ms: u64| {
+            (sent_ms.wrapping_add(offset_ms), sent_ms + delay_ms)
         };
         let (sent_ms, received_ms) = received(10_000, 250);
         let mut lateness = Lateness::new(sent_ms, received_ms);
         let late =
             [(11_000, 300), (12_000, 20), (13_000, 20), (14_000, 4_020)].map(
-                |(sent_ms, way_ms)| {
-                    let (sent_ms, received_ms) = received(sent_ms, way_ms);
+                |(sent_ms, delay_ms)| {
+                    let (sent_ms, received_ms) = received(sent_ms, delay_ms);
                     lateness.of(sent_ms, received_ms)
                 },
             );
-        assert_eq!(late, [50, 0, 0, 4_000], "{apart_ms} apart");
+        assert_eq!(late, [50, 0, 0, 4_000], "{offset_ms} apart");
     }
 }
--- a/crates/dewspar/tests/schedule/worker_capacity.rs
+++ b/crates/dewspar/tests/schedule/worker_capacity.rs
@@ -115,7 +115,7 @@
         }
         // The run is to be stopped, and its end isn't reported yet.
         let _ = world.scheduler.plan(now);
-        let started = world.scheduler.window().under_way() > 0;
+        let started = world.scheduler.window().in_flight() > 0;
         assert_eq!(started, guarded);
     }
 }
--- a/crates/dewspar/tests/waves.rs
+++ b/crates/dewspar/tests/waves.rs
@@ -41,7 +41,12 @@
         let mut hall = Hall::default();
         for (index, name) in names.iter().enumerate() {
             let rack = format!("rack-{}", index / 2);
-            hall.list(&Listing::new(name, "hall", &rack, "127.0.0.1:1"));
+            hall.apply_listing(&Listing::new(
+                name,
+                "hall",
+                &rack,
+                "127.0.0.1:1",
+            ));
             hall.assign(name, Some("p"), 0).expect("free");
         }
         let state = PoolState::default();
@@ -92,7 +97,7 @@
         let mut done = false;
         for step in steps {
             done |= self.carry_out(step);
-            assert!(!self.is_broken(), "a step broke the budget");
+            assert!(!self.violates_budget(), "a step broke the budget");
         }
         done
     }
@@ -138,7 +143,7 @@
         true
     }
 
-    fn is_broken(&self) -> bool {
+    fn violates_budget(&self) -> bool {
         budget::broken(&self.snapshot, "p", &self.state, &self.rows())
             .is_some()
     }
@@ -172,7 +177,7 @@
 }
 
 #[test]
-fn wave_without_failures_moves_nothing() {
+fn wave_without_failures_moves_no_task() {
     for vms in 2..12 {
         let mut sim = Sim::new(vms, vms - 1, false);
         assert!(sim.run(), "{vms} VMs");
@@ -192,7 +197,7 @@
 }
 
 #[test]
-fn wave_counts_the_worst_rack() {
+fn wave_reserves_the_loss_of_the_largest_rack() {
     // Two VMs a rack: taking one of another rack leaves 8 - 1 - 2.
     let mut sim = Sim::new(8, 6, true);
     assert!(!sim.run());
@@ -201,7 +206,7 @@
 }
 
 #[test]
-fn wave_spreads_siblings_that_a_failure_put_together() {
+fn wave_spreads_siblings_that_a_failure_placed_on_one_vm() {
     // A VM fails, and its runner moves in with a sibling. No VM with two
     // runners may be taken until they are apart again, and the wave can't
     // end without the VM that failed.
@@ -215,7 +220,7 @@
 }
 
 #[test]
-fn failures_at_any_moment_leave_the_budget_whole() {
+fn budget_holds_whenever_a_vm_fails() {
     fn holds(vms: usize, fail_at: u8, which: usize, back_after: u8) -> bool {
         let vms = 4 + vms % 9;
         let mut sim = Sim::new(vms, vms - 2, false);
@@ -230,7 +235,7 @@
             return true;
         }
         sim.fail(&vm);
-        assert!(!sim.is_broken(), "one failure is within the budget");
+        assert!(!sim.violates_budget(), "one failure is within the budget");
         for _ in 0..back_after {
             sim.step();
         }
--- a/crates/dewspar/tests/window.rs
+++ b/crates/dewspar/tests/window.rs
@@ -10,7 +10,7 @@
 };
 
 const FAST: CallEnd = CallEnd::Answered { took_ms: 2 };
-const MIDDLING: CallEnd = CallEnd::Answered { took_ms: 120 };
+const MODERATE: CallEnd = CallEnd::Answered { took_ms: 120 };
 const SLOW: CallEnd = CallEnd::Answered { took_ms: 190 };
 
 /// Fills the window and ends every call, `ends` in turn.
@@ -29,7 +29,7 @@
     fill(&mut window, &[FAST]);
     fill(&mut window, &[FAST]);
     assert_eq!(window.size(), 144);
-    fill(&mut window, &[MIDDLING]);
+    fill(&mut window, &[MODERATE]);
     assert_eq!(window.size(), 144);
     fill(&mut window, &[SLOW]);
     assert_eq!(window.size(), 72);
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_few_silent_servers_change_nothing() {
+fn a_minority_of_silent_servers_does_not_shrink_the_window() {
     let limits = WindowLimits::default();
     let mut window = CallWindow::new(limits);
     fill(&mut window, &[FAST, FAST, CallEnd::Unanswered]);
@@ -72,20 +72,20 @@
 
 /// Lets a node that carries out so many calls a second, in their order, have
 /// more to do than that for 20 s; returns whether it was found overloaded.
-fn hands_over(calls_a_second: f64) -> bool {
+fn is_found_overloaded(calls_per_s: f64) -> bool {
     let mut window = CallWindow::new(WindowLimits::default());
     let mut trips = RoundTrips::new(600);
-    let mut under_way: VecDeque<u64> = VecDeque::new();
+    let mut in_flight: VecDeque<u64> = VecDeque::new();
     let mut credit = 0.0;
     (10_000..30_000).any(|now_ms| {
         let room = window.room();
-        under_way.extend(std::iter::repeat_n(now_ms, room));
+        in_flight.extend(std::iter::repeat_n(now_ms, room));
         window.sent(room);
-        credit += calls_a_second / 1_000.0;
+        credit += calls_per_s / 1_000.0;
         while credit >= 1.0 {
             credit -= 1.0;
             // OK because the window is kept full.
-            let sent_ms = under_way.pop_front().unwrap();
+            let sent_ms = in_flight.pop_front().unwrap();
             let took_ms = now_ms - sent_ms;
             if took_ms <= TIMEOUT_MS {
                 trips.note(now_ms, took_ms);
@@ -100,14 +100,14 @@
 
 #[test]
 fn a_node_too_slow_for_the_smallest_window_is_found_overloaded() {
-    assert!(hands_over(350.0));
-    assert!(hands_over(500.0));
+    assert!(is_found_overloaded(350.0));
+    assert!(is_found_overloaded(500.0));
     // A node of half a core: it has much to do, and does it.
-    assert!(!hands_over(2_000.0));
+    assert!(!is_found_overloaded(2_000.0));
 }
 
 quickcheck! {
-    fn stays_within_its_limits(ends: Vec<u8>) -> bool {
+    fn size_stays_within_its_limits(ends: Vec<u8>) -> bool {
         let limits = WindowLimits::default();
         let mut window = CallWindow::new(limits);
         ends.iter().all(|end| {
@@ -119,8 +119,8 @@
             };
             fill(&mut window, &[end]);
             let size = window.size();
-            let nothing_left = window.under_way() == 0;
-            (limits.least..=limits.most).contains(&size) && nothing_left
+            let none_in_flight = window.in_flight() == 0;
+            (limits.least..=limits.most).contains(&size) && none_in_flight
         })
     }
 }
--- a/crates/dewspard/src/fleet/halls.rs
+++ b/crates/dewspard/src/fleet/halls.rs
@@ -104,7 +104,7 @@
 fn take_over(hall: &mut Hall, listed: &[&Listing]) -> bool {
     let mut changed = false;
     for listing in listed {
-        changed |= hall.list(listing);
+        changed |= hall.apply_listing(listing);
     }
     changed
 }
--- a/crates/dewspard/src/jobs/holder.rs
+++ b/crates/dewspard/src/jobs/holder.rs
@@ -478,7 +478,10 @@
             self.scheduler.window().overloaded_ms(OVERLOADED_ORDER_MS);
         let slow =
             self.round_trips.are_slow(now.steady_ms, window_overloaded_ms);
-        if settled && slow && !self.scheduler.link().is_short(now.steady_ms) {
+        if settled
+            && slow
+            && !self.scheduler.link().is_saturated(now.steady_ms)
+        {
             return Some(StepDown::Overloaded);
         }
         for action in actions {
--- a/crates/dewspard/src/jobs/load_stats.rs
+++ b/crates/dewspard/src/jobs/load_stats.rs
@@ -93,7 +93,7 @@
             return;
         }
         gauge!(counters::ORDERS_WINDOW).set(window.size() as f64);
-        gauge!(counters::ORDERS_UNDER_WAY).set(window.under_way() as f64);
+        gauge!(counters::ORDERS_UNDER_WAY).set(window.in_flight() as f64);
         gauge!(counters::EVENT_WAIT).set(self.longest_wait_ms as f64 / 1e3);
         let tallies = self.traffic.tallies();
         let traffic = tallies.since(&self.tallies);
@@ -104,7 +104,7 @@
             "plans" => self.plans,
             "planning_ms" => self.planning_time.as_millis() as u64,
             "starts" => self.starts, "holds" => self.holds,
-            "window" => window.size(), "under_way" => window.under_way(),
+            "window" => window.size(), "under_way" => window.in_flight(),
             "relays" => relays, "link_bytes_per_s" => link.rate(),
             "feed_behind_ms" => feed_behind_ms,
             "sent_bytes" => traffic.total().sent_bytes,
--- a/crates/dewspard/src/jobs/progress_writes.rs
+++ b/crates/dewspard/src/jobs/progress_writes.rs
@@ -68,7 +68,7 @@
 impl<K: KeyValue, W: JobWorkers, F: Fleet> Holder<'_, K, W, F> {
     /// Starts the writes of progress that are due.
     pub(super) fn write_changes(&mut self, now: Now) {
-        let link_busy = self.scheduler.link().is_short(now.steady_ms);
+        let link_busy = self.scheduler.link().is_saturated(now.steady_ms);
         let batch_delay_ms =
             if link_busy { BUSY_LINK_BATCH_DELAY_MS } else { BATCH_DELAY_MS };
         let delay_over = now.steady_ms >= self.last_write_ms + batch_delay_ms;
--- a/crates/dewspard/src/jobs/relay/manager.rs
+++ b/crates/dewspard/src/jobs/relay/manager.rs
@@ -7,7 +7,7 @@
 use {
     super::{link::RelayLink, workers::RelayedWorkers},
     crate::{clock, counters, passed_over},
-    dewspar::relay::{CarriageDemand, RelayNode},
+    dewspar::relay::{RelayDemand, RelayNode},
     dewspar_platform::{Error, KeyValue, Traffic, Versioned},
     metrics::gauge,
     slog::{Logger, info, warn},
@@ -74,7 +74,7 @@
     manager: RelayManager<K, W>,
 ) {
     let _close_links = CloseLinksOnDrop(&manager.workers);
-    let mut demand = CarriageDemand::default();
+    let mut demand = RelayDemand::default();
     let mut offers = Offers::default();
     let (mut seen_orders, mut checked_ms) =
         (manager.workers.orders_sent(), clock::now_ms());
@@ -85,7 +85,7 @@
         seen_orders += sent;
         let took_ms = now_ms.saturating_sub(checked_ms).max(1);
         checked_ms = now_ms;
-        demand.note(now_ms, sent * 1_000 / took_ms);
+        demand.record(now_ms, sent * 1_000 / took_ms);
         manager.update_links(&demand, &mut offers, now_ms).await;
     }
 }
@@ -107,7 +107,7 @@
 impl<K: KeyValue, W> RelayManager<K, W> {
     async fn update_links(
         &self,
-        demand: &CarriageDemand,
+        demand: &RelayDemand,
         offers: &mut Offers,
         now_ms: u64,
     ) {
--- a/crates/dewspard/src/membership/mod.rs
+++ b/crates/dewspard/src/membership/mod.rs
@@ -314,7 +314,7 @@
         let probe = self.speak();
         let asked_ms = clock::now_ms();
         let limit = Duration::from_millis(self.options.timing.interval_ms());
-        for peer in self.roster.targets() {
+        for peer in self.roster.probe_targets() {
             let endpoint = self.endpoint.clone();
             let results = self.results.clone();
             let question = Question::Probe(probe.clone());
@@ -356,9 +356,10 @@
             self.roster.probe_succeeded(&probe.node, incarnation, now_ms);
         }
         let suspicions = &probe.suspicions;
-        let mut news = self.roster.hear_as_of(suspicions, said_ms, now_ms);
+        let mut news =
+            self.roster.merge_suspicions_as_of(suspicions, said_ms, now_ms);
         if probe.leaving {
-            news |= self.roster.peer_leaves(&probe.node, probe.incarnation);
+            news |= self.roster.mark_leaving(&probe.node, probe.incarnation);
         }
         if news {
             self.probe_peers();
@@ -457,7 +458,7 @@
         members.insert(own.name().to_owned(), own.clone());
         self.heard.retain(|node, _| members.contains_key(node));
         self.unlisted_since_ms.retain(|node, _| members.contains_key(node));
-        self.roster.list(members.into_values(), now_ms);
+        self.roster.set_members(members.into_values(), now_ms);
     }
 
     /// Returns for how long a node that was heard counts as answering.
--- a/crates/dewspard/src/watcher.rs
+++ b/crates/dewspard/src/watcher.rs
@@ -479,7 +479,7 @@
             Ok(None) => {}
             Ok(Some(listing)) => {
                 tag = listing.tag;
-                match fleet::check_list(&listing.vms) {
+                match fleet::check_addresses(&listing.vms) {
                     Ok(()) => {
                         let is_partial = listing.is_partial;
                         publish_list(&publish, listing.vms, is_partial);
--- a/crates/dewspard/tests/strangers.rs
+++ b/crates/dewspard/tests/strangers.rs
@@ -86,7 +86,7 @@
 
 fn hall_of(vm: &str, hall: &str) -> Hall {
     let mut document = Hall::default();
-    document.list(&Listing::new(vm, hall, "rack-1", "127.0.0.1:1"));
+    document.apply_listing(&Listing::new(vm, hall, "rack-1", "127.0.0.1:1"));
     document
 }
 
