--- a/crates/dewspar/src/schedule/maintenance.rs
+++ b/crates/dewspar/src/schedule/maintenance.rs
@@ -174,14 +174,14 @@
         orders: &mut Vec<VmOrder>,
     ) {
         let Some(state) = self.waves.get(&wave) else { return };
-        let mut room = state.allowance(|vm| self.may_be_down(vm, now));
+        let mut allowance = state.allowance(|vm| self.may_be_down(vm, now));
         let workers = self.workers_by_vm();
         let mut ready = Vec::new();
         for vm in state.remaining() {
             let worker = workers.get(vm.as_str()).copied();
             // A VM that was ordered before counts as down already.
             let again = state.is_ordered(vm);
-            if room == 0 && !again {
+            if allowance == 0 && !again {
                 continue;
             }
             let free =
@@ -191,7 +191,7 @@
             }
             ready.push(vm.clone());
             if !again {
-                room -= 1;
+                allowance -= 1;
             }
         }
         for vm in ready {
@@ -272,7 +272,7 @@
     /// Evicts tasks from workers that are being drained or end soon.
     pub(super) fn drain_workers(&mut self, now: Now) {
         self.clear_unplaced();
-        let emptying: Vec<WorkerId> = self
+        let draining: Vec<WorkerId> = self
             .workers
             .values()
             .filter(|worker| {
@@ -280,7 +280,7 @@
             })
             .map(|worker| worker.id().clone())
             .collect();
-        for id in emptying {
+        for id in draining {
             self.drain_worker(&id, now);
         }
     }
--- a/crates/dewspar/src/schedule/projection.rs
+++ b/crates/dewspar/src/schedule/projection.rs
@@ -7,7 +7,8 @@
 to last as long as its estimate, and each step to begin when the last step that
 it depends on ends.
 
-Tasks that wait for room are not included: they count in full as waiting.
+Ready tasks that wait for a worker are not included: they count in full as
+waiting.
 */
 
 use {
@@ -26,7 +27,7 @@
     /// The remaining time of the longest, in milliseconds.
     remaining_ms: u64,
     /// The usage of those that will still run at the projected time.
-    room: Resources,
+    resources: Resources,
 }
 
 /// One step of one round of a job.
@@ -79,7 +80,7 @@
                 let step = remaining.entry(key).or_default();
                 step.remaining_ms = step.remaining_ms.max(remaining_ms);
                 if remaining_ms > ahead_ms {
-                    step.room.add(&run.demand);
+                    step.resources.add(&run.demand);
                 }
             }
         }
@@ -121,7 +122,7 @@
                 if spec.long_running || state.is_done() {
                     continue;
                 }
-                used.add(&running.room);
+                used.add(&running.resources);
                 let runs_then =
                     start_ms <= ahead_ms && ahead_ms < start_ms + duration_ms;
                 if !ready && runs_then && self.fits_any_vm(spec) {
--- a/crates/dewspar/src/schedule/scheduler.rs
+++ b/crates/dewspar/src/schedule/scheduler.rs
@@ -644,16 +644,16 @@
         }
         // A stable sort keeps equal entries in the order of their identifiers.
         due.sort_by_key(|(class, due_ms, _)| (*class, *due_ms));
-        let mut room = self.poll_allowance(now);
+        let mut allowance = self.poll_allowance(now);
         for (class, _, number) in due {
             if !self.link.allows(class) {
                 return;
             }
             // Polls that renew leases aren't limited, and are sorted first.
-            if room == 0 && class != Class::Renewal {
+            if allowance == 0 && class != Class::Renewal {
                 return;
             }
-            room = room.saturating_sub(1);
+            allowance = allowance.saturating_sub(1);
             let Some(worker) = self.workers.at_mut(number) else { continue };
             worker.set_long_poll(long_poll);
             let hold = hold(worker, false, now, &self.options);
--- a/crates/dewspar/src/schedule/sizing.rs
+++ b/crates/dewspar/src/schedule/sizing.rs
@@ -106,8 +106,9 @@
     /// At most `full_percent` of all processors are to be used, and of what
     /// long-running tasks leave of the other kinds of resources.
     fn vms_needed(&self, vm: &Resources, full_percent: u64) -> u64 {
-        let filled =
-            |room: Resources| room.times(100).divided_by(full_percent);
+        let filled = |resources: Resources| {
+            resources.times(100).divided_by(full_percent)
+        };
         let of_all = filled(self.total_demand());
         let of_left =
             filled(self.short_task_demand()).plus(&self.long_running);
@@ -203,16 +204,16 @@
                     {
                         continue;
                     }
-                    let room = demand(spec).times(waiting);
+                    let resources = demand(spec).times(waiting);
                     if spec.long_running {
-                        load.long_running_waiting.add(&room);
+                        load.long_running_waiting.add(&resources);
                         continue;
                     }
                     let late = now.unix_ms > job.objective_ms(round);
                     let counted = if late {
-                        room.times(late_percent).divided_by(100)
+                        resources.times(late_percent).divided_by(100)
                     } else {
-                        room
+                        resources
                     };
                     load.waiting.add(&counted);
                 }
@@ -227,14 +228,14 @@
         }
         self.long_running_steps = long_running_steps;
         self.record_arrivals(now);
-        for (pool, room) in self.forecast_usage(now) {
+        for (pool, resources) in self.forecast_usage(now) {
             if let Some(load) = loads.get_mut(pool) {
-                load.forecast.add(&room);
+                load.forecast.add(&resources);
             }
         }
-        for (pool, room) in &self.projected {
+        for (pool, resources) in &self.projected {
             if let Some(load) = loads.get_mut(pool) {
-                load.forecast.add(room);
+                load.forecast.add(resources);
             }
         }
         self.pool_loads = loads;
@@ -382,9 +383,10 @@
 
     /// Returns the largest amount of each kind of resource that a VM has.
     fn largest_vm(&self) -> Resources {
-        let rooms = self.vms.values().map(|vm| vm.capacity);
-        rooms
-            .fold(Resources::default(), |most, room| most.component_max(&room))
+        let capacities = self.vms.values().map(|vm| vm.capacity);
+        capacities.fold(Resources::default(), |most, resources| {
+            most.component_max(&resources)
+        })
     }
 
     /// Returns how many VMs a pool has or is about to have.
@@ -426,11 +428,11 @@
             .collect();
         deficits.sort_unstable();
         for (deficit, pool) in deficits {
-            let brought = (0..deficit).take_while(|_| {
+            let added = (0..deficit).take_while(|_| {
                 self.add_vm(&pool, targets, now, orders)
                     || self.take_vm_from_short_tasks(&pool, now)
             });
-            let _ = brought.count();
+            let _ = added.count();
         }
     }
 
@@ -506,8 +508,8 @@
         }
     }
 
-    /// Moves a VM to a pool that is switched off or that another pool can
-    /// spare; returns whether there was one.
+    /// Moves a VM to a pool: one that is switched off, or one that another
+    /// pool can spare. Returns whether there was one.
     fn add_vm(
         &mut self,
         pool: &str,
--- a/crates/dewspar/src/schedule/wave_selection.rs
+++ b/crates/dewspar/src/schedule/wave_selection.rs
@@ -138,12 +138,12 @@
 
     /// Counts the workers that are being drained and aren't down yet.
     fn draining_count(&self, wave: u64, state: &WaveState) -> usize {
-        let purpose = Some(DrainReason::Maintenance(wave));
-        let emptying = self.workers.values().filter(|worker| {
-            worker.drain_reason == purpose
+        let reason = Some(DrainReason::Maintenance(wave));
+        let draining = self.workers.values().filter(|worker| {
+            worker.drain_reason == reason
                 && !state.down.contains_key(&worker.listing.vm)
         });
-        emptying.count()
+        draining.count()
     }
 
     /// Selects the workers to drain now.
@@ -268,9 +268,9 @@
             let place = self.workers.get(id);
             place.is_some_and(|p| !self.awaits_maintenance(&p.listing.vm))
         };
-        let mut lasting =
+        let mut tasks =
             worker.runs.keys().filter(|task| self.is_long_running(task));
-        lasting.all(|task| {
+        tasks.all(|task| {
             !self.is_step_at_limit(task, worker.id())
                 && self.best_worker_for(task, now).is_some_and(stays)
         })
--- a/crates/dewspar/tests/schedule/small_link.rs
+++ b/crates/dewspar/tests/schedule/small_link.rs
@@ -404,10 +404,7 @@
     // Loading 4 MB takes 16 s if nothing else uses the link.
     assert!(loaded_ms < 36_000, "all loaded after {loaded_ms} ms");
     let long_running = u64::try_from(node.count_long_running()).unwrap();
-    assert_eq!(
-        long_running, LONG_RUNNING,
-        "whose leases were renewed all the time"
-    );
+    assert_eq!(long_running, LONG_RUNNING, "a lease was not renewed in time");
     assert!(
         node.failed * 50 <= node.sent,
         "{} of {} orders gave no result",
@@ -433,5 +430,5 @@
         assert!(after_ms <= MAX_COPY_MS, "{number}: {after_ms} ms");
     }
     let long_running = u64::try_from(node.count_long_running()).unwrap();
-    assert_eq!(long_running, LONG_RUNNING, "nothing else is stopped");
+    assert_eq!(long_running, LONG_RUNNING, "a long-running task was stopped");
 }
--- a/crates/dewspar/tests/schedule/vm_service_results.rs
+++ b/crates/dewspar/tests/schedule/vm_service_results.rs
@@ -83,8 +83,11 @@
         answer(&mut world, &first[0].1, Err(error));
         world.run_for(50);
         let second = ordered_maintenance(&mut world, 2_000);
-        assert_eq!(second.len(), 1, "{error:?}: it is never ordered again");
-        assert_eq!(second[0].1, first[0].1, "{error:?}: one at a time");
+        assert_eq!(second.len(), 1, "{error:?}: not ordered again");
+        assert_eq!(
+            second[0].1, first[0].1,
+            "{error:?}: more than one at a time"
+        );
     }
 }
 
@@ -99,7 +102,7 @@
     answer(&mut world, &vm, Ok(()));
     world.run_for(600);
     let second = ordered_maintenance(&mut world, 3_000);
-    assert_eq!(second.len(), 1, "the wave goes on");
+    assert_eq!(second.len(), 1, "the wave continues");
     assert_ne!(second[0].1, vm);
     answer(&mut world, &second[0].1, Ok(()));
     // The first VM's worker accepts tasks, the second one's doesn't.
@@ -111,8 +114,8 @@
     world.run_for(300);
     let on: Vec<&WorkerId> = world.starts.iter().map(|(on, _)| on).collect();
     let listing = world.listings.iter().find(|l| l.vm == vm);
-    let life = listing.map(|listing| &listing.id);
-    assert_eq!(on.first().copied(), life);
+    let expected = listing.map(|listing| &listing.id);
+    assert_eq!(on.first().copied(), expected);
 }
 
 #[test]
@@ -127,11 +130,11 @@
     // This list was requested before the VM went down.
     world.scheduler.list_vms(at(world.now_ms), asked_ms, &vms);
     let listing = world.listings.iter().find(|l| l.vm == vm);
-    let life = listing.expect("a listed VM").id.clone();
+    let worker = listing.expect("a listed VM").id.clone();
     let many = step(8);
     world.scheduler.submit(id(1), job(vec![many]), 6, None);
     world.run_for(300);
-    assert!(world.starts.iter().all(|(on, _)| *on != life));
+    assert!(world.starts.iter().all(|(on, _)| *on != worker));
     assert!(!world.starts.is_empty());
 }
 
@@ -164,7 +167,7 @@
     world.run_for(50);
     request_wave(&mut world, 1);
     let second = ordered_maintenance(&mut world, 2_000);
-    assert!(second.is_empty(), "{first:?} may go down yet: {second:?}");
+    assert!(second.is_empty(), "{first:?} may still go down: {second:?}");
     assert_eq!(ordered_maintenance(&mut world, 2_000).len(), 1);
 }
 
@@ -202,8 +205,8 @@
     world.expect_all();
     let serving = [POOL.to_owned()].into();
     world.scheduler.configure_pools(serving, ["off".to_owned()].into());
-    let hungry = StepSpec { memory_mb: 3_000, cpu_millis: 100, ..step(4) };
-    let gang = StepSpec { gang: true, ..hungry };
+    let large = StepSpec { memory_mb: 3_000, cpu_millis: 100, ..step(4) };
+    let gang = StepSpec { gang: true, ..large };
     world.scheduler.submit(id(1), job(vec![gang]), 6, None);
     let begin_ms = world.now_ms;
     while world.now_ms < begin_ms + 8_000 {
@@ -233,8 +236,8 @@
     list_vms(&mut world);
     world.listings[2] = listing("w3+");
     world.listings[2].vm = "vm-of-w3".to_owned();
-    let life = (WorkerId::new("w3+"), TaskWorker::new(ROOM));
-    world.workers.extend([life]);
+    let worker = (WorkerId::new("w3+"), TaskWorker::new(ROOM));
+    world.workers.extend([worker]);
     world.list();
     world.run_for(100);
     world.scheduler.submit(id(2), job(vec![step(8)]), 6, None);
@@ -252,7 +255,7 @@
     started.sort();
     let starts = started.len();
     started.dedup();
-    assert_eq!(starts, started.len(), "what runs on the VM runs on");
+    assert_eq!(starts, started.len(), "runs on the VM were started again");
 }
 
 #[test]
@@ -266,8 +269,8 @@
     let back = found.expect("a listed VM");
     back.id = WorkerId::new("w1+");
     back.rack = "rack-9".to_owned();
-    let life = (WorkerId::new("w1+"), TaskWorker::new(ROOM));
-    world.workers.extend([life]);
+    let worker = (WorkerId::new("w1+"), TaskWorker::new(ROOM));
+    world.workers.extend([worker]);
     world.list();
     list_vms(&mut world);
     world.run_for(200);
@@ -276,8 +279,11 @@
     world.scheduler.submit(id(1), job(vec![there]), 6, None);
     world.run_for(100);
     let again = ordered_maintenance(&mut world, 9_000);
-    assert_eq!(again.len(), 1, "the wave stands still");
-    assert_eq!(again[0].1, vm, "only this shows whether it was done");
+    assert_eq!(again.len(), 1, "the wave is stuck");
+    assert_eq!(
+        again[0].1, vm,
+        "only a repeated order shows whether it was carried out"
+    );
     answer(&mut world, &vm, Ok(()));
     world.run_for(50);
     assert_ne!(ordered_maintenance(&mut world, 3_000)[0].1, vm);
--- a/crates/dewspar/tests/schedule/wave_deadlines.rs
+++ b/crates/dewspar/tests/schedule/wave_deadlines.rs
@@ -91,7 +91,7 @@
         let listing = found.expect("a listed VM");
         let old = world.workers.remove(&listing.id);
         let running = old.map_or(0, |mut w| w.running(now.steady_ms).len());
-        assert_eq!(running, 0, "it had to be empty");
+        assert_eq!(running, 0, "the worker was not drained");
         listing.id = WorkerId::new(&format!("{}+", listing.id));
         self.down.insert(vm.to_owned(), now.steady_ms + DOWN_MS);
         self.begun.insert(vm.to_owned());
--- a/crates/dewspar/tests/schedule/wave_progress.rs
+++ b/crates/dewspar/tests/schedule/wave_progress.rs
@@ -97,9 +97,9 @@
     advance(&mut world, 200, |_| {});
     next_report(&mut world);
     advance(&mut world, 1_000, |_| {});
-    let report = next_report(&mut world).expect("it is due");
+    let report = next_report(&mut world).expect("a report is due");
     let most = report.pace.parallel;
-    assert_eq!(report.pace.under_way, 1, "one more a look");
+    assert_eq!(report.pace.under_way, 1, "one more per pass");
     let unchosen =
         RemainingVms { short: 1, next: 4, ..RemainingVms::default() };
     assert_eq!(report.left, unchosen);
@@ -107,7 +107,7 @@
         world.scheduler.plan_vms(at(world.now_ms));
         advance(&mut world, 50, |_| {});
     }
-    let report = next_report(&mut world).expect("it is due");
+    let report = next_report(&mut world).expect("a report is due");
     let chosen = RemainingVms {
         short: report.pace.under_way,
         parallel: 5 - report.pace.under_way,
@@ -133,7 +133,7 @@
         world.scheduler.plan_vms(at(world.now_ms));
         advance(&mut world, 50, |_| {});
     }
-    let report = next_report(&mut world).expect("it is due");
+    let report = next_report(&mut world).expect("a report is due");
     assert!(report.left.place > 0, "{report:?}");
 }
 
@@ -150,7 +150,7 @@
         "test",
         at(world.now_ms),
     );
-    let report = next_report(&mut world).expect("it is due");
+    let report = next_report(&mut world).expect("a report is due");
     assert_eq!(report.left.silent, 1, "{report:?}");
     assert_eq!(report.left.moving, 1, "{report:?}");
     assert_eq!(report.left.down, 1, "{report:?}");
@@ -161,6 +161,6 @@
 fn reports_state_why_no_vm_orders_are_sent() {
     let mut world = idle_world();
     world.run_for(4_000);
-    let report = next_report(&mut world).expect("it is due");
+    let report = next_report(&mut world).expect("a report is due");
     assert_eq!(report.blocker, Some("the list of VMs is outdated"));
 }
--- a/crates/dewspar/tests/schedule/waves.rs
+++ b/crates/dewspar/tests/schedule/waves.rs
@@ -73,7 +73,10 @@
                 world.scheduler.maintenance_answered(&vm, wave, busy, now);
             }
             VmOrder::Maintain { vm, wave } => {
-                assert!(replace_worker(world, &vm), "it had to be empty");
+                assert!(
+                    replace_worker(world, &vm),
+                    "the worker was not drained"
+                );
                 let done = Ok(());
                 world.scheduler.maintenance_answered(&vm, wave, done, now);
             }
@@ -107,7 +110,10 @@
     let mut completed = false;
     for _ in 0..400 {
         completed |= maintain_for_50_ms(&mut world);
-        assert!(world.running().len() >= 3, "one of four may be down");
+        assert!(
+            world.running().len() >= 3,
+            "more than one of four tasks is down"
+        );
     }
     assert!(completed);
 }
@@ -143,7 +149,7 @@
     let begun = at(world.now_ms);
     let none = BTreeMap::new();
     let unseen = world.scheduler.request_waves(begun, &request, &none, &[]);
-    assert_eq!(unseen, [1], "to be recorded");
+    assert_eq!(unseen, [1], "the wave is to be recorded");
     let record = world.scheduler.wave_record(1).expect("a wave").clone();
     // Little time is left for the next holder, so the maximum number of VMs
     // goes down at once.
@@ -154,7 +160,7 @@
     world.run_for(100);
     let (now, records) = (at(world.now_ms), [(1, record)].into());
     let unseen = world.scheduler.request_waves(now, &request, &records, &[]);
-    assert_eq!(unseen, [] as [u64; 0], "it is on record");
+    assert_eq!(unseen, [] as [u64; 0], "the wave is recorded");
     let orders = vm_orders(&mut world);
     let is_maintenance =
         |order: &&VmOrder| matches!(order, VmOrder::Maintain { .. });
@@ -225,7 +231,7 @@
     world.workers.extend([second]);
     world.list();
     world.run_for(1_000);
-    assert_eq!(world.starts.len(), 1, "its task runs on");
+    assert_eq!(world.starts.len(), 1, "the task was started again");
 }
 
 #[test]
--- a/crates/dewspar/tests/schedule/world.rs
+++ b/crates/dewspar/tests/schedule/world.rs
@@ -470,7 +470,7 @@
         Action::Hold { worker: to, held, .. } if to == *worker => Some(held),
         _ => None,
     });
-    held.expect("a hold is owed")
+    held.expect("a hold is due")
 }
 
 pub fn managed(listing: &WorkerListing) -> ManagedVm {
--- a/crates/dewspar/tests/schedule_random/main.rs
+++ b/crates/dewspar/tests/schedule_random/main.rs
@@ -38,7 +38,7 @@
         })
         .map(|id| (id.to_string(), world.scheduler.phase(*id)))
         .collect();
-    panic!("seed {seed}: jobs that never end: {open:?}");
+    panic!("seed {seed}: jobs that did not finish: {open:?}");
 }
 
 #[test]
--- a/crates/dewspar/tests/schedule_random/pending_jobs.rs
+++ b/crates/dewspar/tests/schedule_random/pending_jobs.rs
@@ -23,7 +23,7 @@
             }
             Miscounted::Fewer { at_step, counted, waiting } => write!(
                 f,
-                "step {at_step}: {counted} of {waiting} counted as waiting"
+                "step {at_step}: {counted} of {waiting} counted as pending"
             ),
         }
     }
--- a/crates/dewspar/tests/schedule_random/world.rs
+++ b/crates/dewspar/tests/schedule_random/world.rs
@@ -56,7 +56,7 @@
         let former = self.former_capacities.iter();
         let mut former = former.filter(|(until, _)| counts(*until));
         self.listing.capacity.contains(used)
-            || former.any(|(_, room)| room.contains(used))
+            || former.any(|(_, capacity)| capacity.contains(used))
     }
 
     /// Gives it the incarnation of a process that starts now; its clock isn't
@@ -299,7 +299,7 @@
     /// read.
     fn change_capacity(&mut self) {
         let thirds = self.random.random_range(1..=3);
-        let room = Resources {
+        let capacity = Resources {
             cpu_millis: CAPACITY.cpu_millis * thirds / 3,
             memory_mb: CAPACITY.memory_mb * thirds / 3,
             gpus: 0,
@@ -308,8 +308,8 @@
         let Some(process) = self.any_process() else { return };
         let before = process.listing.capacity;
         process.former_capacities.push((now_ms, before));
-        process.listing.capacity = room;
-        self.shrinks += u32::from(!room.contains(&before));
+        process.listing.capacity = capacity;
+        self.shrinks += u32::from(!capacity.contains(&before));
     }
 
     pub fn now(&self) -> Now {
@@ -563,7 +563,7 @@
             for (id, progress) in &changes.progress {
                 let before = self.store.progress.get(id);
                 let was_final = before.is_some_and(|p| p.phase.is_final());
-                assert!(!was_final, "a job is over only once");
+                assert!(!was_final, "a finished job was stored again");
                 self.store.progress.insert(*id, progress.clone());
             }
             // Sometimes the holder is lost before it learns that the changes
@@ -714,8 +714,8 @@
         let result = process.worker.start(clock, order, demand, fate);
         let used = process.worker.used();
         if used != used_before && !process.may_hold(&used, now_ms) {
-            let room = process.listing.capacity;
-            panic!("{}: {used:?} of {room:?}", order.task);
+            let capacity = process.listing.capacity;
+            panic!("{}: {used:?} exceeds {capacity:?}", order.task);
         }
         if result.is_ok() {
             self.begun.insert(order.task.job);
@@ -775,7 +775,7 @@
         self.starts += 1;
         let task = order.task;
         let cancelled = self.store.cancelled.contains(&task.job);
-        assert!(!cancelled, "{task} of a cancelled job");
+        assert!(!cancelled, "{task} belongs to a cancelled job");
         let acknowledged_done = self.acknowledged_done.contains(&task);
         assert!(!acknowledged_done, "{task} was acknowledged as done");
         let stored = self.store.progress.get(&task.job);
@@ -785,7 +785,7 @@
             if !same {
                 continue;
             }
-            assert!(!record.done, "{task} was noted as done");
+            assert!(!record.done, "{task} was stored as done");
             let failures = record.failed_runs.len();
             assert!(failures < MAX_ATTEMPTS as usize, "{task} has failed");
         }
@@ -793,7 +793,10 @@
             let (job, _) = &self.store.jobs[&task.job];
             for index in 0..job.spec.steps[0].count {
                 let earlier = TaskId { step: 0, index, ..task };
-                assert!(self.done.contains(&earlier), "{task} too early");
+                assert!(
+                    self.done.contains(&earlier),
+                    "{task} started too early"
+                );
             }
         }
     }
