--- a/crates/dewspar-cli/src/commands/mod.rs
+++ b/crates/dewspar-cli/src/commands/mod.rs
@@ -70,7 +70,7 @@
 pub(crate) fn print_report(report: &Report) -> Code {
     for promise in Promise::ALL {
         let finding = report.get(promise);
-        let verdict = match (finding.tested(), finding.broken()) {
+        let verdict = match (finding.checks(), finding.violations()) {
             (_, broken) if broken > 0 => "broken",
             (0, _) => "not tested",
             _ => "held",
@@ -78,10 +78,10 @@
         println!(
             "promise  {:<14} {verdict:<10} tested {:>7}  broken {}",
             promise.as_str(),
-            finding.tested(),
-            finding.broken(),
+            finding.checks(),
+            finding.violations(),
         );
-        if let Some(first) = finding.first_break() {
+        if let Some(first) = finding.first_violation() {
             println!("         {first}");
         }
     }
--- a/crates/dewspar-cli/tests/traces.rs
+++ b/crates/dewspar-cli/tests/traces.rs
@@ -10,7 +10,7 @@
     let outcome = trace::run_quietly(&trace).await.expect("a run");
     for promise in Promise::ALL {
         let finding = outcome.report.get(promise);
-        let first = finding.first_break();
+        let first = finding.first_violation();
         assert_eq!(first, None, "{}", promise.as_str());
     }
     assert_eq!(outcome.missed, Vec::<String>::new());
--- a/crates/dewspar/src/config/chunk.rs
+++ b/crates/dewspar/src/config/chunk.rs
@@ -14,7 +14,7 @@
 const CHUNKS_PER_KIND: u64 = 16;
 
 /// How many past tokens and retired chunks a head remembers.
-const REMEMBERED: usize = 16;
+const HISTORY_LEN: usize = 16;
 
 /// An immutable group of resources.
 ///
@@ -44,7 +44,7 @@
     ///
     /// Returns [`Error::Syntax`] when the bytes aren't those of `name`.
     pub fn read(name: &str, body: &[u8]) -> Result<Vec<Resource>, Error> {
-        if digest_hex(body) != digest_in(name) {
+        if digest_hex(body) != digest_of_name(name) {
             let reason = format!("chunk {name} is missing or has changed");
             return Err(Error::Syntax { reason });
         }
@@ -84,39 +84,41 @@
     ///
     /// Returns the new head and the chunks that must be stored before it is
     /// swapped in. The chunks that nobody can need any longer are those
-    /// that [`Head::forgotten`] names.
+    /// that [`Head::unreferenced_chunks`] names.
     pub fn advance(
         &self,
         snapshot: &Snapshot,
         token: &str,
     ) -> (Head, Vec<Chunk>) {
         let mut chunks = BTreeMap::new();
-        let mut fresh = Vec::new();
-        for (slot, body) in group(snapshot) {
+        let mut new_chunks = Vec::new();
+        for (key, body) in group_into_chunks(snapshot) {
             let digest = digest_hex(&body);
-            let known = self.chunks.get(&slot);
-            if let Some(name) = known.filter(|n| digest_in(n) == digest) {
-                chunks.insert(slot, name.clone());
+            let previous = self.chunks.get(&key);
+            if let Some(name) =
+                previous.filter(|n| digest_of_name(n) == digest)
+            {
+                chunks.insert(key, name.clone());
                 continue;
             }
             let name = format!("{digest}.{}", snapshot.revision());
-            chunks.insert(slot, name.clone());
-            fresh.push(Chunk { name, body });
+            chunks.insert(key, name.clone());
+            new_chunks.push(Chunk { name, body });
         }
         let mut retired = self.retired.clone();
         let replaced =
             self.chunks.values().filter(|n| !chunks.values().any(|c| c == *n));
         retired.extend(replaced.cloned());
-        keep_last(&mut retired, REMEMBERED);
+        keep_last(&mut retired, HISTORY_LEN);
         let mut tokens = self.tokens.clone();
         tokens.push(token.to_owned());
-        keep_last(&mut tokens, REMEMBERED);
+        keep_last(&mut tokens, HISTORY_LEN);
         let revision = snapshot.revision();
-        (Head { revision, tokens, chunks, retired }, fresh)
+        (Head { revision, tokens, chunks, retired }, new_chunks)
     }
 
     /// Returns the chunks that `next` no longer keeps and nobody reads.
-    pub fn forgotten<'a>(
+    pub fn unreferenced_chunks<'a>(
         &'a self,
         next: &'a Head,
     ) -> impl Iterator<Item = &'a str> {
@@ -131,31 +133,31 @@
     }
 }
 
-fn keep_last(list: &mut Vec<String>, most: usize) {
-    let surplus = list.len().saturating_sub(most);
+fn keep_last(list: &mut Vec<String>, max_len: usize) {
+    let surplus = list.len().saturating_sub(max_len);
     list.drain(..surplus);
 }
 
-fn digest_in(name: &str) -> &str {
+fn digest_of_name(name: &str) -> &str {
     name.split('.').next().unwrap_or(name)
 }
 
-fn group(snapshot: &Snapshot) -> BTreeMap<String, Vec<u8>> {
+fn group_into_chunks(snapshot: &Snapshot) -> BTreeMap<String, Vec<u8>> {
     let mut groups: BTreeMap<String, Vec<serde_json::Value>> = BTreeMap::new();
     for resource in snapshot.resources() {
-        let slot = slot_of(resource.kind(), resource.name());
-        groups.entry(slot).or_default().push(resource.to_value());
+        let key = bucket_key(resource.kind(), resource.name());
+        groups.entry(key).or_default().push(resource.to_value());
     }
     groups
         .into_iter()
-        .map(|(slot, values)| {
+        .map(|(key, values)| {
             let body = serde_json::Value::Array(values).to_string();
-            (slot, body.into_bytes())
+            (key, body.into_bytes())
         })
         .collect()
 }
 
-fn slot_of(kind: Kind, name: &str) -> String {
+fn bucket_key(kind: Kind, name: &str) -> String {
     let bucket = stable_hash(kind.as_str(), name) % CHUNKS_PER_KIND;
     format!("{kind}/{bucket:02}")
 }
--- a/crates/dewspar/src/config/error.rs
+++ b/crates/dewspar/src/config/error.rs
@@ -38,14 +38,14 @@
         /// The resource's name.
         name: String,
     },
-    /// {kind} `{name}` can't be deleted: {user} still refers to it
+    /// {kind} `{name}` can't be deleted: {referrer} still refers to it
     InUse {
         /// The resource's kind.
         kind: Kind,
         /// The resource's name.
         name: String,
         /// The resource that refers to it.
-        user: String,
+        referrer: String,
     },
 }
 
--- a/crates/dewspar/src/config/resource.rs
+++ b/crates/dewspar/src/config/resource.rs
@@ -341,7 +341,7 @@
     }
 
     /// Returns the same resource as of another revision.
-    pub(crate) fn at_revision(mut self, revision: u64) -> Resource {
+    pub(crate) fn with_revision(mut self, revision: u64) -> Resource {
         self.revision = revision;
         self
     }
--- a/crates/dewspar/src/config/snapshot.rs
+++ b/crates/dewspar/src/config/snapshot.rs
@@ -111,7 +111,7 @@
         for change in changes {
             next.apply_one(change)?;
         }
-        validate::snapshot(&next)?;
+        validate::check_snapshot(&next)?;
         Ok(next)
     }
 
@@ -131,7 +131,8 @@
                     .get(kind, name)
                     .is_some_and(|old| old.spec() == resource.spec());
                 if !same {
-                    let resource = resource.clone().at_revision(self.revision);
+                    let resource =
+                        resource.clone().with_revision(self.revision);
                     self.resources.insert((kind, name.to_owned()), resource);
                 }
                 Ok(())
@@ -141,9 +142,10 @@
                     let name = name.to_owned();
                     return Err(Error::NotFound { kind, name });
                 }
-                if let Some(user) = validate::user_of(self, kind, name) {
+                if let Some(referrer) = validate::referrer_of(self, kind, name)
+                {
                     let name = name.to_owned();
-                    return Err(Error::InUse { kind, name, user });
+                    return Err(Error::InUse { kind, name, referrer });
                 }
                 self.resources.remove(&(kind, name.to_owned()));
                 Ok(())
--- a/crates/dewspar/src/config/validate.rs
+++ b/crates/dewspar/src/config/validate.rs
@@ -16,11 +16,11 @@
 const MAX_COUNT: u32 = 10_000;
 
 /// Checks every resource against every other.
-pub(crate) fn snapshot(snapshot: &Snapshot) -> Result<(), Error> {
+pub(crate) fn check_snapshot(snapshot: &Snapshot) -> Result<(), Error> {
     let mut pool_of = BTreeMap::new();
     let mut quotas = Quotas { snapshot, reserved: BTreeMap::new() };
     for resource in snapshot.resources() {
-        name(resource)?;
+        check_name(resource)?;
         match resource.spec() {
             Spec::Pool(spec) => {
                 for vm in &spec.vms {
@@ -29,37 +29,39 @@
                             "lists VM `{vm}`, but pool `{other}` has it: \
                              a VM belongs to exactly one pool",
                         );
-                        return Err(field(resource, "spec.vms", problem));
+                        return Err(field_error(
+                            resource, "spec.vms", problem,
+                        ));
                     }
                 }
             }
             Spec::Team(spec) => {
-                positive(resource, "spec.weight", spec.weight)?;
+                check_count(resource, "spec.weight", spec.weight)?;
             }
             Spec::Service(spec) => {
-                exists(snapshot, resource, Kind::Team, &spec.team)?;
+                check_exists(snapshot, resource, Kind::Team, &spec.team)?;
                 let count = u64::from(spec.runners);
                 let size = (spec.cpu_millis, spec.memory_mb);
                 quotas.reserve(resource, &spec.team, count, size)?;
-                exists(snapshot, resource, Kind::Pool, &spec.pool)?;
-                positive(resource, "spec.runners", spec.runners)?;
-                positive(resource, "spec.slots", spec.slots)?;
-                positive(resource, "spec.connections", spec.connections)?;
+                check_exists(snapshot, resource, Kind::Pool, &spec.pool)?;
+                check_count(resource, "spec.runners", spec.runners)?;
+                check_count(resource, "spec.slots", spec.slots)?;
+                check_count(resource, "spec.connections", spec.connections)?;
             }
             Spec::Job(spec) => {
-                exists(snapshot, resource, Kind::Team, &spec.team)?;
+                check_exists(snapshot, resource, Kind::Team, &spec.team)?;
                 let count = u64::from(spec.tasks);
                 let size = (spec.cpu_millis, spec.memory_mb);
                 quotas.reserve(resource, &spec.team, count, size)?;
-                exists(snapshot, resource, Kind::Pool, &spec.pool)?;
-                positive(resource, "spec.tasks", spec.tasks)?;
+                check_exists(snapshot, resource, Kind::Pool, &spec.pool)?;
+                check_count(resource, "spec.tasks", spec.tasks)?;
             }
             Spec::AvailabilityBudget(spec) => {
-                budget(snapshot, resource, spec)?;
+                check_budget(snapshot, resource, spec)?;
             }
             Spec::MaintenanceWave(spec) => {
-                exists(snapshot, resource, Kind::Pool, &spec.pool)?;
-                positive(resource, "spec.max_parallel", spec.max_parallel)?;
+                check_exists(snapshot, resource, Kind::Pool, &spec.pool)?;
+                check_count(resource, "spec.max_parallel", spec.max_parallel)?;
             }
         }
     }
@@ -89,13 +91,17 @@
             ("cpu_millis", *cpu, quota.max_cpu_millis),
             ("memory_mb", *memory, quota.max_memory_mb),
         ];
-        for (name, reserved, most) in checks {
-            if reserved > most {
+        for (name, reserved, max) in checks {
+            if reserved > max {
                 let problem = format!(
                     "brings team `{team}` to {reserved} {name}, but its \
-                     quota is {most}",
+                     quota is {max}",
                 );
-                return Err(field(resource, &format!("spec.{name}"), problem));
+                return Err(field_error(
+                    resource,
+                    &format!("spec.{name}"),
+                    problem,
+                ));
             }
         }
         Ok(())
@@ -103,12 +109,12 @@
 }
 
 /// Returns the first resource that refers to the given one.
-pub(crate) fn user_of(
+pub(crate) fn referrer_of(
     snapshot: &Snapshot,
     kind: Kind,
     name: &str,
 ) -> Option<String> {
-    let user = snapshot.resources().find(|r| match (kind, r.spec()) {
+    let referrer = snapshot.resources().find(|r| match (kind, r.spec()) {
         (Kind::Team, Spec::Service(spec)) => spec.team == name,
         (Kind::Team, Spec::Job(spec)) => spec.team == name,
         (Kind::Pool, Spec::Service(spec)) => spec.pool == name,
@@ -120,10 +126,10 @@
         }
         _ => false,
     })?;
-    Some(format!("{} `{}`", user.kind(), user.name()))
+    Some(format!("{} `{}`", referrer.kind(), referrer.name()))
 }
 
-fn name(resource: &Resource) -> Result<(), Error> {
+fn check_name(resource: &Resource) -> Result<(), Error> {
     let name = resource.name();
     let allowed = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
     if name.is_empty()
@@ -133,45 +139,49 @@
         let problem = format!(
             "must have 1 to {MAX_NAME_LEN} letters, digits, `-`, `_` or `.`",
         );
-        return Err(field(resource, "name", problem));
+        return Err(field_error(resource, "name", problem));
     }
     Ok(())
 }
 
-fn positive(resource: &Resource, path: &str, value: u32) -> Result<(), Error> {
+fn check_count(
+    resource: &Resource,
+    path: &str,
+    value: u32,
+) -> Result<(), Error> {
     if value == 0 || value > MAX_COUNT {
         let problem = format!("is {value}, but must be 1 to {MAX_COUNT}");
-        return Err(field(resource, path, problem));
+        return Err(field_error(resource, path, problem));
     }
     Ok(())
 }
 
 /// Refuses a reference to a resource that isn't there.
-fn exists(
+fn check_exists(
     snapshot: &Snapshot,
     resource: &Resource,
     kind: Kind,
     name: &str,
 ) -> Result<(), Error> {
     if snapshot.get(kind, name).is_none() {
-        return Err(missing(resource, kind, name));
+        return Err(missing_reference(resource, kind, name));
     }
     Ok(())
 }
 
-fn missing(resource: &Resource, kind: Kind, name: &str) -> Error {
+fn missing_reference(resource: &Resource, kind: Kind, name: &str) -> Error {
     let what = kind.as_str().to_ascii_lowercase();
     let problem = format!("names {what} `{name}`, which doesn't exist");
-    field(resource, &format!("spec.{what}"), problem)
+    field_error(resource, &format!("spec.{what}"), problem)
 }
 
-fn budget(
+fn check_budget(
     snapshot: &Snapshot,
     resource: &Resource,
     spec: &AvailabilityBudgetSpec,
 ) -> Result<(), Error> {
-    exists(snapshot, resource, Kind::Pool, &spec.pool)?;
-    let (most, what) = match &spec.service {
+    check_exists(snapshot, resource, Kind::Pool, &spec.pool)?;
+    let (max, what) = match &spec.service {
         None => {
             let size = snapshot.pool(&spec.pool).map_or(0, |p| p.vms.len());
             let what = format!("VMs in pool `{}`", spec.pool);
@@ -187,22 +197,24 @@
                      not pool `{}`",
                     service.pool, spec.pool,
                 );
-                return Err(field(resource, "spec.service", problem));
+                return Err(field_error(resource, "spec.service", problem));
+            }
+            None => {
+                return Err(missing_reference(resource, Kind::Service, name));
             }
-            None => return Err(missing(resource, Kind::Service, name)),
         },
     };
-    if spec.min_available > most {
+    if spec.min_available > max {
         let problem = format!(
-            "is {}, but must be at most {most}, the number of {what}",
+            "is {}, but must be at most {max}, the number of {what}",
             spec.min_available,
         );
-        return Err(field(resource, "spec.min_available", problem));
+        return Err(field_error(resource, "spec.min_available", problem));
     }
     Ok(())
 }
 
-fn field(resource: &Resource, path: &str, problem: String) -> Error {
+fn field_error(resource: &Resource, path: &str, problem: String) -> Error {
     Error::Field {
         kind: resource.kind(),
         name: resource.name().to_owned(),
--- a/crates/dewspar/src/feed.rs
+++ b/crates/dewspar/src/feed.rs
@@ -15,13 +15,13 @@
 use dewspar::feed::{FeedProgress, FeedState};
 
 let mut feed = FeedProgress::new(10, 1_000);
-feed.heard(14, 1_200);
+feed.advance(14, 1_200);
 // A look at 1,300 found that the newest write is of version 14.
-assert_eq!(feed.judge(14, 1_300), FeedState::Current);
+assert_eq!(feed.state(14, 1_300), FeedState::Current);
 // One at 1,400 found 20; nothing was heard since.
-assert_eq!(feed.judge(20, 1_400), FeedState::Silent);
-feed.heard(17, 1_450);
-assert_eq!(feed.judge(20, 1_400), FeedState::Behind);
+assert_eq!(feed.state(20, 1_400), FeedState::Silent);
+feed.advance(17, 1_450);
+assert_eq!(feed.state(20, 1_400), FeedState::Behind);
 ```
 */
 
@@ -40,13 +40,13 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct FeedProgress {
     version: u64,
-    heard_ms: u64,
+    advanced_ms: u64,
 }
 
 impl FeedProgress {
     /// Makes the progress of a feed that is followed from a version on.
     pub fn new(version: u64, now_ms: u64) -> FeedProgress {
-        FeedProgress { version, heard_ms: now_ms }
+        FeedProgress { version, advanced_ms: now_ms }
     }
 
     /// Returns the version up to which the feed has told everything.
@@ -55,17 +55,17 @@
     }
 
     /// Notes that the feed has told everything up to a version.
-    pub fn heard(&mut self, version: u64, now_ms: u64) {
+    pub fn advance(&mut self, version: u64, now_ms: u64) {
         self.version = self.version.max(version);
-        self.heard_ms = now_ms;
+        self.advanced_ms = now_ms;
     }
 
-    /// Judges the feed by a look, asked for at `asked_ms`, which found that
+    /// Judges the feed by a look, asked for at `requested_ms`, which found that
     /// `newest` is the version of the newest write that it must tell.
-    pub fn judge(&self, newest: u64, asked_ms: u64) -> FeedState {
+    pub fn state(&self, newest: u64, requested_ms: u64) -> FeedState {
         if newest <= self.version {
             FeedState::Current
-        } else if self.heard_ms > asked_ms {
+        } else if self.advanced_ms > requested_ms {
             FeedState::Behind
         } else {
             FeedState::Silent
--- a/crates/dewspar/src/fields.rs
+++ b/crates/dewspar/src/fields.rs
@@ -11,14 +11,14 @@
 left:
 
 ```
-use dewspar::fields::OtherFields;
+use dewspar::fields::UnknownFields;
 use serde::{Deserialize, Serialize};
 
 #[derive(Deserialize, Serialize)]
 struct Claim {
     strength: u64,
     #[serde(flatten)]
-    other: OtherFields,
+    other: UnknownFields,
 }
 
 let text = r#"{"strength":7,"newer":[1]}"#;
@@ -29,7 +29,7 @@
 # Ok::<(), serde_json::Error>(())
 ```
 
-[`WithOthers`] does so for a record that has no such field.
+[`WithUnknownFields`] does so for a record that has no such field.
 */
 
 use {
@@ -42,16 +42,16 @@
 ///
 /// There are none in nearly every record, so that takes no more than a pointer.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct OtherFields(Option<Arc<BTreeMap<String, Value>>>);
+pub struct UnknownFields(Option<Arc<BTreeMap<String, Value>>>);
 
-impl OtherFields {
+impl UnknownFields {
     /// Returns whether there are none.
     pub fn is_empty(&self) -> bool {
         self.0.is_none()
     }
 
     /// Takes over the fields of a later reading; what it doesn't name stays.
-    pub fn add(&mut self, later: &OtherFields) {
+    pub fn merge(&mut self, later: &UnknownFields) {
         let Some(later) = &later.0 else { return };
         let fields = later.iter().map(|(name, v)| (name.clone(), v.clone()));
         let known = self.0.get_or_insert_default();
@@ -59,29 +59,29 @@
     }
 }
 
-impl Serialize for OtherFields {
+impl Serialize for UnknownFields {
     fn serialize<S: Serializer>(&self, to: S) -> Result<S::Ok, S::Error> {
         to.collect_map(self.0.iter().flat_map(|fields| fields.iter()))
     }
 }
 
-impl<'de> Deserialize<'de> for OtherFields {
+impl<'de> Deserialize<'de> for UnknownFields {
     fn deserialize<D: Deserializer<'de>>(
         from: D,
-    ) -> Result<OtherFields, D::Error> {
+    ) -> Result<UnknownFields, D::Error> {
         let fields = BTreeMap::deserialize(from)?;
         let fields = (!fields.is_empty()).then(|| Arc::new(fields));
-        Ok(OtherFields(fields))
+        Ok(UnknownFields(fields))
     }
 }
 
 /// A record and the fields of it that aren't known.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct WithOthers<T> {
+pub struct WithUnknownFields<T> {
     /// What is known.
     #[serde(flatten)]
     pub record: T,
     /// What isn't.
     #[serde(flatten)]
-    pub other: OtherFields,
+    pub other: UnknownFields,
 }
--- a/crates/dewspar/src/history.rs
+++ b/crates/dewspar/src/history.rs
@@ -18,8 +18,8 @@
 "#;
 let report = check(&parse(text)?);
 let once = report.get(Promise::AtMostOnce);
-assert_eq!((once.tested(), once.broken()), (1, 1));
-assert_eq!(once.first_break(), Some("line 3: key k1 ran a second time"));
+assert_eq!((once.checks(), once.violations()), (1, 1));
+assert_eq!(once.first_violation(), Some("line 3: key k1 ran a second time"));
 # Ok::<(), dewspar::history::Error>(())
 ```
 */
@@ -34,7 +34,7 @@
 pub const LEAVING_GRACE_MS: u64 = 3_000;
 
 /// How long an accepted configuration may take everywhere, in milliseconds.
-pub const IN_FORCE_MS: u64 = 6_000;
+pub const ACTIVATION_LIMIT_MS: u64 = 6_000;
 
 /// What must always hold.
 #[derive(
@@ -273,25 +273,25 @@
 /// How one promise fared.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Finding {
-    tested: u64,
-    broken: u64,
-    first_break: Option<String>,
+    checks: u64,
+    violations: u64,
+    first_violation: Option<String>,
 }
 
 impl Finding {
     /// Returns how often the run put the promise to the test.
-    pub fn tested(&self) -> u64 {
-        self.tested
+    pub fn checks(&self) -> u64 {
+        self.checks
     }
 
     /// Returns how often it was broken.
-    pub fn broken(&self) -> u64 {
-        self.broken
+    pub fn violations(&self) -> u64 {
+        self.violations
     }
 
     /// Returns the first event that broke it.
-    pub fn first_break(&self) -> Option<&str> {
-        self.first_break.as_deref()
+    pub fn first_violation(&self) -> Option<&str> {
+        self.first_violation.as_deref()
     }
 }
 
@@ -309,18 +309,18 @@
 
     /// Returns whether no promise was broken.
     pub fn holds(&self) -> bool {
-        self.findings.values().all(|finding| finding.broken == 0)
+        self.findings.values().all(|finding| finding.violations == 0)
     }
 
-    fn tested(&mut self, promise: Promise) {
-        self.findings.entry(promise).or_default().tested += 1;
+    fn add_check(&mut self, promise: Promise) {
+        self.findings.entry(promise).or_default().checks += 1;
     }
 
-    fn broken(&mut self, promise: Promise, line: usize, what: String) {
+    fn add_violation(&mut self, promise: Promise, line: usize, what: String) {
         let finding = self.findings.entry(promise).or_default();
-        finding.broken += 1;
+        finding.violations += 1;
         let text = || format!("line {line}: {what}");
-        finding.first_break.get_or_insert_with(text);
+        finding.first_violation.get_or_insert_with(text);
     }
 }
 
@@ -367,16 +367,20 @@
                 self.answered(request, *told, body_of.as_deref(), *whole);
             }
             Event::Cut { request, by } => {
-                self.report.tested(Promise::PlannedStop);
+                self.report.add_check(Promise::PlannedStop);
                 let what = format!("request {request} was cut by {by}");
-                self.report.broken(Promise::PlannedStop, self.line, what);
+                self.report.add_violation(
+                    Promise::PlannedStop,
+                    self.line,
+                    what,
+                );
             }
             Event::InPool { vm, pool, epoch } => {
                 self.in_pool(vm, pool.as_deref(), *epoch);
             }
             Event::Leaving { vm, by } => {
-                self.report.tested(Promise::PlannedStop);
-                self.report.tested(Promise::Leaving);
+                self.report.add_check(Promise::PlannedStop);
+                self.report.add_check(Promise::Leaving);
                 let mark = (vm.as_str(), *by);
                 self.leaving_since_ms.entry(mark).or_insert(line.at_ms);
             }
@@ -384,12 +388,16 @@
                 self.leaving_since_ms.remove(&(vm.as_str(), *by));
             }
             Event::Available { budget, needed, available, failed } => {
-                self.report.tested(Promise::Budget);
+                self.report.add_check(Promise::Budget);
                 if available + failed < *needed {
                     let what = format!(
                         "budget {budget} needs {needed} and had {available}",
                     );
-                    self.report.broken(Promise::Budget, self.line, what);
+                    self.report.add_violation(
+                        Promise::Budget,
+                        self.line,
+                        what,
+                    );
                 }
             }
             Event::Accepted { revision } => {
@@ -407,14 +415,14 @@
             let what = format!(
                 "request {request} ran, but line {told} said it was not run",
             );
-            self.report.broken(Promise::NotRun, self.line, what);
+            self.report.add_violation(Promise::NotRun, self.line, what);
         }
         let Some(key) = key else { return };
         if self.ran_keys.insert(key, request).is_some() {
             let what = format!("key {key} ran a second time");
-            self.report.broken(Promise::AtMostOnce, self.line, what);
+            self.report.add_violation(Promise::AtMostOnce, self.line, what);
         } else {
-            self.report.tested(Promise::AtMostOnce);
+            self.report.add_check(Promise::AtMostOnce);
         }
     }
 
@@ -429,7 +437,7 @@
         if at_ms > since_ms + LEAVING_GRACE_MS {
             let late_ms = at_ms - since_ms;
             let what = format!("VM {vm} got work {late_ms} ms after leaving");
-            self.report.broken(Promise::Leaving, self.line, what);
+            self.report.add_violation(Promise::Leaving, self.line, what);
         }
     }
 
@@ -442,7 +450,7 @@
     ) {
         match told {
             Told::Ran => {
-                self.report.tested(Promise::OwnAnswer);
+                self.report.add_check(Promise::OwnAnswer);
                 let own = body_of.is_none_or(|of| of == request);
                 if !own || !whole {
                     let what = match body_of {
@@ -451,18 +459,26 @@
                         }
                         _ => format!("request {request} got half an answer"),
                     };
-                    self.report.broken(Promise::OwnAnswer, self.line, what);
+                    self.report.add_violation(
+                        Promise::OwnAnswer,
+                        self.line,
+                        what,
+                    );
                 }
             }
             Told::NotRun => {
-                self.report.tested(Promise::NotRun);
+                self.report.add_check(Promise::NotRun);
                 self.told_not_run.insert(request, self.line);
                 if let Some(ran) = self.ran_requests.get(request) {
                     let what = format!(
                         "request {request} ran at line {ran}, \
                          but was told not run",
                     );
-                    self.report.broken(Promise::NotRun, self.line, what);
+                    self.report.add_violation(
+                        Promise::NotRun,
+                        self.line,
+                        what,
+                    );
                 }
             }
             Told::Unknown => {}
@@ -470,7 +486,7 @@
     }
 
     fn in_pool(&mut self, vm: &'a str, pool: Option<&'a str>, epoch: u64) {
-        self.report.tested(Promise::OnePool);
+        self.report.add_check(Promise::OnePool);
         if let Some((known, other)) = self.pools.get(vm)
             && *known == epoch
             && *other != pool
@@ -480,32 +496,34 @@
                 other.unwrap_or("no pool"),
                 pool.unwrap_or("no pool"),
             );
-            self.report.broken(Promise::OnePool, self.line, what);
+            self.report.add_violation(Promise::OnePool, self.line, what);
         }
         self.pools.insert(vm, (epoch, pool));
     }
 
     fn in_force(&mut self, node: &'a str, revision: u64, at_ms: u64) {
-        self.report.tested(Promise::Configuration);
+        self.report.add_check(Promise::Configuration);
         let last = self.in_force.insert(node, revision).unwrap_or(0);
         if revision < last {
             let what = format!("node {node} went from {last} to {revision}");
-            self.report.broken(Promise::Configuration, self.line, what);
+            self.report.add_violation(Promise::Configuration, self.line, what);
         }
         let overdue = self.overdue(revision, at_ms);
         if let Some(missing) = overdue {
             let what = format!(
                 "node {node} has {revision}, but {missing} was accepted \
-                 over {IN_FORCE_MS} ms ago",
+                 over {ACTIVATION_LIMIT_MS} ms ago",
             );
-            self.report.broken(Promise::Configuration, self.line, what);
+            self.report.add_violation(Promise::Configuration, self.line, what);
         }
     }
 
     fn overdue(&self, revision: u64, at_ms: u64) -> Option<u64> {
         self.accepted
             .range(revision + 1..)
-            .find(|(_, accepted_ms)| **accepted_ms + IN_FORCE_MS < at_ms)
+            .find(|(_, accepted_ms)| {
+                **accepted_ms + ACTIVATION_LIMIT_MS < at_ms
+            })
             .map(|(revision, _)| *revision)
     }
 }
--- a/crates/dewspar/src/job/conflict.rs
+++ b/crates/dewspar/src/job/conflict.rs
@@ -12,13 +12,13 @@
 | the record | what becomes of the job |
 |---|---|
 | says what was to be written | [`Resolution::Stored`] |
-| says that the job is over | [`Resolution::Over`] |
-| says more or other things than the writer knows | [`Resolution::GoOnFrom`] |
-| is gone, or older than what the writer knows | [`Resolution::WriteAgain`] |
+| says that the job is over | [`Resolution::Finished`] |
+| says more or other things than the writer knows | [`Resolution::Merge`] |
+| is gone, or older than what the writer knows | [`Resolution::Retry`] |
 | can't be read, and the writer knew of none | [`Resolution::LeaveAlone`] |
 
 A record that is found changed again and again is written less and less often,
-see [`pause_ms`].
+see [`retry_delay_ms`].
 
 # Example
 
@@ -36,7 +36,7 @@
 assert_eq!(resolve(0, &running, found), Resolution::Stored);
 // The job came to its end under a former holder.
 let found = FoundRecord::Readable(over.clone());
-assert_eq!(resolve(0, &running, found), Resolution::Over(over));
+assert_eq!(resolve(0, &running, found), Resolution::Finished(over));
 // Nothing is known of what was done.
 let found = FoundRecord::Unreadable;
 assert_eq!(resolve(0, &running, found), Resolution::LeaveAlone);
@@ -48,11 +48,11 @@
 /// The pause before a record is written again that was found changed twice in
 /// a row, in milliseconds: the store has just answered, and a change by another
 /// hand needs a moment to be over.
-const FIRST_PAUSE_MS: u64 = 100;
+const INITIAL_RETRY_DELAY_MS: u64 = 100;
 
 /// The longest pause, in milliseconds: one bad record then costs one write in
 /// that time, and is written soon after it is let alone.
-const LONGEST_PAUSE_MS: u64 = 3_200;
+const MAX_RETRY_DELAY_MS: u64 = 3_200;
 
 /// A job's record as a refused write found it.
 #[derive(Clone, Debug, Eq, PartialEq)]
@@ -72,11 +72,11 @@
     Stored,
     /// The job came to its end, as the record says; it is written once more,
     /// so that all that goes with the end is done.
-    Over(Progress),
+    Finished(Progress),
     /// Take in what the record says, then write again.
-    GoOnFrom(Progress),
+    Merge(Progress),
     /// Write again; the record has nothing to tell.
-    WriteAgain,
+    Retry,
     /// What was done of the job isn't known: run nothing more of it.
     LeaveAlone,
 }
@@ -86,9 +86,9 @@
     pub fn name(&self) -> &'static str {
         match self {
             Resolution::Stored => "stored",
-            Resolution::Over(_) => "over",
-            Resolution::GoOnFrom(_) => "go_on_from",
-            Resolution::WriteAgain => "write_again",
+            Resolution::Finished(_) => "over",
+            Resolution::Merge(_) => "go_on_from",
+            Resolution::Retry => "write_again",
             Resolution::LeaveAlone => "leave_alone",
         }
     }
@@ -104,20 +104,18 @@
     found: FoundRecord,
 ) -> Resolution {
     match found {
-        FoundRecord::Absent => Resolution::WriteAgain,
+        FoundRecord::Absent => Resolution::Retry,
         FoundRecord::Readable(theirs) if theirs.phase.is_final() => {
-            Resolution::Over(theirs)
+            Resolution::Finished(theirs)
         }
         // Nothing of a job that is over starts again, whatever was done of it.
-        FoundRecord::Readable(_) if ours.phase.is_final() => {
-            Resolution::WriteAgain
-        }
+        FoundRecord::Readable(_) if ours.phase.is_final() => Resolution::Retry,
         FoundRecord::Readable(theirs) if theirs == *ours => Resolution::Stored,
-        FoundRecord::Readable(theirs) => Resolution::GoOnFrom(theirs),
+        FoundRecord::Readable(theirs) => Resolution::Merge(theirs),
         // All of it may have been done under a former holder.
         FoundRecord::Unreadable if expected == 0 => Resolution::LeaveAlone,
         // What it said before is known here.
-        FoundRecord::Unreadable => Resolution::WriteAgain,
+        FoundRecord::Unreadable => Resolution::Retry,
     }
 }
 
@@ -127,16 +125,18 @@
 /// # Example
 ///
 /// ```
-/// use dewspar::job::conflict::pause_ms;
+/// use dewspar::job::conflict::retry_delay_ms;
 ///
 /// // What was found is known now, so the next write usually takes place.
-/// assert_eq!(pause_ms(1), 0);
-/// assert_eq!(pause_ms(2), 100);
-/// assert_eq!(pause_ms(4), 400);
-/// assert_eq!(pause_ms(100), 3_200);
+/// assert_eq!(retry_delay_ms(1), 0);
+/// assert_eq!(retry_delay_ms(2), 100);
+/// assert_eq!(retry_delay_ms(4), 400);
+/// assert_eq!(retry_delay_ms(100), 3_200);
 /// ```
-pub fn pause_ms(times_in_a_row: u32) -> u64 {
-    let Some(doublings) = times_in_a_row.checked_sub(2) else { return 0 };
+pub fn retry_delay_ms(consecutive_conflicts: u32) -> u64 {
+    let Some(doublings) = consecutive_conflicts.checked_sub(2) else {
+        return 0;
+    };
     let factor = 1_u64.checked_shl(doublings).unwrap_or(u64::MAX);
-    FIRST_PAUSE_MS.saturating_mul(factor).min(LONGEST_PAUSE_MS)
+    INITIAL_RETRY_DELAY_MS.saturating_mul(factor).min(MAX_RETRY_DELAY_MS)
 }
--- a/crates/dewspar/src/job/progress.rs
+++ b/crates/dewspar/src/job/progress.rs
@@ -1,6 +1,6 @@
 use {
     super::stored::StoredProgress,
-    crate::fields::OtherFields,
+    crate::fields::UnknownFields,
     serde::{Deserialize, Serialize},
 };
 
@@ -80,7 +80,7 @@
     /// The tasks of which there is something to say, in their order.
     pub tasks: Vec<TaskRecord>,
     /// What else a newer version has said of it.
-    pub other: OtherFields,
+    pub other: UnknownFields,
 }
 
 /// What is stored of one task.
@@ -126,7 +126,7 @@
     pub in_doubt: Vec<InDoubtRecord>,
     /// What else a newer version has said of it.
     #[serde(flatten)]
-    pub other: OtherFields,
+    pub other: UnknownFields,
 }
 
 /// What is stored of an order to start a task that got no answer.
--- a/crates/dewspar/src/job/queue.rs
+++ b/crates/dewspar/src/job/queue.rs
@@ -21,7 +21,7 @@
     version: u64,
     queues: Vec<Queue>,
     free_pools: Vec<String>,
-    unguarded_pools: Vec<String>,
+    pools_without_capacity_checks: Vec<String>,
 }
 
 impl QueueSet {
@@ -32,14 +32,17 @@
 
     /// Sets the pools whose workers start whatever they are told, whether they
     /// have room for it or not.
-    pub fn with_unguarded_pools(mut self, pools: Vec<String>) -> QueueSet {
-        self.unguarded_pools = pools;
+    pub fn with_pools_without_capacity_checks(
+        mut self,
+        pools: Vec<String>,
+    ) -> QueueSet {
+        self.pools_without_capacity_checks = pools;
         self
     }
 
     /// Returns the pools whose workers start whatever they are told.
-    pub fn unguarded_pools(&self) -> &[String] {
-        &self.unguarded_pools
+    pub fn pools_without_capacity_checks(&self) -> &[String] {
+        &self.pools_without_capacity_checks
     }
 
     /// Sets the pools whose VMs are switched off and cost nothing.
--- a/crates/dewspar/src/job/spec.rs
+++ b/crates/dewspar/src/job/spec.rs
@@ -106,7 +106,7 @@
 
 impl StepSpec {
     /// Returns whether the tasks answer users within a target.
-    pub fn serves(&self) -> bool {
+    pub fn has_latency_target(&self) -> bool {
         self.target_ms > 0
     }
 }
@@ -134,11 +134,11 @@
 
     /// Returns the longest chain of estimates from `step` to the job's end,
     /// in milliseconds.
-    pub fn estimate_from_ms(&self, step: usize) -> u64 {
+    pub fn critical_path_ms(&self, step: usize) -> u64 {
         let own = self.steps[step].estimate_ms;
         let next = (step + 1..self.steps.len())
             .filter(|later| self.steps[*later].after.contains(&step))
-            .map(|later| self.estimate_from_ms(later))
+            .map(|later| self.critical_path_ms(later))
             .max();
         own + next.unwrap_or(0)
     }
--- a/crates/dewspar/src/job/stored.rs
+++ b/crates/dewspar/src/job/stored.rs
@@ -7,7 +7,7 @@
 
 use {
     crate::{
-        fields::OtherFields,
+        fields::UnknownFields,
         job::{Phase, Progress, TaskRecord},
     },
     displaydoc::Display,
@@ -31,7 +31,7 @@
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     tasks: Vec<TaskRecord>,
     #[serde(flatten)]
-    other: OtherFields,
+    other: UnknownFields,
 }
 
 fn is_zero(number: &u64) -> bool {
@@ -54,7 +54,7 @@
 }
 
 impl TaskRange {
-    fn of(task: &TaskRecord) -> TaskRange {
+    fn from_record(task: &TaskRecord) -> TaskRange {
         let TaskRecord { round, step, index, .. } = *task;
         TaskRange { round, step, first: index, last: index }
     }
@@ -116,7 +116,7 @@
 }
 
 /// Returns whether a range says all of a task.
-fn is_plainly_done(task: &TaskRecord) -> bool {
+fn is_done_on_first_run(task: &TaskRecord) -> bool {
     task.done
         && task.run == 1
         && task.crashes == 0
@@ -129,13 +129,13 @@
 impl From<Progress> for StoredProgress {
     fn from(progress: Progress) -> StoredProgress {
         let Progress { phase, finished_at_ms, tasks, other } = progress;
-        let (plain, tasks): (Vec<TaskRecord>, Vec<TaskRecord>) =
-            tasks.into_iter().partition(is_plainly_done);
+        let (done_on_first_run, tasks): (Vec<TaskRecord>, Vec<TaskRecord>) =
+            tasks.into_iter().partition(is_done_on_first_run);
         let mut ranges: Vec<TaskRange> = Vec::new();
-        for task in &plain {
+        for task in &done_on_first_run {
             let extended = ranges.last_mut().is_some_and(|r| r.extend(task));
             if !extended {
-                ranges.push(TaskRange::of(task));
+                ranges.push(TaskRange::from_record(task));
             }
         }
         let done = ranges.iter().map(TaskRange::to_string).collect();
--- a/crates/dewspar/src/record.rs
+++ b/crates/dewspar/src/record.rs
@@ -13,21 +13,21 @@
 # Example
 
 ```
-use dewspar::record::{RecordWriter, RecordWritten};
+use dewspar::record::{RecordWriteOutcome, RecordWriter};
 
 let mut writer = RecordWriter::default();
-writer.found(7);
-writer.owe();
+writer.set_version(7);
+writer.mark_dirty();
 assert!(writer.is_due(1_000));
-assert_eq!(writer.begin(), 7);
+assert_eq!(writer.begin_write(), 7);
 // Changes that come meanwhile are written after it.
-writer.owe();
+writer.mark_dirty();
 assert!(!writer.is_due(1_000));
-writer.answered(RecordWritten::Done(9), 1_000);
+writer.finish_write(RecordWriteOutcome::Done(9), 1_000);
 assert!(writer.is_due(1_000));
-assert_eq!(writer.begin(), 9);
+assert_eq!(writer.begin_write(), 9);
 // Nobody knows whether it was done: written again, if the record is as it was.
-writer.answered(RecordWritten::Failed, 1_000);
+writer.finish_write(RecordWriteOutcome::Failed, 1_000);
 assert!(!writer.is_due(1_000));
 assert!(writer.is_due(1_100));
 ```
@@ -39,7 +39,7 @@
 
 /// What became of a write of a record.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum RecordWritten {
+pub enum RecordWriteOutcome {
     /// It is in the store, at this version.
     Done(u64),
     /// The record was at another version, or the writer's lease is over.
@@ -56,26 +56,26 @@
 pub struct RecordWriter {
     /// The record's version; 0 for none.
     version: u64,
-    is_owed: bool,
+    is_dirty: bool,
     is_writing: bool,
     /// Until when it isn't written again, in milliseconds.
-    retry_ms: u64,
+    retry_at_ms: u64,
 }
 
 impl RecordWriter {
     /// Notes at which version the record was found; 0 for none.
-    pub fn found(&mut self, version: u64) {
+    pub fn set_version(&mut self, version: u64) {
         self.version = version;
     }
 
     /// Notes that the content has changed since it was last written.
-    pub fn owe(&mut self) {
-        self.is_owed = true;
+    pub fn mark_dirty(&mut self) {
+        self.is_dirty = true;
     }
 
     /// Returns whether the record is to be written now.
     pub fn is_due(&self, now_ms: u64) -> bool {
-        self.is_owed && !self.is_writing && now_ms >= self.retry_ms
+        self.is_dirty && !self.is_writing && now_ms >= self.retry_at_ms
     }
 
     /// Returns whether a write is under way.
@@ -85,24 +85,24 @@
 
     /// Begins a write of the newest content; returns the version that it
     /// depends on, 0 for no record.
-    pub fn begin(&mut self) -> u64 {
-        self.is_owed = false;
+    pub fn begin_write(&mut self) -> u64 {
+        self.is_dirty = false;
         self.is_writing = true;
         self.version
     }
 
     /// Notes what became of the write; one that wasn't done is owed again.
-    pub fn answered(&mut self, written: RecordWritten, now_ms: u64) {
+    pub fn finish_write(&mut self, written: RecordWriteOutcome, now_ms: u64) {
         self.is_writing = false;
         match written {
-            RecordWritten::Done(version) => {
+            RecordWriteOutcome::Done(version) => {
                 self.version = version;
                 return;
             }
-            RecordWritten::Conflict { version } => self.version = version,
-            RecordWritten::Failed => {}
+            RecordWriteOutcome::Conflict { version } => self.version = version,
+            RecordWriteOutcome::Failed => {}
         }
-        self.is_owed = true;
-        self.retry_ms = now_ms + RETRY_MS;
+        self.is_dirty = true;
+        self.retry_at_ms = now_ms + RETRY_MS;
     }
 }
--- a/crates/dewspar/src/schedule/job_state.rs
+++ b/crates/dewspar/src/schedule/job_state.rs
@@ -1,6 +1,6 @@
 use {
     crate::{
-        fields::OtherFields,
+        fields::UnknownFields,
         job::{JobId, JobSpec, Phase, Progress, StepSpec, TaskId, TaskRecord},
         schedule::{
             Incarnation, QueueTerms, Resources, WorkerId,
@@ -29,7 +29,7 @@
     /// The number of the newest change that is in the store.
     pub(crate) stored_sequence: u64,
     /// Fields that a newer version has stored and this version doesn't know.
-    pub(crate) other: OtherFields,
+    pub(crate) other: UnknownFields,
 }
 
 #[derive(Debug)]
@@ -62,7 +62,7 @@
     /// The starts whose orders got no answer and may still be carried out.
     pub(crate) in_doubt: StartsInDoubt,
     /// Fields that a newer version has stored and this version doesn't know.
-    pub(crate) other: OtherFields,
+    pub(crate) other: UnknownFields,
 }
 
 impl Job {
@@ -74,7 +74,7 @@
     ) -> Job {
         let steps = |_| spec.steps.iter().map(Step::new).collect();
         let estimates_from_ms =
-            (0..spec.steps.len()).map(|step| spec.estimate_from_ms(step));
+            (0..spec.steps.len()).map(|step| spec.critical_path_ms(step));
         let rounds = (0..spec.rounds()).map(steps).collect();
         Job {
             payload: Arc::from(spec.payload.as_str()),
@@ -87,7 +87,7 @@
             phase: Phase::Queued,
             finished_at_ms: 0,
             stored_sequence: 0,
-            other: OtherFields::default(),
+            other: UnknownFields::default(),
         }
     }
 
@@ -192,7 +192,7 @@
 
     /// Returns the longest chain of estimates from a step to the job's end, in
     /// milliseconds.
-    pub(crate) fn estimate_from_ms(&self, step: usize) -> u64 {
+    pub(crate) fn critical_path_ms(&self, step: usize) -> u64 {
         self.estimates_from_ms[step]
     }
 
--- a/crates/dewspar/src/schedule/placement.rs
+++ b/crates/dewspar/src/schedule/placement.rs
@@ -575,9 +575,13 @@
         let disturbing = if !policy.keeps_apart {
             0
         } else if spec.best_effort {
-            others.filter(|other| other.serves()).count()
-        } else if spec.serves() {
-            others.filter(|other| other.best_effort || other.serves()).count()
+            others.filter(|other| other.has_latency_target()).count()
+        } else if spec.has_latency_target() {
+            others
+                .filter(|other| {
+                    other.best_effort || other.has_latency_target()
+                })
+                .count()
         } else {
             0
         };
--- a/crates/dewspar/src/schedule/placement/uniform.rs
+++ b/crates/dewspar/src/schedule/placement/uniform.rs
@@ -68,7 +68,7 @@
         let needs_individual_placement = spec.max_per_worker > 0
             || spec.long_running
             || spec.best_effort
-            || spec.serves()
+            || spec.has_latency_target()
             || job.terms.advice.is_some()
             || !self.placing().fullest_first;
         if needs_individual_placement {
--- a/crates/dewspar/src/schedule/record_merge.rs
+++ b/crates/dewspar/src/schedule/record_merge.rs
@@ -54,7 +54,7 @@
         if record.phase == Phase::Running {
             job.phase = Phase::Running;
         }
-        job.other.add(&record.other);
+        job.other.merge(&record.other);
         let mut obsolete = Vec::new();
         for task in &record.tasks {
             obsolete.extend(add_record(job, id, task));
@@ -83,7 +83,7 @@
         let Some(job) = self.jobs.get_mut(&id) else { return };
         job.phase = record.phase;
         job.finished_at_ms = record.finished_at_ms;
-        job.other.add(&record.other);
+        job.other.merge(&record.other);
         self.mark_changed(id);
     }
 }
@@ -134,6 +134,6 @@
             self.crashes = CrashHistory::restored(record);
         }
         self.in_doubt.add(&record.in_doubt);
-        self.other.add(&record.other);
+        self.other.merge(&record.other);
     }
 }
--- a/crates/dewspar/src/schedule/vm_orders.rs
+++ b/crates/dewspar/src/schedule/vm_orders.rs
@@ -14,7 +14,7 @@
 
 use {
     crate::{
-        fields::{OtherFields, WithOthers},
+        fields::{UnknownFields, WithUnknownFields},
         schedule::{Now, Scheduler, VmOrder},
     },
     serde::{Deserialize, Serialize},
@@ -42,20 +42,20 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct RecentVmOrder {
     /// The process that ordered it, with fields of a newer version.
-    pub by: WithOthers<OrderIssuer>,
+    pub by: WithUnknownFields<OrderIssuer>,
     /// The age of the order when this was written, in milliseconds.
     pub age_ms: u64,
     /// The fields of a newer version.
-    pub other: OtherFields,
+    pub other: UnknownFields,
 }
 
 /// A change that a former holder ordered recently.
 #[derive(Clone, Debug)]
 pub(super) struct InheritedOrder {
-    by: WithOthers<OrderIssuer>,
+    by: WithUnknownFields<OrderIssuer>,
     /// The time until which no change of the VM is ordered.
     until_ms: u64,
-    other: OtherFields,
+    other: UnknownFields,
 }
 
 /// The VMs with recently ordered changes, and the processes that ordered them.
@@ -71,11 +71,11 @@
 /// The serialized form of the orders of one process.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 struct OrdersByIssuer {
-    by: WithOthers<OrderIssuer>,
+    by: WithUnknownFields<OrderIssuer>,
     /// The age of the order for each VM, in milliseconds.
     ages_ms: BTreeMap<String, u64>,
     #[serde(flatten)]
-    other: OtherFields,
+    other: UnknownFields,
 }
 
 impl OrdersByIssuer {
@@ -195,8 +195,8 @@
         });
         let own = self.ordered_vms.iter().map(|(vm, ordered_ms)| {
             let age_ms = now.steady_ms.saturating_sub(*ordered_ms);
-            let (record, other) = (holder.clone(), OtherFields::default());
-            let by = WithOthers { record, other: other.clone() };
+            let (record, other) = (holder.clone(), UnknownFields::default());
+            let by = WithUnknownFields { record, other: other.clone() };
             (vm.clone(), RecentVmOrder { by, age_ms, other })
         });
         OrderedVms(inherited.chain(own).collect())
--- a/crates/dewspar/tests/checks.rs
+++ b/crates/dewspar/tests/checks.rs
@@ -13,8 +13,8 @@
     let report = check(&parse(history!("good")).expect("a history"));
     for promise in Promise::ALL {
         let finding = report.get(promise);
-        assert!(finding.tested() > 0, "{}", promise.as_str());
-        assert_eq!(finding.first_break(), None);
+        assert!(finding.checks() > 0, "{}", promise.as_str());
+        assert_eq!(finding.first_violation(), None);
     }
     assert!(report.holds());
 }
@@ -82,9 +82,14 @@
     for (text, promise, first) in cases {
         let report = check(&parse(text).expect("a history"));
         assert!(!report.holds());
-        assert_eq!(report.get(promise).first_break(), Some(first));
+        assert_eq!(report.get(promise).first_violation(), Some(first));
         for other in Promise::ALL.into_iter().filter(|p| *p != promise) {
-            assert_eq!(report.get(other).broken(), 0, "{}", other.as_str());
+            assert_eq!(
+                report.get(other).violations(),
+                0,
+                "{}",
+                other.as_str()
+            );
         }
     }
 }
--- a/crates/dewspar/tests/config.rs
+++ b/crates/dewspar/tests/config.rs
@@ -152,9 +152,9 @@
     let (next, fresh) = head.advance(&second, "two");
     assert_eq!(fresh.len(), 1, "one kind changed");
     assert!(next.contains("one") && next.contains("two"));
-    assert_eq!(next.forgotten(&next).count(), 0);
+    assert_eq!(next.unreferenced_chunks(&next).count(), 0);
     // What was replaced is kept for those that still read it.
-    assert_eq!(head.forgotten(&next).count(), 0);
+    assert_eq!(head.unreferenced_chunks(&next).count(), 0);
 }
 
 #[test]
--- a/crates/dewspard/src/config_store.rs
+++ b/crates/dewspard/src/config_store.rs
@@ -181,7 +181,7 @@
 
 /// Deletes chunks that nobody can need; what is left over does no harm.
 async fn forget<K: KeyValue>(platform: &K, head: &Head, next: &Head) {
-    for name in head.forgotten(next) {
+    for name in head.unreferenced_chunks(next) {
         let _ = platform.delete(&format!("{}{name}", keys::CHUNK)).await;
     }
 }
--- a/crates/dewspard/src/jobs/counts.rs
+++ b/crates/dewspard/src/jobs/counts.rs
@@ -20,7 +20,7 @@
 
 use {
     super::{election::HeldLease, keys},
-    dewspar::record::RecordWritten,
+    dewspar::record::RecordWriteOutcome,
     dewspar_platform::{Batch, Expected, Versioned},
     std::collections::BTreeMap,
 };
@@ -111,13 +111,15 @@
 
     /// Handles the result of the write. A failed write is retried under the
     /// same condition, so that only one of the two can take effect.
-    pub(super) fn write_answered(&mut self, written: RecordWritten) {
+    pub(super) fn write_answered(&mut self, written: RecordWriteOutcome) {
         self.is_writing = false;
-        self.is_stored = matches!(written, RecordWritten::Done(_));
+        self.is_stored = matches!(written, RecordWriteOutcome::Done(_));
         match written {
-            RecordWritten::Done(version)
-            | RecordWritten::Conflict { version } => self.version = version,
-            RecordWritten::Failed => {}
+            RecordWriteOutcome::Done(version)
+            | RecordWriteOutcome::Conflict { version } => {
+                self.version = version
+            }
+            RecordWriteOutcome::Failed => {}
         }
     }
 
--- a/crates/dewspard/src/jobs/deferred_ends.rs
+++ b/crates/dewspard/src/jobs/deferred_ends.rs
@@ -13,7 +13,7 @@
     crate::{counters, passed_over},
     dewspar::{
         job::{JobId, Progress},
-        record::RecordWritten,
+        record::RecordWriteOutcome,
         schedule::{Changes, DeferredEnd, DeferredEndBatch, Now},
     },
     dewspar_platform::{
@@ -164,21 +164,21 @@
     pub(super) fn deferred_ends_written(
         &mut self,
         ends: &DeferredEndBatch,
-        written: RecordWritten,
+        written: RecordWriteOutcome,
         now: Now,
     ) {
         self.deferred_ends.is_writing = false;
         match written {
-            RecordWritten::Done(_) => {
+            RecordWriteOutcome::Done(_) => {
                 self.scheduler.deferred_ends_stored(ends, now)
             }
-            RecordWritten::Failed => {
+            RecordWriteOutcome::Failed => {
                 self.deferred_ends.next_write_ms =
                     now.steady_ms + RETRY_DELAY_MS;
                 self.scheduler.deferred_ends_failed(ends);
             }
             // The only condition is that on the lease's key.
-            RecordWritten::Conflict { .. } => {
+            RecordWriteOutcome::Conflict { .. } => {
                 self.lost_reason =
                     Some("the store refused this holder's write");
             }
--- a/crates/dewspard/src/jobs/event.rs
+++ b/crates/dewspard/src/jobs/event.rs
@@ -13,7 +13,7 @@
     crate::clock,
     dewspar::{
         job::TaskId,
-        record::RecordWritten,
+        record::RecordWriteOutcome,
         schedule::{
             Changes, DeferredEnd, DeferredEndBatch, HoldReport, ManagedVm,
             OrderError, PaceOrder, SentHold, StartLog, VmOrderError, WorkerId,
@@ -82,14 +82,14 @@
     /// The result of a write of such ends.
     DeferredEndsWritten {
         ends: DeferredEndBatch,
-        written: RecordWritten,
+        written: RecordWriteOutcome,
     },
     /// The start logs of former holders.
     StartLogsLoaded(LoadedStartLogs),
     /// The result of a write of a start log.
     StartLogWritten {
         log: StartLog,
-        written: RecordWritten,
+        written: RecordWriteOutcome,
     },
     /// The stored state of waves and VM orders.
     FleetStateLoaded(LoadedFleetState),
@@ -163,14 +163,14 @@
     /// These changes weren't stored, and their retry delay is over.
     RetryWrite(Changes),
     /// The result of a write of the counts of waiting jobs.
-    CountsWritten(RecordWritten),
+    CountsWritten(RecordWriteOutcome),
     /// The result of a write of a wave's state.
     WaveWritten {
         wave: u64,
-        written: RecordWritten,
+        written: RecordWriteOutcome,
     },
     /// The result of a write of the record of VM orders.
-    VmOrdersWritten(RecordWritten),
+    VmOrdersWritten(RecordWriteOutcome),
     ProgressWritten {
         changes: Changes,
         outcome: WriteOutcome,
--- a/crates/dewspard/src/jobs/feeds.rs
+++ b/crates/dewspard/src/jobs/feeds.rs
@@ -15,7 +15,7 @@
     crate::{clock, counters},
     dewspar::{
         feed::{FeedProgress, FeedState},
-        poll::PollPace,
+        poll::PollInterval,
         schedule::WorkerId,
     },
     dewspar_platform::{Error, Fleet, KeyValue, Purpose, Traffic, Watch},
@@ -31,13 +31,13 @@
 /// each worker, and new workers are looked up individually in between. Other
 /// changes, such as that a worker drains, are noticed with this delay. The
 /// directory counts as out of date from 2 s on.
-const DIRECTORY_POLL_PACE: PollPace =
-    PollPace { least_ms: 250, most_ms: 1_500, share_percent: 5 };
+const DIRECTORY_POLL_PACE: PollInterval =
+    PollInterval { min_ms: 250, max_ms: 1_500, share_percent: 5 };
 
 /// The pace of reads of the list of VMs. A read takes 190 bytes for each VM.
 /// Orders to the VM service need a list that isn't older than 2 s.
-const VM_POLL_PACE: PollPace =
-    PollPace { least_ms: 500, most_ms: 1_200, share_percent: 5 };
+const VM_POLL_PACE: PollInterval =
+    PollInterval { min_ms: 500, max_ms: 1_200, share_percent: 5 };
 
 /// The number of renewals within the duration of the lease.
 const RENEWALS_PER_LEASE: u64 = 4;
@@ -85,7 +85,7 @@
 
 impl Poll<'_> {
     /// Pauses for as long as the pace requires after a read of this cost.
-    async fn pause(self, pace: PollPace) {
+    async fn pause(self, pace: PollInterval) {
         let bytes = self.meter.received(self.purpose) - self.received;
         let cost_ms = self.meter.machine.list_read_ms(bytes);
         let took_ms = clock::now_ms().saturating_sub(self.requested_ms);
@@ -246,11 +246,11 @@
     }
 
     fn advance(&self, version: u64) {
-        self.progress().heard(version, clock::now_ms());
+        self.progress().advance(version, clock::now_ms());
     }
 
     fn state(&self, newest: u64, requested_ms: u64) -> FeedState {
-        self.progress().judge(newest, requested_ms)
+        self.progress().state(newest, requested_ms)
     }
 }
 
--- a/crates/dewspard/src/jobs/holder.rs
+++ b/crates/dewspard/src/jobs/holder.rs
@@ -45,7 +45,7 @@
     dewspar::{
         job::JobId,
         overload::RoundTrips,
-        record::{RecordWriter, RecordWritten},
+        record::{RecordWriteOutcome, RecordWriter},
         schedule::{Now, OrderError, Scheduler},
     },
     dewspar_platform::{Fleet, JobWorkers, KeyValue, Purpose},
@@ -375,8 +375,8 @@
             }
             Event::VmOrdersWritten(written) => {
                 self.vm_orders_recorded |=
-                    !matches!(written, RecordWritten::Done(_));
-                self.vm_orders.answered(written, now.steady_ms);
+                    !matches!(written, RecordWriteOutcome::Done(_));
+                self.vm_orders.finish_write(written, now.steady_ms);
             }
             Event::RetryWrite(changes) => scheduler.changes_failed(&changes),
             Event::ProgressWritten { changes, outcome } => {
@@ -387,7 +387,7 @@
 
     fn apply_fleet_state(&mut self, fleet_state: LoadedFleetState, now: Now) {
         let issuer = self.candidate.order_issuer();
-        self.vm_orders.found(fleet_state.vm_orders.version);
+        self.vm_orders.set_version(fleet_state.vm_orders.version);
         let ordered = fleet_state.vm_orders.vms.as_ref();
         self.vm_orders_recorded = ordered.is_some_and(|vms| !vms.is_empty());
         self.scheduler.hold_off_vm_orders(
@@ -397,7 +397,7 @@
         );
         self.counts.set_version(fleet_state.counts_version);
         for (wave, version) in &fleet_state.waves.versions {
-            self.wave_writers.entry(*wave).or_default().found(*version);
+            self.wave_writers.entry(*wave).or_default().set_version(*version);
         }
         self.waves = fleet_state.waves;
         self.completed_waves = fleet_state.completed_waves;
@@ -531,7 +531,7 @@
         let serving = queues.queues().iter().map(|q| q.terms.pool.clone());
         let free = queues.free_pools().iter().cloned();
         self.scheduler.configure_pools(serving.collect(), free.collect());
-        let unguarded = queues.unguarded_pools().iter().cloned();
+        let unguarded = queues.pools_without_capacity_checks().iter().cloned();
         self.scheduler.enforce_capacity(unguarded.collect());
         let queues = queues.queues().iter();
         self.scheduler.configure(queues.map(|q| (q.name.as_str(), &q.terms)));
@@ -569,7 +569,7 @@
             orders,
             suspensions: self.suspensions,
             vms,
-            record_version: self.vm_orders.begin(),
+            record_version: self.vm_orders.begin_write(),
         };
         let Candidate { store, fleet, log, .. } = self.candidate;
         let store = store.with_purpose(Purpose::Vms);
--- a/crates/dewspard/src/jobs/progress_writes.rs
+++ b/crates/dewspard/src/jobs/progress_writes.rs
@@ -26,7 +26,7 @@
     dewspar::{
         job::{
             JobId, Progress,
-            conflict::{Resolution, pause_ms, resolve},
+            conflict::{Resolution, resolve, retry_delay_ms},
         },
         schedule::{Changes, Now},
     },
@@ -192,14 +192,14 @@
         times_in_a_row: u32,
         now: Now,
     ) {
-        let pause = Duration::from_millis(pause_ms(times_in_a_row));
+        let pause = Duration::from_millis(retry_delay_ms(times_in_a_row));
         match resolution {
             Resolution::Stored => self.scheduler.changes_stored(&change, now),
-            Resolution::Over(record) | Resolution::GoOnFrom(record) => {
+            Resolution::Finished(record) | Resolution::Merge(record) => {
                 self.adopt_record(&change, &record, now);
                 self.retry_write(change, pause);
             }
-            Resolution::WriteAgain => self.retry_write(change, pause),
+            Resolution::Retry => self.retry_write(change, pause),
             Resolution::LeaveAlone => {
                 for (id, _) in &change.progress {
                     self.unreadable.insert(*id);
--- a/crates/dewspard/src/jobs/records.rs
+++ b/crates/dewspard/src/jobs/records.rs
@@ -10,7 +10,9 @@
         keys, vm_orders,
     },
     crate::counters,
-    dewspar::{fields::WithOthers, record::RecordWritten, schedule::Now},
+    dewspar::{
+        fields::WithUnknownFields, record::RecordWriteOutcome, schedule::Now,
+    },
     dewspar_platform::{
         Batch, Commit, Error, Expected, Fleet, JobWorkers, KeyValue, Purpose,
         Versioned,
@@ -41,7 +43,7 @@
 impl<K: KeyValue, W: JobWorkers, F: Fleet> Holder<'_, K, W, F> {
     /// Marks the state of a wave as changed, so that it is written.
     pub(super) fn mark_wave_changed(&mut self, wave: u64) {
-        self.wave_writers.entry(wave).or_default().owe();
+        self.wave_writers.entry(wave).or_default().mark_dirty();
     }
 
     /// Writes the state of each wave whose write is due.
@@ -52,10 +54,10 @@
             if !writer.is_due(now.steady_ms) {
                 continue;
             }
-            let (wave, expected) = (*wave, writer.begin());
+            let (wave, expected) = (*wave, writer.begin_write());
             let other = self.waves.other.get(&wave).cloned();
             let other = other.unwrap_or_default();
-            let record = WithOthers { record, other };
+            let record = WithUnknownFields { record, other };
             let lease = self.held.revision;
             let batch = vm_orders::wave_batch(lease, wave, expected, &record);
             let store = self.candidate.store.with_purpose(Purpose::Progress);
@@ -80,11 +82,11 @@
     pub(super) fn wave_written(
         &mut self,
         wave: u64,
-        written: RecordWritten,
+        written: RecordWriteOutcome,
         now: Now,
     ) {
         if let Some(writer) = self.wave_writers.get_mut(&wave) {
-            writer.answered(written, now.steady_ms);
+            writer.finish_write(written, now.steady_ms);
         }
     }
 
@@ -183,14 +185,14 @@
 pub(super) fn record_written(
     answer: &Result<Commit, Error>,
     key: &str,
-) -> RecordWritten {
+) -> RecordWriteOutcome {
     match answer {
-        Ok(Commit::Done(version)) => RecordWritten::Done(*version),
+        Ok(Commit::Done(version)) => RecordWriteOutcome::Done(*version),
         Ok(Commit::Conflict(current)) => {
             let version = find_version(current, key);
-            RecordWritten::Conflict { version }
+            RecordWriteOutcome::Conflict { version }
         }
-        Err(_) => RecordWritten::Failed,
+        Err(_) => RecordWriteOutcome::Failed,
     }
 }
 
--- a/crates/dewspard/src/jobs/start_logs.rs
+++ b/crates/dewspard/src/jobs/start_logs.rs
@@ -13,7 +13,7 @@
     super::{event::Event, holder::Holder, keys, records::record_written},
     crate::{counters, passed_over},
     dewspar::{
-        record::RecordWritten,
+        record::RecordWriteOutcome,
         schedule::{LoggedStart, Now, StartLog},
     },
     dewspar_platform::{
@@ -161,18 +161,20 @@
     pub(super) fn start_log_written(
         &mut self,
         log: &StartLog,
-        written: RecordWritten,
+        written: RecordWriteOutcome,
         now: Now,
     ) {
         self.start_logs.in_flight -= 1;
         match written {
-            RecordWritten::Done(_) => self.scheduler.start_log_stored(log),
-            RecordWritten::Failed => {
+            RecordWriteOutcome::Done(_) => {
+                self.scheduler.start_log_stored(log)
+            }
+            RecordWriteOutcome::Failed => {
                 self.start_logs.next_write_ms = now.steady_ms + RETRY_DELAY_MS;
                 self.scheduler.start_log_failed(log);
             }
             // The only condition is that on the lease's key.
-            RecordWritten::Conflict { .. } => {
+            RecordWriteOutcome::Conflict { .. } => {
                 self.lost_reason =
                     Some("the store refused this holder's write");
             }
--- a/crates/dewspard/src/jobs/takeover.rs
+++ b/crates/dewspard/src/jobs/takeover.rs
@@ -26,7 +26,7 @@
     crate::{clock, counters, passed_over},
     dewspar::{
         job::{JobId, Progress},
-        poll::PollPace,
+        poll::PollInterval,
     },
     dewspar_platform::{Error, Fleet, KeyValue, Versioned},
     slog::{Logger, info},
@@ -49,8 +49,8 @@
 const MAX_FULL_READ_MS: u64 = 600;
 
 /// The pace of single slices: half of the link's time is left for orders.
-const SLICE_PACE: PollPace =
-    PollPace { least_ms: 0, most_ms: 1_000, share_percent: 50 };
+const SLICE_PACE: PollInterval =
+    PollInterval { min_ms: 0, max_ms: 1_000, share_percent: 50 };
 
 /// The delay before a failed read is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
--- a/crates/dewspard/src/jobs/vm_orders.rs
+++ b/crates/dewspard/src/jobs/vm_orders.rs
@@ -14,8 +14,8 @@
         counters, passed_over,
     },
     dewspar::{
-        fields::{OtherFields, WithOthers},
-        record::RecordWritten,
+        fields::{UnknownFields, WithUnknownFields},
+        record::RecordWriteOutcome,
         schedule::{OrderedVms, VmOrder, VmOrderError, WaveRecord},
     },
     dewspar_platform::{
@@ -59,8 +59,10 @@
             RecordResult::Answered(written) => Event::VmOrdersWritten(written),
             RecordResult::LeaseLost => Event::LeaseLost,
         };
-        let recorded =
-            matches!(event, Event::VmOrdersWritten(RecordWritten::Done(_)));
+        let recorded = matches!(
+            event,
+            Event::VmOrdersWritten(RecordWriteOutcome::Done(_))
+        );
         let lease_lost = matches!(event, Event::LeaseLost);
         // If the holder has stopped, the event isn't needed.
         if events.send(event).await.is_err() || lease_lost {
@@ -93,7 +95,7 @@
 
 /// The result of recording orders.
 enum RecordResult {
-    Answered(RecordWritten),
+    Answered(RecordWriteOutcome),
     /// Another node holds the lease, or may.
     LeaseLost,
 }
@@ -108,9 +110,9 @@
     log: &Logger,
 ) -> RecordResult {
     let mut written =
-        RecordWritten::Conflict { version: order_batch.record_version };
+        RecordWriteOutcome::Conflict { version: order_batch.record_version };
     for _ in 0..MAX_RECORD_ATTEMPTS {
-        let RecordWritten::Conflict { version } = written else { break };
+        let RecordWriteOutcome::Conflict { version } = written else { break };
         let batch =
             vm_orders_batch(order_batch.fence, version, &order_batch.vms);
         let answer = store.commit(&batch).await;
@@ -236,7 +238,7 @@
 pub(super) struct LoadedWaves {
     pub(super) records: BTreeMap<u64, WaveRecord>,
     /// Unknown fields of the records, written by newer versions.
-    pub(super) other: BTreeMap<u64, OtherFields>,
+    pub(super) other: BTreeMap<u64, UnknownFields>,
     /// The version of each record, including unreadable ones.
     pub(super) versions: BTreeMap<u64, u64>,
 }
@@ -256,7 +258,7 @@
         let Some(wave) = keys::parse_wave(&item.key) else { continue };
         waves.versions.insert(wave, item.version);
         match serde_json::from_slice(&item.value) {
-            Ok(WithOthers { record, other }) => {
+            Ok(WithUnknownFields { record, other }) => {
                 waves.records.insert(wave, record);
                 waves.other.insert(wave, other);
             }
@@ -327,7 +329,7 @@
     lease_revision: u64,
     wave: u64,
     version: u64,
-    record: &WithOthers<&WaveRecord>,
+    record: &WithUnknownFields<&WaveRecord>,
 ) -> Batch {
     // OK because numbers and strings can always be serialized.
     let value = serde_json::to_vec(record).expect("plain JSON");
