--- a/crates/dewspar/src/schedule/mod.rs
+++ b/crates/dewspar/src/schedule/mod.rs
@@ -61,7 +61,7 @@
 let mut scheduler = Scheduler::new(7, Options::default());
 let now = Now { steady_ms: 1_000, unix_ms: 1_700_000_000_000 };
 let id = WorkerId::new("worker-1");
-let incarnation = Incarnation::born_at(1_700_000_000_000);
+let incarnation = Incarnation::started_at(1_700_000_000_000);
 scheduler.list_workers(now, vec![WorkerListing {
     id: id.clone(),
     incarnation,
--- a/crates/dewspar/src/schedule/scheduler.rs
+++ b/crates/dewspar/src/schedule/scheduler.rs
@@ -316,9 +316,9 @@
     /// also under the next holders, until
     /// [`Scheduler::take_settled_cancellations`] returns it.
     pub fn cancel(&mut self, id: JobId, now: Now) {
-        let kept = self.defer_cancellation(id);
+        let deferred = self.defer_cancellation(id);
         self.cancelled.insert(id);
-        if kept {
+        if deferred {
             return;
         }
         self.finish(id, Phase::Cancelled, now);
--- a/crates/dewspar/src/schedule/wave_progress.rs
+++ b/crates/dewspar/src/schedule/wave_progress.rs
@@ -45,7 +45,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct WaveProgress {
     /// The state of its deadline.
-    pub time: WaveDeadline,
+    pub deadline: WaveDeadline,
     /// The number of its VMs.
     pub vms: usize,
     /// The number of VMs whose maintenance has begun, or that are gone for
@@ -158,16 +158,16 @@
 impl WaveReports {
     /// Returns the state of the deadline to report now, if a report is due.
     fn due(&self, end_ms: u64, now_ms: u64) -> Option<WaveDeadline> {
-        let time = match (now_ms >= end_ms, self.reported_late) {
+        let deadline = match (now_ms >= end_ms, self.reported_late) {
             (false, _) => WaveDeadline::Ahead,
             (true, false) => return Some(WaveDeadline::Passed),
             (true, true) => WaveDeadline::LongPassed,
         };
-        let every_ms = match time {
+        let every_ms = match deadline {
             WaveDeadline::LongPassed => LATE_REPORT_INTERVAL_MS,
             WaveDeadline::Ahead | WaveDeadline::Passed => REPORT_INTERVAL_MS,
         };
-        (now_ms >= self.last_ms + every_ms).then_some(time)
+        (now_ms >= self.last_ms + every_ms).then_some(deadline)
     }
 }
 
@@ -184,27 +184,27 @@
                 continue;
             }
             state.reports.passes += 1;
-            let time = state.reports.due(state.end_ms, now.steady_ms);
-            due.extend(time.map(|time| (*wave, time)));
+            let deadline = state.reports.due(state.end_ms, now.steady_ms);
+            due.extend(deadline.map(|deadline| (*wave, deadline)));
         }
-        for (wave, time) in due.into_iter().take(REPORTS_PER_PASS) {
-            self.report_wave(wave, time, blocker, now);
+        for (wave, deadline) in due.into_iter().take(REPORTS_PER_PASS) {
+            self.report_wave(wave, deadline, blocker, now);
         }
     }
 
     fn report_wave(
         &mut self,
         wave: u64,
-        time: WaveDeadline,
+        deadline: WaveDeadline,
         blocker: Option<&'static str>,
         now: Now,
     ) {
         let Some(state) = self.waves.get(&wave) else { return };
-        let progress = self.wave_progress(wave, state, time, blocker, now);
+        let progress = self.wave_progress(wave, state, deadline, blocker, now);
         let Some(state) = self.waves.get_mut(&wave) else { return };
         state.reports = WaveReports {
             last_ms: now.steady_ms,
-            reported_late: time != WaveDeadline::Ahead,
+            reported_late: deadline != WaveDeadline::Ahead,
             passes: 0,
         };
         self.note(Decision::WaveProgress { wave, progress });
@@ -214,7 +214,7 @@
         &self,
         wave: u64,
         state: &WaveState,
-        time: WaveDeadline,
+        deadline: WaveDeadline,
         blocker: Option<&'static str>,
         now: Now,
     ) -> WaveProgress {
@@ -229,7 +229,7 @@
         }
         let vms = state.request.vms.len();
         WaveProgress {
-            time,
+            deadline,
             vms,
             begun: vms.saturating_sub(left.total()),
             down: state.down.len(),
--- a/crates/dewspar/tests/schedule/wave_progress.rs
+++ b/crates/dewspar/tests/schedule/wave_progress.rs
@@ -61,7 +61,7 @@
     // Without answers, no VM is ever done.
     while world.now_ms < begin + 21_000 {
         world.scheduler.plan_vms(at(world.now_ms));
-        let times = reports(&mut world).into_iter().map(|a| a.time);
+        let times = reports(&mut world).into_iter().map(|a| a.deadline);
         report.extend(times);
         advance(&mut world, 50, |_| {});
     }
--- a/crates/dewspard/src/jobs/decisions.rs
+++ b/crates/dewspard/src/jobs/decisions.rs
@@ -176,7 +176,7 @@
 /// time is over.
 fn log_wave(log: &Logger, wave: u64, progress: &WaveProgress) {
     let WaveProgress { vms, begun, down, room, pace, left, .. } = progress;
-    let message = match progress.time {
+    let message = match progress.deadline {
         WaveDeadline::Ahead => "wave: goes on",
         WaveDeadline::Passed => "wave: its time is over",
         WaveDeadline::LongPassed => "wave: late",
@@ -188,7 +188,7 @@
         "needed_ms" => pace.needed_ms, "parallel" => pace.parallel,
         "under_way" => pace.under_way, "due" => pace.due, "may_wait" => pace.may_wait,
         "kept_by" => format_reasons(left));
-    if progress.time != WaveDeadline::Passed {
+    if progress.deadline != WaveDeadline::Passed {
         return;
     }
     for (reason, vms) in left.by_reason() {
