--- a/crates/dewspar/src/schedule/directory.rs
+++ b/crates/dewspar/src/schedule/directory.rs
@@ -123,8 +123,9 @@
         if self.directory_ms == 0 {
             return Vec::new();
         }
-        let lives = self.vms.values().filter_map(|vm| vm.worker.as_ref());
-        let unlisted = lives.filter(|id| {
+        let live_workers =
+            self.vms.values().filter_map(|vm| vm.worker.as_ref());
+        let unlisted = live_workers.filter(|id| {
             let known = self.workers.get(id).is_some_and(|w| w.listed);
             // One that the list still shows may have started again.
             let ended = self.former.has_ended(id)
@@ -199,13 +200,13 @@
     pub fn expect_workers(
         &mut self,
         now: Now,
-        lives: impl IntoIterator<Item = (WorkerId, String)>,
+        live_workers: impl IntoIterator<Item = (WorkerId, String)>,
     ) {
         if self.workers_known {
             return;
         }
         self.workers_known = true;
-        for (id, pool) in lives {
+        for (id, pool) in live_workers {
             let known = self.workers.contains_key(&id);
             if known || self.former.has_ended(&id) {
                 continue;
@@ -288,7 +289,7 @@
         reason: &'static str,
         now: Now,
     ) {
-        let beside = runs.len().saturating_sub(1);
+        let other_runs = runs.len().saturating_sub(1);
         for (task, run) in runs {
             self.note(Decision::RunLost {
                 task,
@@ -296,7 +297,7 @@
                 worker: id.clone(),
                 reason,
                 age_ms: run.confirmed_ms(answered_ms),
-                other_runs: beside,
+                other_runs,
             });
             self.note_stopped(&task, id, &run, reason, now);
             self.release_task(&task, id, run.has_begun(), now);
--- a/crates/dewspar/src/schedule/maintenance.rs
+++ b/crates/dewspar/src/schedule/maintenance.rs
@@ -95,8 +95,8 @@
     /// Applies the list of VMs that was requested at `asked_ms`.
     pub fn list_vms(&mut self, now: Now, asked_ms: u64, vms: &[ManagedVm]) {
         self.vms = vms.iter().map(|vm| (vm.vm.clone(), vm.clone())).collect();
-        let lives = vms.iter().filter(|vm| vm.status == VmStatus::Up);
-        let lives: Vec<(WorkerId, String)> = lives
+        let live_workers = vms.iter().filter(|vm| vm.status == VmStatus::Up);
+        let live_workers: Vec<(WorkerId, String)> = live_workers
             .filter_map(|vm| {
                 vm.worker.clone().map(|worker| (worker, vm.pool.clone()))
             })
@@ -104,7 +104,7 @@
         // A worker that isn't in the list has ended, if it was known before
         // the list was requested.
         let listed: BTreeSet<&WorkerId> =
-            lives.iter().map(|(life, _)| life).collect();
+            live_workers.iter().map(|(worker, _)| worker).collect();
         let ended: Vec<WorkerId> = self
             .workers
             .values()
@@ -117,7 +117,7 @@
         for id in ended {
             self.worker_gone(&id, "the VM service says that it ended", now);
         }
-        self.expect_workers(now, lives);
+        self.expect_workers(now, live_workers);
         for state in self.waves.values_mut() {
             state.update(asked_ms, &self.vms);
         }
@@ -174,14 +174,14 @@
         orders: &mut Vec<VmOrder>,
     ) {
         let Some(state) = self.waves.get(&wave) else { return };
-        let mut room = state.allowance(|vm| self.may_be_down(vm, now));
+        let mut allowance = state.allowance(|vm| self.may_be_down(vm, now));
         let workers = self.workers_by_vm();
         let mut ready = Vec::new();
         for vm in state.remaining() {
             let worker = workers.get(vm.as_str()).copied();
             // A VM that was ordered before counts as down already.
             let again = state.is_ordered(vm);
-            if room == 0 && !again {
+            if allowance == 0 && !again {
                 continue;
             }
             let free =
@@ -191,7 +191,7 @@
             }
             ready.push(vm.clone());
             if !again {
-                room -= 1;
+                allowance -= 1;
             }
         }
         for vm in ready {
@@ -272,7 +272,7 @@
     /// Evicts tasks from workers that are being drained or end soon.
     pub(super) fn drain_workers(&mut self, now: Now) {
         self.clear_unplaced();
-        let emptying: Vec<WorkerId> = self
+        let draining: Vec<WorkerId> = self
             .workers
             .values()
             .filter(|worker| {
@@ -280,7 +280,7 @@
             })
             .map(|worker| worker.id().clone())
             .collect();
-        for id in emptying {
+        for id in draining {
             self.drain_worker(&id, now);
         }
     }
--- a/crates/dewspar/src/schedule/reservations/search.rs
+++ b/crates/dewspar/src/schedule/reservations/search.rs
@@ -52,7 +52,7 @@
 /// Tentative assignments of the members of one gang to workers.
 #[derive(Default)]
 struct Assignments<'a> {
-    on: HashMap<&'a WorkerId, u64>,
+    count_by_worker: HashMap<&'a WorkerId, u64>,
 }
 
 impl<'a> Assignments<'a> {
@@ -70,7 +70,8 @@
             RoomHorizon::Now => worker.free_for(member),
             RoomHorizon::AfterShortTasks => worker.free_soon_for(member),
         };
-        let assigned = self.on.get(worker.id()).copied().unwrap_or(0);
+        let assigned =
+            self.count_by_worker.get(worker.id()).copied().unwrap_or(0);
         let most = u64::from(spec.max_per_worker);
         let siblings = worker.runs_of_step(member) as u64;
         let apart = match most {
@@ -89,7 +90,7 @@
     }
 
     fn assign(&mut self, worker: &'a WorkerId) {
-        *self.on.entry(worker).or_default() += 1;
+        *self.count_by_worker.entry(worker).or_default() += 1;
     }
 }
 
@@ -112,17 +113,18 @@
         room: RoomHorizon,
         now: Now,
     ) -> MemberWorkers {
-        let (own, alike): (Vec<&TaskId>, Vec<&TaskId>) = members
+        let (own, uniform): (Vec<&TaskId>, Vec<&TaskId>) = members
             .iter()
             .partition(|member| self.needs_own_placement(member));
         if own.len() > MAX_SEARCHES_PER_REVIEW {
             return Err(members.len() as u64);
         }
         let mut assigned = Assignments::default();
-        let mut places =
+        let mut placements =
             self.place_individually(spec, &own, &mut assigned, room, now);
-        places.extend(self.place_uniform(spec, &alike, &assigned, room, now));
-        let found = members.iter().filter_map(|m| places.get(m).copied());
+        placements
+            .extend(self.place_uniform(spec, &uniform, &assigned, room, now));
+        let found = members.iter().filter_map(|m| placements.get(m).copied());
         let found: Vec<WorkerId> = found.cloned().collect();
         let lacking = (members.len() - found.len()) as u64;
         if lacking > 0 { Err(lacking) } else { Ok(found) }
@@ -137,7 +139,7 @@
         room: RoomHorizon,
         now: Now,
     ) -> BTreeMap<&'m TaskId, &'a WorkerId> {
-        let mut places = BTreeMap::new();
+        let mut placements = BTreeMap::new();
         for member in members {
             let workers = self.suitable_with_numbers(spec, member, room, now);
             let options = workers.filter_map(|(_, worker)| {
@@ -145,10 +147,10 @@
             });
             if let Some(best) = options.max() {
                 assigned.assign(best.id);
-                places.insert(*member, best.id);
+                placements.insert(*member, best.id);
             }
         }
-        places
+        placements
     }
 
     /// Assigns members to workers that suit the first of them.
@@ -160,8 +162,8 @@
         room: RoomHorizon,
         now: Now,
     ) -> BTreeMap<&'m TaskId, &'a WorkerId> {
-        let mut places = BTreeMap::new();
-        let Some(any) = members.first() else { return places };
+        let mut placements = BTreeMap::new();
+        let Some(any) = members.first() else { return placements };
         let workers = self.suitable_with_numbers(spec, any, room, now);
         let options = workers.filter_map(|(_, worker)| {
             assigned.option(self, (spec, any), worker, room)
@@ -169,9 +171,9 @@
         let mut options: BinaryHeap<WorkerOption> = options.collect();
         for member in members {
             let Some(best) = options.pop() else { break };
-            places.insert(*member, best.id);
+            placements.insert(*member, best.id);
             options.extend(best.after_one_more(&demand(spec)));
         }
-        places
+        placements
     }
 }
--- a/crates/dewspar/src/schedule/scheduler.rs
+++ b/crates/dewspar/src/schedule/scheduler.rs
@@ -316,9 +316,9 @@
     /// also under the next holders, until
     /// [`Scheduler::take_settled_cancellations`] returns it.
     pub fn cancel(&mut self, id: JobId, now: Now) {
-        let kept = self.defer_cancellation(id);
+        let deferred = self.defer_cancellation(id);
         self.cancelled.insert(id);
-        if kept {
+        if deferred {
             return;
         }
         self.finish(id, Phase::Cancelled, now);
@@ -631,7 +631,7 @@
     /// order in which they were due.
     fn poll_workers(&mut self, now: Now, actions: &mut Vec<Action>) {
         let long_poll =
-            self.link.is_short(now.steady_ms) || self.poll_pause_ms() > 0;
+            self.link.is_saturated(now.steady_ms) || self.poll_pause_ms() > 0;
         let mut due: Vec<(Class, u64, WorkerNumber)> = Vec::new();
         for number in self.due_workers(now) {
             let Some(worker) = self.workers.at(number) else { continue };
@@ -644,16 +644,16 @@
         }
         // A stable sort keeps equal entries in the order of their identifiers.
         due.sort_by_key(|(class, due_ms, _)| (*class, *due_ms));
-        let mut room = self.poll_allowance(now);
+        let mut allowance = self.poll_allowance(now);
         for (class, _, number) in due {
             if !self.link.allows(class) {
                 return;
             }
             // Polls that renew leases aren't limited, and are sorted first.
-            if room == 0 && class != Class::Renewal {
+            if allowance == 0 && class != Class::Renewal {
                 return;
             }
-            room = room.saturating_sub(1);
+            allowance = allowance.saturating_sub(1);
             let Some(worker) = self.workers.at_mut(number) else { continue };
             worker.set_long_poll(long_poll);
             let hold = hold(worker, false, now, &self.options);
@@ -672,7 +672,7 @@
         let due = self.workers.due(now.steady_ms, &self.options);
         debug_assert!(
             self.workers.match_full_scan(&due, now.steady_ms, &self.options),
-            "other workers want something than are due"
+            "the due workers differ from those found by checking all"
         );
         due
     }
--- a/crates/dewspar/tests/schedule/gang_reservations.rs
+++ b/crates/dewspar/tests/schedule/gang_reservations.rs
@@ -12,7 +12,7 @@
 use {
     crate::{
         task_moves::{STOP_MS, long_running, plan_round},
-        waves::{maintain_for_a_while, request_wave, request_wave_of},
+        waves::{maintain_for_50_ms, request_wave, request_wave_of},
         world::{POOL, ROOM, RunKind, World, at, id, job, listing, step},
     },
     dewspar::{
@@ -115,7 +115,7 @@
     /// Runs one round that also carries out VM orders.
     fn maintain(&mut self) {
         self.submit_round();
-        maintain_for_a_while(&mut self.world);
+        maintain_for_50_ms(&mut self.world);
     }
 
     fn submit(&mut self, number: u64, spec: StepSpec, fate: Fate) {
@@ -189,7 +189,7 @@
     }
 
     /// Loses a worker; the VM service reports that immediately.
-    fn lose(&mut self, worker: &WorkerId) {
+    fn lose_worker(&mut self, worker: &WorkerId) {
         let now = at(self.world.now_ms);
         self.world.workers.remove(worker);
         self.world.listings.retain(|listing| listing.id != *worker);
@@ -324,16 +324,16 @@
 fn a_lost_member_reservation_is_replaced_on_another_worker() {
     let mut peak = Peak::new(&["w1", "w2", "w3"]);
     peak.submit_gang(1, gang(2));
-    let mut kept = None;
+    let mut reserved = None;
     for _ in 0..MAX_WAIT_MS / 50 {
         peak.round();
-        kept = peak.idle_worker();
-        if kept.is_some() || peak.runs_completely(id(1)) {
+        reserved = peak.idle_worker();
+        if reserved.is_some() || peak.runs_completely(id(1)) {
             break;
         }
     }
     assert!(!peak.runs_completely(id(1)));
-    peak.lose(&kept.expect("capacity is reserved on some worker"));
+    peak.lose_worker(&reserved.expect("capacity is reserved on some worker"));
     peak.run_for(MAX_WAIT_MS);
     assert!(peak.runs_completely(id(1)));
 }
@@ -343,15 +343,16 @@
     let mut peak = peak_beside_long_runs();
     peak.submit_gang(1, gang(2));
     peak.run_for(2_000);
-    let kept = peak.idle_worker().expect("capacity is reserved for a member");
+    let reserved =
+        peak.idle_worker().expect("capacity is reserved for a member");
     let names = ["w1", "w2"].map(WorkerId::new);
-    let full = names.into_iter().find(|name| *name != kept);
-    peak.lose(&full.expect("there are two workers"));
+    let full = names.into_iter().find(|name| *name != reserved);
+    peak.lose_worker(&full.expect("there are two workers"));
     // Enough for a review and a scheduling pass.
     peak.run_for(1_000);
     for _ in 0..MAX_IDLE_MS / 50 {
         peak.round();
-        let used = peak.used(&kept.to_string());
+        let used = peak.used(&reserved.to_string());
         assert!(used > 1_000, "capacity is reserved for half a gang");
     }
 }
@@ -384,7 +385,7 @@
     peak.run_for(3_000);
     assert!(peak.runs_completely(id(1)));
     peak.begin();
-    peak.world.stops_take_ms = STOP_MS;
+    peak.world.stop_duration_ms = STOP_MS;
     peak
 }
 
@@ -491,7 +492,7 @@
 fn a_gang_that_lost_a_worker_restarts_under_load() {
     let mut peak = peak_with_gang(&["w1", "w2", "w3", "w4"]);
     let lost = peak.running_on(id(1))[0].clone();
-    peak.lose(&lost);
+    peak.lose_worker(&lost);
     peak.run_for(MAX_WAIT_MS);
     assert!(peak.runs_completely(id(1)));
 }
@@ -517,8 +518,8 @@
         4 => {
             let index = random.random_range(0..peak.world.listings.len());
             let vm = peak.world.listings[index].vm.clone();
-            peak.world.told_after_ms = Some(0);
-            peak.world.crash_vm(&vm);
+            peak.world.crash_report_delay_ms = Some(0);
+            peak.world.crash_worker_on(&vm);
         }
         _ => {}
     }
@@ -593,7 +594,7 @@
     for seed in 0..WAVE_RUNS {
         let mut random = StdRng::seed_from_u64(seed);
         let mut peak = Peak::random(&mut random);
-        peak.world.stops_take_ms = random.random_range(0..STOP_MS);
+        peak.world.stop_duration_ms = random.random_range(0..STOP_MS);
         let serving = [POOL.to_owned()].into();
         peak.world.scheduler.configure_pools(serving, [].into());
         for _ in 0..3_000 / 50 {
--- a/crates/dewspar/tests/schedule/runs.rs
+++ b/crates/dewspar/tests/schedule/runs.rs
@@ -56,7 +56,7 @@
     world.scheduler.submit(id(1), job(vec![long]), 6, None);
     world.run_for(300);
     let (first, _) = world.starts[0].clone();
-    world.cut.push(first);
+    world.unreachable.push(first);
     world.run_for(7_000);
     assert_eq!(world.starts.len(), 1, "its lease may still be running");
     world.run_for(5_000);
@@ -114,8 +114,8 @@
     let all = world.listings.clone();
     world.listings.retain(|listing| listing.id != first);
     world.list();
-    let lives = all.iter().map(|l| (l.id.clone(), l.pool.clone()));
-    world.scheduler.expect_workers(at(world.now_ms), lives);
+    let live_workers = all.iter().map(|l| (l.id.clone(), l.pool.clone()));
+    world.scheduler.expect_workers(at(world.now_ms), live_workers);
     world.scheduler.submit(id(1), job(vec![step(1)]), 4, None);
     world.run_for(1_000);
     assert_eq!(world.starts.len(), 1, "it may run where nobody looked");
@@ -133,8 +133,8 @@
     world.scheduler.submit(id(1), job(vec![step(1)]), 4, None);
     world.run_for(500);
     assert!(world.starts.is_empty());
-    let lives = [(WorkerId::new("w1"), POOL.to_owned())];
-    world.scheduler.expect_workers(at(world.now_ms), lives);
+    let live_workers = [(WorkerId::new("w1"), POOL.to_owned())];
+    world.scheduler.expect_workers(at(world.now_ms), live_workers);
     world.run_for(100);
     assert_eq!(world.starts.len(), 1);
 }
@@ -338,14 +338,14 @@
     world.run_for(300);
     assert_eq!(world.running().len(), 8);
     let w1 = WorkerId::new("w1");
-    world.cut.push(w1.clone());
+    world.unreachable.push(w1.clone());
     for _ in 0..30 {
         world.run_for(1_000);
         world.list();
     }
     assert_eq!(world.running().len(), 4, "its lease is over");
     world.starts.clear();
-    world.cut.clear();
+    world.unreachable.clear();
     world.fate = Fate::done(500);
     for _ in 0..5 {
         world.run_for(1_000);
@@ -365,7 +365,7 @@
     world.list();
     world.expect_all();
     // Accepted under a previous holder, so that it may run on either worker.
-    world.cut.push(WorkerId::new("w1"));
+    world.unreachable.push(WorkerId::new("w1"));
     world.scheduler.submit(id(1), job(vec![step(1)]), 4, None);
     for _ in 0..30 {
         world.run_for(1_000);
--- a/crates/dewspard/src/jobs/counts.rs
+++ b/crates/dewspard/src/jobs/counts.rs
@@ -20,7 +20,7 @@
 
 use {
     super::{election::HeldLease, keys},
-    dewspar::record::RecordWritten,
+    dewspar::record::RecordWriteOutcome,
     dewspar_platform::{Batch, Expected, Versioned},
     std::collections::BTreeMap,
 };
@@ -50,14 +50,14 @@
 const OWN_COUNT_CACHE_MS: u64 = 1_000;
 
 /// The number of waiting jobs of each queue.
-pub(super) type WaitingJobs = BTreeMap<String, u64>;
+pub(super) type WaitingCounts = BTreeMap<String, u64>;
 
 /// The holder's side: decides when counts are written, and under which
 /// condition.
 #[derive(Debug, Default)]
 pub(super) struct CountsWriter {
     /// The counts of the last write.
-    last_written: WaitingJobs,
+    last_written: WaitingCounts,
     last_write_ms: u64,
     /// When the counts were last checked for changes.
     last_check_ms: u64,
@@ -87,7 +87,7 @@
     /// are unchanged and the record is recent.
     pub(super) fn begin_write(
         &mut self,
-        counts: WaitingJobs,
+        counts: WaitingCounts,
         held: &HeldLease,
         now_ms: u64,
     ) -> Option<Batch> {
@@ -111,18 +111,20 @@
 
     /// Handles the result of the write. A failed write is retried under the
     /// same condition, so that only one of the two can take effect.
-    pub(super) fn write_answered(&mut self, written: RecordWritten) {
+    pub(super) fn write_answered(&mut self, written: RecordWriteOutcome) {
         self.is_writing = false;
-        self.is_stored = matches!(written, RecordWritten::Done(_));
+        self.is_stored = matches!(written, RecordWriteOutcome::Done(_));
         match written {
-            RecordWritten::Done(version)
-            | RecordWritten::Conflict { version } => self.version = version,
-            RecordWritten::Failed => {}
+            RecordWriteOutcome::Done(version)
+            | RecordWriteOutcome::Conflict { version } => {
+                self.version = version
+            }
+            RecordWriteOutcome::Failed => {}
         }
     }
 
     /// Returns the counts of the last write.
-    pub(super) fn last_written(&self) -> &WaitingJobs {
+    pub(super) fn last_written(&self) -> &WaitingCounts {
         &self.last_written
     }
 }
@@ -130,7 +132,7 @@
 /// A reader's side: the cached counts from which callers are answered.
 #[derive(Debug, Default)]
 pub(super) struct CountsReader {
-    counts: WaitingJobs,
+    counts: WaitingCounts,
     /// When the cached counts expire.
     cached_until_ms: u64,
     /// The version of the record that was read last; 0 if there was none.
@@ -143,7 +145,7 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(super) enum CountsRecord {
     /// The current holder wrote it recently.
-    Fresh(WaitingJobs),
+    Fresh(WaitingCounts),
     /// There is no record, or it can't be relied on, for this reason.
     Unusable(&'static str),
 }
@@ -158,7 +160,7 @@
     }
 
     /// Returns the counts of a fresh record.
-    pub(super) fn counts(&self) -> Option<&WaitingJobs> {
+    pub(super) fn counts(&self) -> Option<&WaitingCounts> {
         match self {
             CountsRecord::Fresh(counts) => Some(counts),
             CountsRecord::Unusable(_) => None,
@@ -212,13 +214,17 @@
     }
 
     /// Caches a holder's counts.
-    pub(super) fn use_record(&mut self, counts: WaitingJobs, now_ms: u64) {
+    pub(super) fn use_record(&mut self, counts: WaitingCounts, now_ms: u64) {
         self.counts = counts;
         self.cached_until_ms = now_ms + RECORD_CACHE_MS;
     }
 
     /// Caches counts that this node made itself.
-    pub(super) fn use_own_count(&mut self, counts: WaitingJobs, now_ms: u64) {
+    pub(super) fn use_own_count(
+        &mut self,
+        counts: WaitingCounts,
+        now_ms: u64,
+    ) {
         self.counts = counts;
         self.cached_until_ms = now_ms + OWN_COUNT_CACHE_MS;
     }
--- a/crates/dewspard/src/jobs/event.rs
+++ b/crates/dewspard/src/jobs/event.rs
@@ -13,7 +13,7 @@
     crate::clock,
     dewspar::{
         job::TaskId,
-        record::RecordWritten,
+        record::RecordWriteOutcome,
         schedule::{
             Changes, DeferredEnd, DeferredEndBatch, HoldReport, ManagedVm,
             OrderError, PaceOrder, SentHold, StartLog, VmOrderError, WorkerId,
@@ -44,7 +44,7 @@
 
 /// The holder has stopped, and the channel is closed.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct HolderGone;
+pub(super) struct HolderStopped;
 
 /// Sends events to the holder. Clones share the channel.
 #[derive(Clone, Debug)]
@@ -60,10 +60,13 @@
     ///
     /// # Errors
     ///
-    /// [`HolderGone`] if the holder has stopped.
-    pub(super) async fn send(&self, event: Event) -> Result<(), HolderGone> {
+    /// [`HolderStopped`] if the holder has stopped.
+    pub(super) async fn send(
+        &self,
+        event: Event,
+    ) -> Result<(), HolderStopped> {
         let sent = SentEvent { event, sent_ms: clock::now_ms() };
-        self.0.send(sent).await.map_err(|_| HolderGone)
+        self.0.send(sent).await.map_err(|_| HolderStopped)
     }
 }
 
@@ -74,19 +77,19 @@
     Feed(Vec<FeedEvent>),
     /// A slice of the stored jobs.
     JobsLoaded(LoadedJobs),
-    /// Ends of runs of jobs whose records former holders couldn't read.
+    /// Ends of runs whose jobs former holders couldn't read.
     DeferredEndsLoaded(Vec<DeferredEnd>),
     /// The result of a write of such ends.
     DeferredEndsWritten {
         ends: DeferredEndBatch,
-        written: RecordWritten,
+        written: RecordWriteOutcome,
     },
     /// The start logs of former holders.
     StartLogsLoaded(LoadedStartLogs),
     /// The result of a write of a start log.
     StartLogWritten {
         log: StartLog,
-        written: RecordWritten,
+        written: RecordWriteOutcome,
     },
     /// The stored state of waves and VM orders.
     FleetStateLoaded(LoadedFleetState),
@@ -160,14 +163,14 @@
     /// These changes weren't stored, and their retry delay is over.
     RetryWrite(Changes),
     /// The result of a write of the counts of waiting jobs.
-    CountsWritten(RecordWritten),
+    CountsWritten(RecordWriteOutcome),
     /// The result of a write of a wave's state.
     WaveWritten {
         wave: u64,
-        written: RecordWritten,
+        written: RecordWriteOutcome,
     },
     /// The result of a write of the record of VM orders.
-    VmOrdersWritten(RecordWritten),
+    VmOrdersWritten(RecordWriteOutcome),
     ProgressWritten {
         changes: Changes,
         outcome: WriteOutcome,
--- a/crates/dewspard/src/jobs/start_logs.rs
+++ b/crates/dewspard/src/jobs/start_logs.rs
@@ -13,7 +13,7 @@
     super::{event::Event, holder::Holder, keys, records::record_written},
     crate::{counters, passed_over},
     dewspar::{
-        record::RecordWritten,
+        record::RecordWriteOutcome,
         schedule::{LoggedStart, Now, StartLog},
     },
     dewspar_platform::{
@@ -60,20 +60,20 @@
 /// # Errors
 ///
 /// An error of the store.
-pub(super) async fn load_starts<K: KeyValue>(
+pub(super) async fn load_start_logs<K: KeyValue>(
     store: &K,
     log: &Logger,
 ) -> Result<LoadedStartLogs, Error> {
     let (_, found) = store.list(keys::START_LOGS).await?;
     let mut loaded = LoadedStartLogs::default();
     for item in found {
-        loaded.starts.extend(read_starts(&item, log));
+        loaded.starts.extend(parse_starts(&item, log));
         loaded.keys.push(item.key);
     }
     Ok(loaded)
 }
 
-fn read_starts(item: &Versioned, log: &Logger) -> Vec<LoggedStart> {
+fn parse_starts(item: &Versioned, log: &Logger) -> Vec<LoggedStart> {
     let log_skipped = |error: &serde_json::Error| {
         passed_over::record(
             log,
@@ -161,18 +161,20 @@
     pub(super) fn start_log_written(
         &mut self,
         log: &StartLog,
-        written: RecordWritten,
+        written: RecordWriteOutcome,
         now: Now,
     ) {
         self.start_logs.in_flight -= 1;
         match written {
-            RecordWritten::Done(_) => self.scheduler.start_log_stored(log),
-            RecordWritten::Failed => {
+            RecordWriteOutcome::Done(_) => {
+                self.scheduler.start_log_stored(log)
+            }
+            RecordWriteOutcome::Failed => {
                 self.start_logs.next_write_ms = now.steady_ms + RETRY_DELAY_MS;
                 self.scheduler.start_log_failed(log);
             }
             // The only condition is that on the lease's key.
-            RecordWritten::Conflict { .. } => {
+            RecordWriteOutcome::Conflict { .. } => {
                 self.lost_reason =
                     Some("the store refused this holder's write");
             }
--- a/crates/dewspard/src/jobs/takeover.rs
+++ b/crates/dewspard/src/jobs/takeover.rs
@@ -16,17 +16,17 @@
 
 use {
     super::{
-        deferred_ends::load_ends,
-        event::{Event, EventSender, HolderGone},
+        deferred_ends::load_deferred_ends,
+        event::{Event, EventSender, HolderStopped},
         keys,
         progress::{FeedEvent, parse_feed},
-        start_logs::load_starts,
+        start_logs::load_start_logs,
         vm_orders::{LoadedVmOrders, LoadedWaves, load_vm_orders, load_waves},
     },
     crate::{clock, counters, passed_over},
     dewspar::{
         job::{JobId, Progress},
-        poll::PollPace,
+        poll::PollInterval,
     },
     dewspar_platform::{Error, Fleet, KeyValue, Versioned},
     slog::{Logger, info},
@@ -49,8 +49,8 @@
 const MAX_FULL_READ_MS: u64 = 600;
 
 /// The pace of single slices: half of the link's time is left for orders.
-const SLICE_PACE: PollPace =
-    PollPace { least_ms: 0, most_ms: 1_000, share_percent: 50 };
+const SLICE_PACE: PollInterval =
+    PollInterval { min_ms: 0, max_ms: 1_000, share_percent: 50 };
 
 /// The delay before a failed read is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
@@ -104,7 +104,7 @@
     fleet: &F,
     sender: &EventSender,
     log: &Logger,
-) -> Result<(), HolderGone> {
+) -> Result<(), HolderStopped> {
     let fleet_state =
         retry_until_read(|| read_fleet_state(store, fleet, log)).await;
     sender.send(Event::FleetStateLoaded(fleet_state)).await
@@ -143,13 +143,13 @@
     store: &K,
     sender: &EventSender,
     log: &Logger,
-) -> Result<LoadTotals, HolderGone> {
+) -> Result<LoadTotals, HolderStopped> {
     let mut loaded = LoadTotals::default();
     let requested_ms = clock::now_ms();
     let ((_, cancelled), ends, starts) = tokio::join!(
         retry_until_read(|| store.list(keys::CANCELLED)),
-        retry_until_read(|| load_ends(store, log)),
-        retry_until_read(|| load_starts(store, log)),
+        retry_until_read(|| load_deferred_ends(store, log)),
+        retry_until_read(|| load_start_logs(store, log)),
     );
     let call_ms = clock::now_ms().saturating_sub(requested_ms);
     sender.send(Event::Feed(parse_feed(&cancelled, log))).await?;
@@ -199,7 +199,7 @@
     sender: &EventSender,
     log: &Logger,
     loaded: &mut LoadTotals,
-) -> Result<u64, HolderGone> {
+) -> Result<u64, HolderStopped> {
     let accepted = format!("{}{slice}", keys::ACCEPTED);
     let progress = format!("{}{slice}", keys::PROGRESS);
     let requested_ms = clock::now_ms();
