--- a/crates/dewspar/src/config/chunk.rs
+++ b/crates/dewspar/src/config/chunk.rs
@@ -7,20 +7,22 @@
     std::collections::BTreeMap,
 };
 
-/// How many chunks the resources of one kind are spread over.
+/// The number of chunks over which the resources of one kind are spread.
 ///
-/// 16 keeps a chunk of the target's largest kind (391 pools) near 5 KB, so a
-/// change moves little, and the head's table near 6 KB.
+/// At 16, a chunk of the most numerous kind at the target (391 pools) takes
+/// about 5 KB, so that a change transfers little, and the table of chunks in
+/// the head takes about 6 KB.
 const CHUNKS_PER_KIND: u64 = 16;
 
-/// How many past tokens and retired chunks a head remembers.
+/// How many tokens of past writes and retired chunks a head keeps.
 const HISTORY_LEN: usize = 16;
 
-/// An immutable group of resources.
+/// An immutable group of resources, stored under a name of its own.
 ///
-/// Its name is the digest of its content and the revision it was made for.
-/// Content alone would not do: deleting what was just added brings an older
-/// content back, and its key may be about to be deleted.
+/// The name consists of the digest of the content and the revision that
+/// introduced it. The digest alone is not enough: deleting a resource that was
+/// just added restores an earlier content, and the chunk with that content may
+/// be about to be deleted.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Chunk {
     name: String,
@@ -38,11 +40,13 @@
         &self.body
     }
 
-    /// Reads a chunk's resources.
+    /// Decodes the resources of the chunk called `name`.
     ///
     /// # Errors
     ///
-    /// Returns [`Error::Syntax`] when the bytes aren't those of `name`.
+    /// Returns [`Error::Syntax`] when the digest of `body` doesn't match
+    /// `name` or `body` isn't a JSON list, and the errors of
+    /// [`Resource::from_value`].
     pub fn read(name: &str, body: &[u8]) -> Result<Vec<Resource>, Error> {
         if digest_hex(body) != digest_of_name(name) {
             let reason = format!("chunk {name} is missing or has changed");
@@ -54,7 +58,7 @@
     }
 }
 
-/// The one value that says which configuration is in force.
+/// The single value that defines the configuration in force.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Head {
     revision: u64,
@@ -74,8 +78,8 @@
         self.chunks.values().map(String::as_str)
     }
 
-    /// Returns whether the write with this token is part of this head or of
-    /// one of its recent ancestors.
+    /// Returns whether the write with this token produced this head or one of
+    /// its recent predecessors.
     pub fn contains(&self, token: &str) -> bool {
         self.tokens.iter().any(|known| known == token)
     }
@@ -83,8 +87,8 @@
     /// Builds the successor of this head for `snapshot`.
     ///
     /// Returns the new head and the chunks that must be stored before it is
-    /// swapped in. The chunks that nobody can need any longer are those
-    /// that [`Head::unreferenced_chunks`] names.
+    /// swapped in. [`Head::unreferenced_chunks`] returns the chunks that may be
+    /// deleted after the swap.
     pub fn advance(
         &self,
         snapshot: &Snapshot,
@@ -117,7 +121,8 @@
         (Head { revision, tokens, chunks, retired }, new_chunks)
     }
 
-    /// Returns the chunks that `next` no longer keeps and nobody reads.
+    /// Returns the names of the chunks that this head lists and `next` doesn't,
+    /// neither as current nor as retired. Nobody reads them any more.
     pub fn unreferenced_chunks<'a>(
         &'a self,
         next: &'a Head,
--- a/crates/dewspar/src/config/error.rs
+++ b/crates/dewspar/src/config/error.rs
@@ -1,12 +1,12 @@
 use {crate::config::Kind, displaydoc::Display};
 
-/// Why a document or a change was refused.
+/// The reason that a document or a change was refused.
 #[derive(Clone, Debug, Display, Eq, PartialEq)]
 #[non_exhaustive]
 pub enum Error {
     /// document can't be read: {reason}
     Syntax {
-        /// What the decoder said, with its place.
+        /// The decoder's message, with the position.
         reason: String,
     },
     /// {kind} `{name}`: field `{field}` {problem}
@@ -17,7 +17,7 @@
         name: String,
         /// The path of the field, such as `spec.runners`.
         field: String,
-        /// What is wrong, and what would be valid.
+        /// The problem, and what would be valid.
         problem: String,
     },
     /// {kind} `{name}` is at revision {current}, but the change expected {expected}
@@ -26,7 +26,7 @@
         kind: Kind,
         /// The resource's name.
         name: String,
-        /// The revision the writer had read.
+        /// The revision that the writer expected.
         expected: u64,
         /// The revision in force.
         current: u64,
--- a/crates/dewspar/src/config/resource.rs
+++ b/crates/dewspar/src/config/resource.rs
@@ -36,7 +36,7 @@
 }
 
 impl Kind {
-    /// Every kind, in the order in which they may refer to each other.
+    /// All kinds. Each kind refers only to kinds before it.
     pub const ALL: [Kind; 6] = [
         Kind::Team,
         Kind::Pool,
@@ -46,7 +46,7 @@
         Kind::MaintenanceWave,
     ];
 
-    /// Returns the kind's name as documents and URLs spell it.
+    /// Returns the kind's name as used in documents and URLs.
     pub fn as_str(self) -> &'static str {
         match self {
             Kind::Team => "Team",
@@ -204,7 +204,7 @@
 }
 
 impl Spec {
-    /// Returns the kind of resource that this is the body of.
+    /// Returns the kind of resource that this body belongs to.
     pub fn kind(&self) -> Kind {
         match self {
             Spec::Team(_) => Kind::Team,
@@ -216,7 +216,7 @@
         }
     }
 
-    /// Reads the body of a resource of the given kind.
+    /// Decodes the body of a resource of the given kind.
     ///
     /// # Errors
     ///
@@ -256,7 +256,7 @@
     }
 }
 
-/// A named piece of desired state.
+/// A named unit of desired state.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Resource {
     name: String,
@@ -265,32 +265,32 @@
 }
 
 impl Resource {
-    /// Makes a resource that has not been accepted yet.
+    /// Creates a resource that has not been accepted yet, at revision 0.
     pub fn new(name: &str, spec: Spec) -> Resource {
         Resource { name: name.to_owned(), revision: 0, spec }
     }
 
-    /// Reads one resource from YAML; JSON is YAML too.
+    /// Decodes one resource from YAML, which includes JSON.
     ///
     /// # Errors
     ///
-    /// Returns [`Error::Syntax`] when the text isn't a document with
-    /// `kind`, `name` and `spec`, and [`Error::Field`] when its spec is off.
+    /// Returns [`Error::Syntax`] when the text isn't a document with `kind`,
+    /// `name` and `spec`, and [`Error::Field`] when its spec is invalid.
     pub fn from_yaml(text: &str) -> Result<Resource, Error> {
         let envelope: Envelope = serde_norway::from_str(text)
             .map_err(|e| Error::Syntax { reason: e.to_string() })?;
         envelope.into_resource()
     }
 
-    /// Reads every document of a YAML stream.
+    /// Decodes all documents of a YAML stream.
     ///
     /// # Errors
     ///
-    /// Returns the first document's error; none is returned half.
+    /// Returns the error of the first invalid document, and no resources then.
     pub fn all_from_yaml(text: &str) -> Result<Vec<Resource>, Error> {
         serde_norway::Deserializer::from_str(text)
             .filter_map(|document| {
-                // A separator at the end makes a document without content.
+                // A trailing separator yields a document without content.
                 let envelope = Option::<Envelope>::deserialize(document)
                     .map_err(|e| Error::Syntax { reason: e.to_string() });
                 let envelope = envelope.transpose()?;
@@ -299,11 +299,11 @@
             .collect()
     }
 
-    /// Reads one resource from a JSON value.
+    /// Decodes one resource from a JSON value.
     ///
     /// # Errors
     ///
-    /// As [`Resource::from_yaml`].
+    /// Returns the same errors as [`Resource::from_yaml`].
     pub fn from_value(value: Value) -> Result<Resource, Error> {
         let envelope: Envelope = serde_json::from_value(value)
             .map_err(|e| Error::Syntax { reason: e.to_string() })?;
@@ -340,7 +340,7 @@
         &self.spec
     }
 
-    /// Returns the same resource as of another revision.
+    /// Returns the same resource with another revision.
     pub(crate) fn with_revision(mut self, revision: u64) -> Resource {
         self.revision = revision;
         self
@@ -355,7 +355,8 @@
     #[serde(default)]
     revision: u64,
     spec: Value,
-    // Readers hand back what they got; status is never taken from them.
+    // Clients may send back a document as they received it, with its status.
+    // The status is ignored.
     #[serde(default)]
     #[allow(dead_code)]
     status: Option<Value>,
--- a/crates/dewspar/src/config/snapshot.rs
+++ b/crates/dewspar/src/config/snapshot.rs
@@ -11,7 +11,7 @@
 pub enum Change {
     /// Create the resource, or replace it.
     Put {
-        /// The wanted resource.
+        /// The resource to store.
         resource: Resource,
         /// The revision that the writer read; `None` takes any.
         expected: Option<u64>,
@@ -28,7 +28,7 @@
 }
 
 impl Change {
-    /// Makes a put; a resource that carries a revision expects it.
+    /// Creates a put, which expects the resource's revision if it has one.
     pub fn put(resource: Resource) -> Change {
         let expected = match resource.revision() {
             0 => None,
@@ -53,16 +53,16 @@
     }
 }
 
-/// What became of a resource between two snapshots.
+/// How a resource differs between two snapshots.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Difference {
     /// It was created or replaced.
     Put(Resource),
-    /// It was removed; the last version is given.
+    /// It was removed; holds its last version.
     Deleted(Resource),
 }
 
-/// All desired state at one revision.
+/// The complete desired state at one revision.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Snapshot {
     revision: u64,
@@ -70,7 +70,7 @@
 }
 
 impl Snapshot {
-    /// Puts a snapshot together from stored parts.
+    /// Assembles a snapshot from its stored parts.
     pub fn from_parts(
         revision: u64,
         resources: impl IntoIterator<Item = Resource>,
@@ -82,29 +82,29 @@
         Snapshot { revision, resources }
     }
 
-    /// Returns the snapshot's revision; 0 is the empty one.
+    /// Returns the snapshot's revision; 0 for the initial, empty snapshot.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Returns every resource, ordered by kind and name.
+    /// Returns all resources, ordered by kind and name.
     pub fn resources(&self) -> impl Iterator<Item = &Resource> {
         self.resources.values()
     }
 
-    /// Returns one resource.
+    /// Returns the resource of this kind and name.
     pub fn get(&self, kind: Kind, name: &str) -> Option<&Resource> {
         self.resources.get(&(kind, name.to_owned()))
     }
 
-    /// Applies changes, all or none, and returns the next snapshot.
+    /// Applies changes atomically and returns the next snapshot.
     ///
     /// # Errors
     ///
-    /// Returns [`Error::Conflict`] with both revisions when a change
-    /// expected another one, [`Error::NotFound`] when a deleted resource
-    /// doesn't exist, [`Error::InUse`] when something still refers to it,
-    /// and [`Error::Field`] when the result would not be valid as a whole.
+    /// Returns [`Error::Conflict`] when a resource isn't at the revision that
+    /// its change expects, [`Error::NotFound`] when a resource to delete
+    /// doesn't exist, [`Error::InUse`] when another resource still refers to
+    /// it, and [`Error::Field`] when the resulting snapshot isn't valid.
     pub fn apply(&self, changes: &[Change]) -> Result<Snapshot, Error> {
         let mut next = self.clone();
         next.revision += 1;
@@ -126,7 +126,7 @@
         }
         match change {
             Change::Put { resource, .. } => {
-                // Writing what is there already changes no revision.
+                // A put without an effect leaves the revision unchanged.
                 let same = self
                     .get(kind, name)
                     .is_some_and(|old| old.spec() == resource.spec());
@@ -153,7 +153,7 @@
         }
     }
 
-    /// Returns what changed from `older` to this snapshot.
+    /// Returns the differences from `older` to this snapshot.
     pub fn differences(&self, older: &Snapshot) -> Vec<Difference> {
         let put = self
             .resources
@@ -168,7 +168,7 @@
         put.chain(deleted).collect()
     }
 
-    /// Returns the team's body.
+    /// Returns the body of a team.
     pub fn team(&self, name: &str) -> Option<&TeamSpec> {
         match self.get(Kind::Team, name)?.spec() {
             Spec::Team(spec) => Some(spec),
@@ -176,7 +176,7 @@
         }
     }
 
-    /// Returns the pool's body.
+    /// Returns the body of a pool.
     pub fn pool(&self, name: &str) -> Option<&PoolSpec> {
         match self.get(Kind::Pool, name)?.spec() {
             Spec::Pool(spec) => Some(spec),
@@ -184,7 +184,7 @@
         }
     }
 
-    /// Returns the service's body.
+    /// Returns the body of a service.
     pub fn service(&self, name: &str) -> Option<&ServiceSpec> {
         match self.get(Kind::Service, name)?.spec() {
             Spec::Service(spec) => Some(spec),
@@ -192,7 +192,7 @@
         }
     }
 
-    /// Returns every pool.
+    /// Returns all pools.
     pub fn pools(&self) -> impl Iterator<Item = (&str, &PoolSpec)> {
         self.resources().filter_map(|r| match r.spec() {
             Spec::Pool(spec) => Some((r.name(), spec)),
@@ -200,7 +200,7 @@
         })
     }
 
-    /// Returns every service.
+    /// Returns all services.
     pub fn services(&self) -> impl Iterator<Item = (&str, &ServiceSpec)> {
         self.resources().filter_map(|r| match r.spec() {
             Spec::Service(spec) => Some((r.name(), spec)),
@@ -208,7 +208,7 @@
         })
     }
 
-    /// Returns every job.
+    /// Returns all jobs.
     pub fn jobs(&self) -> impl Iterator<Item = (&Resource, &JobSpec)> {
         self.resources().filter_map(|r| match r.spec() {
             Spec::Job(spec) => Some((r, spec)),
@@ -216,7 +216,7 @@
         })
     }
 
-    /// Returns every availability budget.
+    /// Returns all availability budgets.
     pub fn budgets(
         &self,
     ) -> impl Iterator<Item = (&str, &AvailabilityBudgetSpec)> {
@@ -226,7 +226,7 @@
         })
     }
 
-    /// Returns every maintenance wave.
+    /// Returns all maintenance waves.
     pub fn waves(
         &self,
     ) -> impl Iterator<Item = (&Resource, &MaintenanceWaveSpec)> {
@@ -236,10 +236,10 @@
         })
     }
 
-    /// Returns the partner that owns a resource, if one partner does.
+    /// Returns the partner that owns a resource; `None` if no single one does.
     ///
     /// Pools and waves belong to the consortium as a whole. A budget that
-    /// counts a service's runners belongs to that service's partner.
+    /// counts a service's runners belongs to the partner that owns the service.
     pub fn owner(&self, resource: &Resource) -> Option<&str> {
         let team = match resource.spec() {
             Spec::Team(_) => resource.name(),
--- a/crates/dewspar/src/config/validate.rs
+++ b/crates/dewspar/src/config/validate.rs
@@ -1,5 +1,5 @@
 /*!
-The rules that a snapshot must meet as a whole.
+Validation of a whole snapshot, including references between resources.
 */
 
 use {
@@ -9,13 +9,14 @@
     std::collections::BTreeMap,
 };
 
-/// The longest name of a resource, in bytes.
+/// The maximum length of a resource's name, in bytes.
 const MAX_NAME_LEN: usize = 63;
 
-/// The most runners a service or tasks a job may ask for.
+/// The maximum of any count in a spec, such as a service's runners or a job's
+/// tasks.
 const MAX_COUNT: u32 = 10_000;
 
-/// Checks every resource against every other.
+/// Checks every resource, its references and the quotas of the teams.
 pub(crate) fn check_snapshot(snapshot: &Snapshot) -> Result<(), Error> {
     let mut pool_of = BTreeMap::new();
     let mut quotas = Quotas { snapshot, reserved: BTreeMap::new() };
@@ -68,14 +69,19 @@
     Ok(())
 }
 
-/// What each team reserves, against its quota.
+/// The CPU and memory reserved by each team, checked against its quota.
 struct Quotas<'a> {
     snapshot: &'a Snapshot,
     reserved: BTreeMap<&'a str, (u64, u64)>,
 }
 
 impl<'a> Quotas<'a> {
-    /// Adds the tasks of one resource, of so much cpu_millis and memory_mb.
+    /// Adds the reservation of a resource with `count` tasks or runners, each
+    /// of the given `cpu_millis` and `memory_mb`.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`Error::Field`] when the team exceeds its quota.
     fn reserve(
         &mut self,
         resource: &Resource,
@@ -108,7 +114,7 @@
     }
 }
 
-/// Returns the first resource that refers to the given one.
+/// Returns the kind and name of a resource that refers to the given one.
 pub(crate) fn referrer_of(
     snapshot: &Snapshot,
     kind: Kind,
@@ -156,7 +162,7 @@
     Ok(())
 }
 
-/// Refuses a reference to a resource that isn't there.
+/// Checks that a referenced resource exists.
 fn check_exists(
     snapshot: &Snapshot,
     resource: &Resource,
--- a/crates/dewspar/src/job/conflict.rs
+++ b/crates/dewspar/src/job/conflict.rs
@@ -1,24 +1,26 @@
 /*!
-What a writer makes of a job's record that isn't as it expected.
+Resolution of write conflicts on a job's progress record.
 
-Each write of a job's [`Progress`] is conditional on the version of the record
-that the writer knows, and on the writer's lease. When the store refuses a write
-although the lease stands, nobody else schedules, and only what the writer knew
-of this one record is wrong: a write of its own whose answer was lost, a reading
-that missed the record, or an entry by an unknown hand. That is no reason to
-give the lease up, since the next holder would meet the same record. The writer
-judges what the store returned with the refusal, and goes on from there:
+Each write of a job's [`Progress`] is a compare-and-swap: it is conditional on
+the version of the record that the writer last saw, and on the writer's lease.
+When the store refuses a write although the lease is still valid, no other node
+schedules, and only the writer's view of this one record is wrong. Causes are an
+earlier write of its own whose answer was lost, a read that missed the record,
+or a change by an unknown client. Releasing the lease would not help, since the
+next holder would find the same record. The writer instead examines the record
+that the store returned with the refusal and continues from it:
 
-| the record | what becomes of the job |
+| the stored record | resolution |
 |---|---|
-| says what was to be written | [`Resolution::Stored`] |
-| says that the job is over | [`Resolution::Finished`] |
-| says more or other things than the writer knows | [`Resolution::Merge`] |
-| is gone, or older than what the writer knows | [`Resolution::Retry`] |
-| can't be read, and the writer knew of none | [`Resolution::LeaveAlone`] |
+| has a final phase | [`Resolution::Finished`] |
+| equals the one to be written, which isn't final | [`Resolution::Stored`] |
+| differs, and neither side has a final phase | [`Resolution::Merge`] |
+| is absent, or isn't final while the new one is | [`Resolution::Retry`] |
+| can't be decoded; an earlier version is known | [`Resolution::Retry`] |
+| can't be decoded; no earlier version is known | [`Resolution::LeaveAlone`] |
 
-A record that is found changed again and again is written less and less often,
-see [`retry_delay_ms`].
+Repeated conflicts on the same record are retried with exponential backoff, see
+[`retry_delay_ms`].
 
 # Example
 
@@ -31,13 +33,13 @@
 let progress = |phase| Progress { phase, ..Progress::default() };
 let (running, over) = (progress(Phase::Running), progress(Phase::Completed));
 
-// The answer to an earlier try of the same write was lost.
+// The answer to an earlier attempt of the same write was lost.
 let found = FoundRecord::Readable(running.clone());
 assert_eq!(resolve(0, &running, found), Resolution::Stored);
-// The job came to its end under a former holder.
+// The job finished under a previous holder.
 let found = FoundRecord::Readable(over.clone());
 assert_eq!(resolve(0, &running, found), Resolution::Finished(over));
-// Nothing is known of what was done.
+// It isn't known which tasks were done.
 let found = FoundRecord::Unreadable;
 assert_eq!(resolve(0, &running, found), Resolution::LeaveAlone);
 ```
@@ -45,44 +47,45 @@
 
 use crate::job::Progress;
 
-/// The pause before a record is written again that was found changed twice in
-/// a row, in milliseconds: the store has just answered, and a change by another
-/// hand needs a moment to be over.
+/// The delay after the second consecutive conflict on a record, in
+/// milliseconds: the store has just answered, and another client that changes
+/// the record needs some time to finish.
 const INITIAL_RETRY_DELAY_MS: u64 = 100;
 
-/// The longest pause, in milliseconds: one bad record then costs one write in
-/// that time, and is written soon after it is let alone.
+/// The longest retry delay, in milliseconds. A record in permanent conflict
+/// costs one write per delay, and is written soon after the conflict ends.
 const MAX_RETRY_DELAY_MS: u64 = 3_200;
 
-/// A job's record as a refused write found it.
+/// A job's progress record as returned with a refused write.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum FoundRecord {
-    /// There is none.
+    /// The record doesn't exist.
     Absent,
-    /// It says this.
+    /// The record exists and was decoded.
     Readable(Progress),
-    /// It can't be read.
+    /// The record exists but can't be decoded.
     Unreadable,
 }
 
-/// What is to be done about a job whose record was found changed.
+/// How the writer continues with a job after a conflict on its record.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Resolution {
-    /// The record holds what was to be written: the write counts as done.
+    /// The record equals the one to be written: the write counts as done.
     Stored,
-    /// The job came to its end, as the record says; it is written once more,
-    /// so that all that goes with the end is done.
+    /// The record has a final phase. Adopt it and write it once more, so that
+    /// the other changes of the same transaction, such as deleting the job's
+    /// other keys, are made too.
     Finished(Progress),
-    /// Take in what the record says, then write again.
+    /// Merge the record into the local state, then write again.
     Merge(Progress),
-    /// Write again; the record has nothing to tell.
+    /// Write again; the record has nothing that the writer doesn't know.
     Retry,
-    /// What was done of the job isn't known: run nothing more of it.
+    /// It isn't known which tasks were done: start no more tasks of the job.
     LeaveAlone,
 }
 
 impl Resolution {
-    /// Returns a short name of the resolution, for logs.
+    /// Returns the name of the resolution in log lines.
     pub fn name(&self) -> &'static str {
         match self {
             Resolution::Stored => "stored",
@@ -94,10 +97,11 @@
     }
 }
 
-/// Decides what becomes of a job whose record was expected at a version, 0 for
-/// no record, and found otherwise, while `ours` was to be written.
+/// Returns how to resolve a conflict in which `ours` was to replace the record
+/// at version `expected`, and the store returned `found`.
 ///
-/// Holds only while the writer's lease stands.
+/// An `expected` version of 0 stands for no record. The result is only valid
+/// while the writer holds its lease.
 pub fn resolve(
     expected: u64,
     ours: &Progress,
@@ -108,26 +112,28 @@
         FoundRecord::Readable(theirs) if theirs.phase.is_final() => {
             Resolution::Finished(theirs)
         }
-        // Nothing of a job that is over starts again, whatever was done of it.
+        // No task of a finished job starts again, so which of them are done
+        // no longer matters.
         FoundRecord::Readable(_) if ours.phase.is_final() => Resolution::Retry,
         FoundRecord::Readable(theirs) if theirs == *ours => Resolution::Stored,
         FoundRecord::Readable(theirs) => Resolution::Merge(theirs),
-        // All of it may have been done under a former holder.
+        // Every task may already have run under a previous holder.
         FoundRecord::Unreadable if expected == 0 => Resolution::LeaveAlone,
-        // What it said before is known here.
+        // The writer knows the earlier content of the record.
         FoundRecord::Unreadable => Resolution::Retry,
     }
 }
 
-/// Returns how long to wait before a record is written again that was found
-/// changed so many times in a row, in milliseconds.
+/// Returns the delay before the next write of a record after this many
+/// consecutive conflicts, in milliseconds.
 ///
 /// # Example
 ///
 /// ```
 /// use dewspar::job::conflict::retry_delay_ms;
 ///
-/// // What was found is known now, so the next write usually takes place.
+/// // The current version is known after one conflict, so the next write
+/// // usually succeeds.
 /// assert_eq!(retry_delay_ms(1), 0);
 /// assert_eq!(retry_delay_ms(2), 100);
 /// assert_eq!(retry_delay_ms(4), 400);
--- a/crates/dewspar/src/job/id.rs
+++ b/crates/dewspar/src/job/id.rs
@@ -4,10 +4,10 @@
     std::{fmt, str::FromStr},
 };
 
-/// How many hexadecimal digits a job's identifier has.
+/// The number of hexadecimal digits in a job's identifier.
 const JOB_ID_DIGITS: usize = 16;
 
-/// Why a text is no identifier.
+/// The reason that a text isn't a valid identifier.
 #[derive(Clone, Debug, Display, Eq, PartialEq)]
 #[non_exhaustive]
 pub enum InvalidId {
@@ -40,8 +40,8 @@
 
     fn from_str(text: &str) -> Result<JobId, InvalidId> {
         let invalid = || InvalidId::Job(text.to_owned());
-        // Only the spelling that `Display` writes, so that one job can't go
-        // by two names.
+        // Accepts only the spelling that `Display` writes, so that each job
+        // has exactly one identifier.
         let digit = |b: &u8| matches!(b, b'0'..=b'9' | b'a'..=b'f');
         if text.len() != JOB_ID_DIGITS || !text.as_bytes().iter().all(digit) {
             return Err(invalid());
@@ -70,9 +70,9 @@
     }
 }
 
-/// A task's name: its job, the round of a repeated job, step and index.
+/// A task's identifier: job, round of a repeated job, step and index.
 ///
-/// It is written `JOB.ROUND.STEP.INDEX`.
+/// Its text form is `JOB.ROUND.STEP.INDEX`.
 #[derive(
     Clone,
     Copy,
@@ -88,7 +88,7 @@
 pub struct TaskId {
     /// The job.
     pub job: JobId,
-    /// Which repetition of the job, from 0; 0 for a job that runs once.
+    /// The repetition of the job, from 0; always 0 for a job that runs once.
     pub round: u32,
     /// The step's position in the job, from 0.
     pub step: u32,
--- a/crates/dewspar/src/job/mod.rs
+++ b/crates/dewspar/src/job/mod.rs
@@ -1,14 +1,14 @@
 /*!
-Jobs: what callers hand in, and how far each has come.
+Jobs: specifications that callers submit, and the recorded progress of each.
 
 A job is a small graph of *steps*; a step is a number of equal *tasks*, and
-each task runs on one worker at a time. A [`JobSpec`] never changes once it
-has been accepted, so any node may write it and any node may answer for it.
-What changes is the job's [`Progress`]: which tasks are done, how often each
-has failed, and the checkpoint to go on from. Only the node that holds the
-scheduler lease writes progress, and it writes only what must survive it; what
-runs at this moment is known by the workers and is asked for again after a
-takeover.
+each task runs on one worker at a time. A [`JobSpec`] is immutable once it
+has been accepted, so any node may store it and any node may answer reads of it.
+The mutable part is the job's [`Progress`]: which tasks are done, how often each
+has failed, and the checkpoint to resume from. Only the node that holds the
+scheduler lease writes progress, and it writes only what must outlive that
+node. The set of running tasks is not stored: the workers report it, and a new
+holder asks them for it after a takeover.
 
 # Example
 
--- a/crates/dewspar/src/job/progress.rs
+++ b/crates/dewspar/src/job/progress.rs
@@ -4,32 +4,32 @@
     serde::{Deserialize, Serialize},
 };
 
-/// How far a job has come.
+/// The phase of a job's life cycle.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize,
 )]
 #[serde(rename_all = "snake_case")]
 pub enum Phase {
-    /// Accepted; no worker has said that a task began.
+    /// Accepted; no worker has reported the start of a task.
     #[default]
     Queued,
-    /// A worker has said that a task began.
+    /// A worker has reported the start of a task.
     Running,
-    /// Every task has ended well.
+    /// Every task has succeeded.
     Completed,
-    /// A task has failed as often as its queue allows.
+    /// A task has used up the attempts that its queue allows.
     Failed,
-    /// The caller cancelled it.
+    /// Cancelled by the caller.
     Cancelled,
 }
 
 impl Phase {
-    /// Returns whether nothing of the job will ever start again.
+    /// Returns whether the phase is final: no task of the job starts again.
     pub fn is_final(self) -> bool {
         matches!(self, Phase::Completed | Phase::Failed | Phase::Cancelled)
     }
 
-    /// Returns the phase's name, as in the state chart `job`.
+    /// Returns the phase's name as used in the state chart `job`.
     pub fn name(self) -> &'static str {
         match self {
             Phase::Queued => "queued",
@@ -41,12 +41,13 @@
     }
 }
 
-/// What is stored of a job besides its specification.
+/// The stored state of a job besides its specification.
 ///
-/// Nearly all that there is to say is that tasks are done, at their first
-/// run. These are written as ranges such as `0.1:0-7`, for tasks 0 to 7 of
-/// step 1 of round 0: 8 of them take 9 bytes and not 490. What a holder writes
-/// of running jobs took half of what a link of 2 Mbit/s sent.
+/// Most tasks succeed at their first run and have nothing else to record. They
+/// are encoded as ranges such as `0.1:0-7`, for tasks 0 to 7 of step 1 of round
+/// 0: 8 tasks then take 9 bytes instead of 490. Encoded one by one, the
+/// progress of running jobs took up half of the data that a holder sent over a
+/// link of 2 Mbit/s.
 ///
 /// # Example
 ///
@@ -73,71 +74,73 @@
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(try_from = "StoredProgress", into = "StoredProgress")]
 pub struct Progress {
-    /// How far it has come.
+    /// The job's phase.
     pub phase: Phase,
-    /// When it came to its end, in milliseconds of the Unix epoch; 0 before.
+    /// When the job finished, in milliseconds since the Unix epoch; 0 until
+    /// then.
     pub finished_at_ms: u64,
-    /// The tasks of which there is something to say, in their order.
+    /// The tasks that have state to record, ordered by round, step and index.
     pub tasks: Vec<TaskRecord>,
-    /// What else a newer version has said of it.
+    /// Fields of the record that this version doesn't know.
     pub other: UnknownFields,
 }
 
-/// What is stored of one task.
+/// The stored state of one task.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct TaskRecord {
-    /// The round.
+    /// The repetition of the job, from 0.
     pub round: u32,
-    /// The step's position.
+    /// The step's position in the job, from 0.
     pub step: u32,
-    /// The task's position in the step.
+    /// The task's position in the step, from 0.
     pub index: u32,
-    /// Whether it has ended well.
+    /// Whether the task has succeeded.
     pub done: bool,
     /// The numbers of its runs that failed.
     ///
-    /// A worker tells of an end again until it is acknowledged, so a count
-    /// alone would go wrong after a takeover.
+    /// A worker repeats the report of an end until it is acknowledged, so a
+    /// bare count could count one failure twice after a takeover.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub failed_runs: Vec<u64>,
     /// The highest number of a run that is known to have ended.
     pub run: u64,
-    /// How many workers in a row were lost soon after they had started it.
+    /// How many workers in a row were lost soon after starting the task.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub crashes: u32,
-    /// How many more runs were started since the first such loss whose end
-    /// the holder didn't know.
+    /// How many more runs, whose end the holder didn't learn, were started
+    /// since the first such loss.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub unseen: u32,
-    /// The worker that was told to start the last of these, if that is under
-    /// way; empty while none was told.
+    /// The worker that was ordered to start the last of these runs, while that
+    /// run may be in progress; `None` if no worker was ordered to.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub told: Option<String>,
-    /// When the process of that worker was started that was told, in
-    /// milliseconds of the Unix epoch; `None` if it doesn't say.
+    /// The start time of the worker process that got this order, in
+    /// milliseconds since the Unix epoch; `None` if the worker doesn't report
+    /// it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub told_born_unix_ms: Option<u64>,
-    /// The checkpoint to go on from; empty for none.
+    /// The checkpoint to resume from; empty for none.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub checkpoint: String,
-    /// The workers that may still carry out an order to start it which got no
-    /// answer.
+    /// Orders to start the task that got no answer, which their workers may
+    /// still carry out.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub in_doubt: Vec<InDoubtRecord>,
-    /// What else a newer version has said of it.
+    /// Fields of the record that this version doesn't know.
     #[serde(flatten)]
     pub other: UnknownFields,
 }
 
-/// What is stored of an order to start a task that got no answer.
+/// The stored state of an order to start a task that got no answer.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct InDoubtRecord {
-    /// The worker that it was sent to.
+    /// The worker that the order was sent to.
     pub worker: String,
-    /// The VM of that worker; empty if it isn't known.
+    /// The VM of that worker; empty if unknown.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub vm: String,
-    /// The run's number; 0 if it isn't known.
+    /// The run's number; 0 if unknown.
     #[serde(default, skip_serializing_if = "is_zero_run")]
     pub run: u64,
 }
--- a/crates/dewspar/src/job/queue.rs
+++ b/crates/dewspar/src/job/queue.rs
@@ -1,21 +1,21 @@
 use crate::schedule::QueueTerms;
 
-/// A queue: where callers hand jobs in, and on what terms.
+/// A queue to which callers submit jobs, with its terms.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Queue {
     /// The queue's name.
     pub name: String,
-    /// The host that callers name.
+    /// The host name in requests for this queue.
     pub host: String,
-    /// What the path of a call begins with.
+    /// The prefix of the request paths that belong to this queue.
     pub path_prefix: String,
-    /// How long a call may take, in milliseconds.
+    /// The time limit of a request, in milliseconds.
     pub timeout_ms: u64,
-    /// What the queue promises and allows.
+    /// The service levels and limits of the queue.
     pub terms: QueueTerms,
 }
 
-/// The queues of one version of the configuration.
+/// The queues defined by one version of the configuration.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct QueueSet {
     version: u64,
@@ -25,13 +25,13 @@
 }
 
 impl QueueSet {
-    /// Makes the queues of a version.
+    /// Creates the set of queues of a configuration version.
     pub fn new(version: u64, queues: Vec<Queue>) -> QueueSet {
         QueueSet { version, queues, ..QueueSet::default() }
     }
 
-    /// Sets the pools whose workers start whatever they are told, whether they
-    /// have room for it or not.
+    /// Sets the pools whose workers don't check their capacity: they start
+    /// every task that they are ordered to, also without room for it.
     pub fn with_pools_without_capacity_checks(
         mut self,
         pools: Vec<String>,
@@ -40,7 +40,7 @@
         self
     }
 
-    /// Returns the pools whose workers start whatever they are told.
+    /// Returns the pools whose workers don't check their capacity.
     pub fn pools_without_capacity_checks(&self) -> &[String] {
         &self.pools_without_capacity_checks
     }
@@ -51,12 +51,12 @@
         self
     }
 
-    /// Returns the version, which only rises.
+    /// Returns the configuration version, which increases monotonically.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Returns every queue.
+    /// Returns all queues.
     pub fn queues(&self) -> &[Queue] {
         &self.queues
     }
@@ -71,9 +71,9 @@
         self.queues.iter().find(|queue| queue.name == name)
     }
 
-    /// Returns the queue that a call belongs to, and the rest of its path.
+    /// Returns the queue that a request belongs to, and the rest of its path.
     ///
-    /// The longest prefix of the host's queues decides.
+    /// Among the queues of the host, the longest matching prefix wins.
     ///
     /// ```
     /// use dewspar::job::{Queue, QueueSet};
--- a/crates/dewspar/src/job/spec.rs
+++ b/crates/dewspar/src/job/spec.rs
@@ -3,13 +3,13 @@
     serde::{Deserialize, Serialize},
 };
 
-/// The most tasks that one job may have over all steps and rounds.
+/// The maximum number of tasks of a job over all steps and rounds.
 ///
-/// A job's whole progress is one stored value, which must stay far below the
-/// store's limit of 1 MiB for a value.
+/// The whole progress of a job is stored as one value, which must stay far
+/// below the store's limit of 1 MiB per value.
 const MAX_TASKS: u64 = 10_000;
 
-/// Why a job's specification was refused.
+/// The reason that a job's specification is invalid.
 #[derive(Clone, Debug, Display, Eq, PartialEq)]
 #[non_exhaustive]
 pub enum InvalidSpec {
@@ -24,116 +24,119 @@
     NotEarlier {
         /// The step's position.
         step: usize,
-        /// The step it names.
+        /// The step that it refers to.
         after: usize,
     },
     /// field `steps` holds {tasks} tasks, but at most 10000 are taken
     TooMany {
-        /// How many tasks the job would have.
+        /// The number of tasks in the job.
         tasks: u64,
     },
 }
 
 impl std::error::Error for InvalidSpec {}
 
-/// What a caller handed in; it never changes once it is accepted.
+/// The specification of a job as submitted; immutable once accepted.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct JobSpec {
-    /// The queue that it was handed in to.
+    /// The queue that the job was submitted to.
     pub queue: String,
-    /// What each task is given, as the caller wrote it.
+    /// The input of every task, passed on unchanged.
     pub payload: String,
     /// The steps, in the caller's order.
     pub steps: Vec<StepSpec>,
-    /// When and how often the steps run; `None` for once, at once.
+    /// The repetition schedule; `None` for a single run that starts at once.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub repeat: Option<Repeat>,
 }
 
-/// When a job's steps run again.
+/// The repetition schedule of a job.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Repeat {
-    /// When the first round falls due, in milliseconds of the Unix epoch.
+    /// When the first round is due, in milliseconds since the Unix epoch.
     pub start_at_ms: u64,
-    /// The time from one round to the next, in milliseconds.
+    /// The interval between the due times of rounds, in milliseconds.
     pub interval_ms: u64,
-    /// How many rounds there are.
+    /// The number of rounds.
     pub count: u32,
 }
 
-/// A number of equal tasks.
+/// A step of a job: a number of identical tasks.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(default)]
 pub struct StepSpec {
-    /// How many tasks there are.
+    /// The number of tasks.
     pub count: u32,
-    /// Processor time that a task takes, in thousandths of a core.
+    /// The CPU demand of a task, in thousandths of a core.
     pub cpu_millis: u64,
-    /// Memory that a task takes, in megabytes.
+    /// The memory demand of a task, in megabytes.
     pub memory_mb: u64,
-    /// GPUs that a task takes.
+    /// The number of GPUs that a task needs.
     pub gpus: u64,
-    /// The caller's guess of a task's run time, in milliseconds.
+    /// The caller's estimate of a task's run time, in milliseconds.
     pub estimate_ms: u64,
-    /// The steps all of whose tasks must be done first.
+    /// The steps that must be complete before this one starts.
     pub after: Vec<usize>,
-    /// Whether a task saves checkpoints and can go on from one.
+    /// Whether a task saves checkpoints and can resume from one.
     pub checkpointing: bool,
-    /// Whether the tasks only work together, all started as one run.
+    /// Whether the tasks form a gang: all are started together, or none.
     pub gang: bool,
-    /// Whether the tasks run faster within one rack.
+    /// Whether the tasks run faster when placed within one rack.
     pub same_rack: bool,
-    /// A label that the worker must have; empty for any.
+    /// A label that the worker must have; empty for any worker.
     pub required_label: String,
-    /// The rack where the data lies; empty for anywhere.
+    /// The rack that holds the input data; empty for no preference.
     pub data_rack: String,
-    /// The most tasks of the step on one worker; 0 for any number.
+    /// The maximum number of the step's tasks on one worker; 0 for no limit.
     pub max_per_worker: u32,
-    /// Whether two copies of a task may run side by side.
+    /// Whether two copies of a task may run at the same time.
     pub may_duplicate: bool,
     /// Whether the tasks run until the job is cancelled.
     pub long_running: bool,
-    /// What the tasks run; tasks of one image behave alike.
+    /// The image that the tasks run. Tasks of the same image are expected to
+    /// behave alike.
     pub image: String,
-    /// The answer time that a long-running task should keep, in
-    /// milliseconds; 0 when it serves nobody.
+    /// The target latency of a long-running task's responses, in
+    /// milliseconds; 0 if the task serves no requests.
     pub target_ms: u64,
-    /// Whether the tasks only use the processor time that others leave.
+    /// Whether the tasks only use CPU time that other tasks leave idle.
     pub best_effort: bool,
-    /// How many long-running tasks may be down at once by our own doing.
+    /// How many long-running tasks the scheduler may stop at the same time, as
+    /// for moves and maintenance.
     pub max_unavailable: u32,
 }
 
 impl StepSpec {
-    /// Returns whether the tasks answer users within a target.
+    /// Returns whether the tasks have a target latency to meet.
     pub fn has_latency_target(&self) -> bool {
         self.target_ms > 0
     }
 }
 
 impl JobSpec {
-    /// Returns how many rounds of the steps there are.
+    /// Returns the number of rounds; 1 for a job that isn't repeated.
     pub fn rounds(&self) -> u32 {
         self.repeat.map_or(1, |repeat| repeat.count.max(1))
     }
 
-    /// Returns when a round falls due, in milliseconds of the Unix epoch.
+    /// Returns when a round is due, in milliseconds since the Unix epoch.
     ///
-    /// 0 is at once.
+    /// 0 stands for at once.
     pub fn due_ms(&self, round: u32) -> u64 {
         self.repeat.map_or(0, |repeat| {
-            let later = u64::from(round).saturating_mul(repeat.interval_ms);
-            repeat.start_at_ms.saturating_add(later)
+            let offset_ms =
+                u64::from(round).saturating_mul(repeat.interval_ms);
+            repeat.start_at_ms.saturating_add(offset_ms)
         })
     }
 
-    /// Returns whether any step runs until the job is cancelled.
+    /// Returns whether the tasks of any step run until the job is cancelled.
     pub fn long_running(&self) -> bool {
         self.steps.iter().any(|step| step.long_running)
     }
 
-    /// Returns the longest chain of estimates from `step` to the job's end,
-    /// in milliseconds.
+    /// Returns the length of the critical path from the start of `step` to the
+    /// job's end, by the caller's estimates, in milliseconds.
     pub fn critical_path_ms(&self, step: usize) -> u64 {
         let own = self.steps[step].estimate_ms;
         let next = (step + 1..self.steps.len())
@@ -143,11 +146,11 @@
         own + next.unwrap_or(0)
     }
 
-    /// Checks that the job can be run at all.
+    /// Checks that the specification is valid.
     ///
     /// # Errors
     ///
-    /// Returns an [`InvalidSpec`] that names the field at fault.
+    /// Returns an [`InvalidSpec`] that names the invalid field.
     pub fn check(&self) -> Result<(), InvalidSpec> {
         if self.steps.is_empty() {
             return Err(InvalidSpec::NoSteps);
@@ -157,7 +160,7 @@
             if spec.count == 0 {
                 return Err(InvalidSpec::NoTasks { step });
             }
-            // Steps may only wait for earlier ones, so there are no cycles.
+            // A step may only depend on earlier ones, which rules out cycles.
             if let Some(&after) = spec.after.iter().find(|a| **a >= step) {
                 return Err(InvalidSpec::NotEarlier { step, after });
             }
--- a/crates/dewspar/src/job/stored.rs
+++ b/crates/dewspar/src/job/stored.rs
@@ -1,8 +1,8 @@
 /*!
-How the progress of a job is written.
+The stored encoding of a job's progress.
 
-Tasks that are done at their first run are named in ranges; the others have a
-record each.
+Tasks that succeeded at their first run are encoded as ranges; every other task
+has a record of its own.
 */
 
 use {
@@ -15,19 +15,20 @@
     std::{fmt, num::ParseIntError, str::FromStr},
 };
 
-/// The most tasks that a range may name: more than any step has.
+/// The maximum number of tasks in a range, more than any step has. Bounds the
+/// memory that decoding a malformed record can take.
 const MAX_RANGE: u32 = 100_000;
 
-/// The written form of a [`Progress`].
+/// The encoded form of a [`Progress`].
 #[derive(Debug, Deserialize, Serialize)]
 pub(super) struct StoredProgress {
     phase: Phase,
     #[serde(default, skip_serializing_if = "is_zero")]
     finished_at_ms: u64,
-    /// Tasks that are done at their first run.
+    /// Ranges of tasks that succeeded at their first run.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     done: Vec<String>,
-    /// All other tasks of which there is something to say.
+    /// All other tasks that have state to record.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     tasks: Vec<TaskRecord>,
     #[serde(flatten)]
@@ -44,7 +45,7 @@
     text: String,
 }
 
-/// Tasks of one step, one after the other.
+/// A range of consecutive tasks of one step.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 struct TaskRange {
     round: u32,
@@ -59,14 +60,16 @@
         TaskRange { round, step, first: index, last: index }
     }
 
-    /// Takes the next task in; returns whether it is one of these.
+    /// Extends the range by `task` if that is the next one of the step.
+    ///
+    /// Returns whether the range was extended.
     fn extend(&mut self, task: &TaskRecord) -> bool {
-        let next = (task.round, task.step) == (self.round, self.step)
+        let is_next = (task.round, task.step) == (self.round, self.step)
             && task.index == self.last + 1;
-        if next {
+        if is_next {
             self.last = task.index;
         }
-        next
+        is_next
     }
 
     fn records(self) -> impl Iterator<Item = TaskRecord> {
@@ -109,13 +112,13 @@
             first: number(first)?,
             last: number(last)?,
         };
-        let fits =
+        let is_valid =
             range.first <= range.last && range.last - range.first < MAX_RANGE;
-        fits.then_some(range).ok_or_else(invalid)
+        is_valid.then_some(range).ok_or_else(invalid)
     }
 }
 
-/// Returns whether a range says all of a task.
+/// Returns whether a range represents the record of a task in full.
 fn is_done_on_first_run(task: &TaskRecord) -> bool {
     task.done
         && task.run == 1
