--- a/crates/dewspar/src/schedule/pacing.rs
+++ b/crates/dewspar/src/schedule/pacing.rs
@@ -79,9 +79,10 @@
                 continue;
             }
             for (task, run) in &worker.runs {
-                let still = worker.reported_ms().saturating_sub(run.moved_ms);
-                // Very few runs are, so the step is looked up for these only.
-                let may_be_stalled = still > STALL_TIMEOUT_MS
+                let stalled_ms =
+                    worker.reported_ms().saturating_sub(run.moved_ms);
+                // Very few runs may be stalled, so the step is looked up for these only.
+                let may_be_stalled = stalled_ms > STALL_TIMEOUT_MS
                     && run.state == RunState::Running
                     && run.percent < 100
                     && run.pace == 100
@@ -96,7 +97,7 @@
                     STALL_TIMEOUT_MS
                 };
                 // The members of a gang wait for one another.
-                if !spec.gang && still > timeout_ms {
+                if !spec.gang && stalled_ms > timeout_ms {
                     stalled.push((worker.id().clone(), *task));
                 }
             }
--- a/crates/dewspar/src/schedule/vm_orders.rs
+++ b/crates/dewspar/src/schedule/vm_orders.rs
@@ -136,9 +136,9 @@
     /// carried out whoever sends them.
     pub fn plan_vms(&mut self, now: Now) -> Vec<VmOrder> {
         let mut orders = Vec::new();
-        let vm_order_blocker = self.vm_order_blocker(now);
-        self.report_waves(vm_order_blocker, now);
-        if vm_order_blocker.is_some() {
+        let blocker = self.vm_order_blocker(now);
+        self.report_waves(blocker, now);
+        if blocker.is_some() {
             // Evicting tasks from workers that are about to end requires no
             // order to the VM service.
             if self.knows_all_runs() && !self.may_be_superseded() {
