--- a/crates/dewspar/src/schedule/pacing.rs
+++ b/crates/dewspar/src/schedule/pacing.rs
@@ -81,7 +81,8 @@
             for (task, run) in &worker.runs {
                 let stalled_ms =
                     worker.reported_ms().saturating_sub(run.moved_ms);
-                // Very few runs may be stalled, so the step is looked up for these only.
+                // Very few runs may be stalled, so the step is looked up for
+                // these only.
                 let may_be_stalled = stalled_ms > STALL_TIMEOUT_MS
                     && run.state == RunState::Running
                     && run.percent < 100
