--- a/crates/dewspar/src/chart.rs
+++ b/crates/dewspar/src/chart.rs
@@ -1,10 +1,11 @@
 /*!
-State charts, kept in files and interpreted.
+State machines, defined in files and interpreted at run time.
 
-What a VM, a task, a wave or a request may do next is written in
-the `charts` folder, a file each. The code asks the chart, so the file an
-operator reads is the rule the system follows. An event that a state doesn't
-name is refused there by name.
+The life cycles of a VM, a task, a maintenance wave and a request are state
+charts in the `charts` folder, one file each. The code looks transitions up in
+the chart, so the file that an operator reads is the definition that the system
+follows. An event that the current state doesn't list is refused with an error
+that names it.
 
 # Example
 
@@ -31,7 +32,7 @@
     },
 };
 
-/// Why an event was refused.
+/// The reason that an event was refused.
 #[derive(Clone, Debug, Display, Eq, PartialEq)]
 #[non_exhaustive]
 pub enum Error {
@@ -41,23 +42,23 @@
         chart: String,
         /// The refused event.
         event: String,
-        /// The state it arrived in.
+        /// The state in which the event arrived.
         state: String,
-        /// The events which that state takes.
+        /// The events that the state accepts.
         taken: String,
     },
     /// chart {chart} has no state `{state}`
     UnknownState {
         /// The chart's name.
         chart: String,
-        /// The state asked for.
+        /// The unknown state.
         state: String,
     },
 }
 
 impl std::error::Error for Error {}
 
-/// A state chart.
+/// A state machine: states, and the transitions between them by event.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Chart {
@@ -91,7 +92,7 @@
     chart!("Returns the chart of a maintenance wave.", wave);
     chart!("Returns the chart of a caller's request.", request);
 
-    /// Returns every chart that the library interprets.
+    /// Returns all charts that the library interprets.
     pub fn all() -> [&'static Chart; 4] {
         [Chart::vm(), Chart::task(), Chart::wave(), Chart::request()]
     }
@@ -101,17 +102,17 @@
         &self.name
     }
 
-    /// Returns the state that everything starts in.
+    /// Returns the initial state.
     pub fn initial(&self) -> &str {
         &self.initial
     }
 
-    /// Returns the states' names.
+    /// Returns the names of the states.
     pub fn states(&self) -> impl Iterator<Item = &str> {
         self.states.keys().map(String::as_str)
     }
 
-    /// Returns the events that a state takes, with the state each leads to.
+    /// Returns the events that a state accepts, each with the next state.
     pub fn events(&self, state: &str) -> impl Iterator<Item = (&str, &str)> {
         self.states
             .get(state)
@@ -120,11 +121,12 @@
             .map(|(event, next)| (event.as_str(), next.as_str()))
     }
 
-    /// Returns the state that an event leads to.
+    /// Returns the state that follows `state` on an event.
     ///
     /// # Errors
     ///
-    /// Returns [`Error::Refused`] when the state doesn't take the event.
+    /// Returns [`Error::Refused`] when the state doesn't accept the event, and
+    /// [`Error::UnknownState`] when the chart has no such state.
     pub fn next(&self, state: &str, event: &str) -> Result<&str, Error> {
         let Some(events) = self.states.get(state) else {
             return Err(Error::UnknownState {
@@ -143,30 +145,30 @@
         })
     }
 
-    /// Returns the states that can be reached from the initial one.
+    /// Returns the states that are reachable from the initial state.
     pub fn reachable(&self) -> BTreeSet<&str> {
         let mut reached = BTreeSet::from([self.initial.as_str()]);
-        let mut open = vec![self.initial.as_str()];
-        while let Some(state) = open.pop() {
+        let mut pending = vec![self.initial.as_str()];
+        while let Some(state) = pending.pop() {
             for (_, next) in self.events(state) {
                 if reached.insert(next) {
-                    open.push(next);
+                    pending.push(next);
                 }
             }
         }
         reached
     }
 
-    /// Returns the chart as text, one line for each move.
+    /// Returns the chart as text, one line per transition.
     pub fn diagram(&self) -> String {
         let mut lines =
             vec![format!("{} (starts in {})", self.name, self.initial)];
         for state in self.states() {
-            let mut moves = self.events(state).peekable();
-            if moves.peek().is_none() {
+            let mut transitions = self.events(state).peekable();
+            if transitions.peek().is_none() {
                 lines.push(format!("  {state} (end)"));
             }
-            for (event, next) in moves {
+            for (event, next) in transitions {
                 lines.push(format!("  {state} --{event}--> {next}"));
             }
         }
--- a/crates/dewspar/src/config/chunk.rs
+++ b/crates/dewspar/src/config/chunk.rs
@@ -87,8 +87,8 @@
     /// Builds the successor of this head for `snapshot`.
     ///
     /// Returns the new head and the chunks that must be stored before it is
-    /// swapped in. [`Head::unreferenced_chunks`] returns the chunks that may be
-    /// deleted after the swap.
+    /// swapped in. [`Head::unreferenced_chunks`] returns the chunks that may
+    /// be deleted after the swap.
     pub fn advance(
         &self,
         snapshot: &Snapshot,
@@ -121,8 +121,8 @@
         (Head { revision, tokens, chunks, retired }, new_chunks)
     }
 
-    /// Returns the names of the chunks that this head lists and `next` doesn't,
-    /// neither as current nor as retired. Nobody reads them any more.
+    /// Returns the names of the chunks that this head lists and `next`
+    /// doesn't, neither as current nor as retired. Nobody reads them any more.
     pub fn unreferenced_chunks<'a>(
         &'a self,
         next: &'a Head,
--- a/crates/dewspar/src/config/mod.rs
+++ b/crates/dewspar/src/config/mod.rs
@@ -1,13 +1,14 @@
 /*!
-Desired state: the resources that operators declare, as one revisioned snapshot.
+Desired state: the resources that operators declare, as one revisioned
+snapshot.
 
 Operators never issue commands. They declare *resources*, such as a
 [`Pool`](Kind::Pool) or a [`MaintenanceWave`](Kind::MaintenanceWave), and
 dewspar reconciles the system with them. All resources together form a
 [`Snapshot`] with one revision number. A change is validated against the whole
 snapshot before it is accepted, so that a budget can't exceed the size of its
-pool and a VM can't be listed by two pools. A change is accepted or refused as a
-whole.
+pool and a VM can't be listed by two pools. A change is accepted or refused as
+a whole.
 
 # Storage
 
@@ -15,9 +16,9 @@
 authoritative state is one small value, the [`Head`]. It holds a revision, the
 tokens of the latest writes, and the name of each [`Chunk`] of resources.
 Chunks are immutable and content-addressed. A change first stores its new
-chunks and then swaps the head; until the swap succeeds, no reader sees any part
-of the change. A writer whose answer was lost reads the head and looks for its
-own token.
+chunks and then swaps the head; until the swap succeeds, no reader sees any
+part of the change. A writer whose answer was lost reads the head and looks for
+its own token.
 
 # Example
 
--- a/crates/dewspar/src/config/snapshot.rs
+++ b/crates/dewspar/src/config/snapshot.rs
@@ -239,7 +239,8 @@
     /// Returns the partner that owns a resource; `None` if no single one does.
     ///
     /// Pools and waves belong to the consortium as a whole. A budget that
-    /// counts a service's runners belongs to the partner that owns the service.
+    /// counts a service's runners belongs to the partner that owns the
+    /// service.
     pub fn owner(&self, resource: &Resource) -> Option<&str> {
         let team = match resource.spec() {
             Spec::Team(_) => resource.name(),
--- a/crates/dewspar/src/feed.rs
+++ b/crates/dewspar/src/feed.rs
@@ -1,13 +1,15 @@
 /*!
-Whether a feed that is watched has told everything.
+Detection of watch feeds that stop delivering changes without an error.
 
-A watch may stop telling without failing. Who needs to know compares it with a
-version that is read outright: that of the newest write that the feed must
-tell. But a node that is short of processor hears late what a sound watch tells,
-and one that took the watch for silent then would ask again for what is under
-way, read more than before, and hear still later. So a feed that hasn't told all
-is only *silent* if it has told nothing at all since it was looked; one that
-goes on telling is *behind*, and nothing is to be done but to listen.
+A watch on the store may stall without failing. To detect this, a watcher
+compares the version that the feed has reached with a version that is read
+directly: that of the newest write that the feed must deliver. A slow node must
+not be mistaken for a stalled feed. A node that is short of CPU processes the
+changes of a healthy watch late; if it took the watch for stalled and restarted
+it, it would request changes that are already on their way, read more than
+before, and fall further behind. A feed that is not up to date is therefore
+only *silent* if it has delivered nothing since the version was requested. A
+feed that still delivers changes is *behind*, and the watcher only has to wait.
 
 # Example
 
@@ -16,27 +18,27 @@
 
 let mut feed = FeedProgress::new(10, 1_000);
 feed.advance(14, 1_200);
-// A look at 1,300 found that the newest write is of version 14.
+// A read requested at 1,300 returned 14 as the newest version.
 assert_eq!(feed.state(14, 1_300), FeedState::Current);
-// One at 1,400 found 20; nothing was heard since.
+// One requested at 1,400 returned 20; no change has arrived since.
 assert_eq!(feed.state(20, 1_400), FeedState::Silent);
 feed.advance(17, 1_450);
 assert_eq!(feed.state(20, 1_400), FeedState::Behind);
 ```
 */
 
-/// How a feed stands to what it must tell.
+/// The state of a feed compared with the newest write it must deliver.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum FeedState {
-    /// It has told all that there was at the time of the look.
+    /// It has delivered every change up to the version that was read.
     Current,
-    /// It hasn't told all, but has told something since.
+    /// It lacks some changes, but has delivered others since the request.
     Behind,
-    /// It has told nothing since although there is something to tell.
+    /// It lacks some changes, and has delivered none since the request.
     Silent,
 }
 
-/// Up to where and when a feed was heard.
+/// The version that a feed has reached, and the time of its last change.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct FeedProgress {
     version: u64,
@@ -44,24 +46,25 @@
 }
 
 impl FeedProgress {
-    /// Makes the progress of a feed that is followed from a version on.
+    /// Creates the progress of a feed that is watched from a version on.
     pub fn new(version: u64, now_ms: u64) -> FeedProgress {
         FeedProgress { version, advanced_ms: now_ms }
     }
 
-    /// Returns the version up to which the feed has told everything.
+    /// Returns the version up to which the feed has delivered all changes.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Notes that the feed has told everything up to a version.
+    /// Records that the feed has delivered all changes up to a version.
     pub fn advance(&mut self, version: u64, now_ms: u64) {
         self.version = self.version.max(version);
         self.advanced_ms = now_ms;
     }
 
-    /// Judges the feed by a look, asked for at `requested_ms`, which found that
-    /// `newest` is the version of the newest write that it must tell.
+    /// Returns the feed's state, given that a read requested at `requested_ms`
+    /// returned `newest` as the version of the newest write that the feed must
+    /// deliver.
     pub fn state(&self, newest: u64, requested_ms: u64) -> FeedState {
         if newest <= self.version {
             FeedState::Current
--- a/crates/dewspar/src/fields.rs
+++ b/crates/dewspar/src/fields.rs
@@ -1,14 +1,15 @@
 /*!
-Fields of a record that this version of the program doesn't know.
+Preservation of record fields that this version of the program doesn't know.
 
-During an upgrade, nodes of an older version go on with records that a newer
-one has written. A record is replaced as a whole, so an older node keeps what it
-doesn't know beside what it does, and writes it as it was. Nothing is made of
-it: what it says may be older by then than the fields beside it, and whoever
-adds a field to a record has to bear that, as it has to bear records without it.
+During a rolling upgrade, nodes of an older version update records that a newer
+version has written. A record is replaced as a whole, so an older node keeps
+the fields that it doesn't know and writes them back unchanged. It doesn't
+interpret them, so such a field may be stale compared with the other fields of
+the record. A version that adds a field to a record must cope with stale values
+of it, and with records that lack it.
 
-A record keeps them in a field of its own, into which `serde` gathers what is
-left:
+A record keeps its unknown fields in a flattened field, in which `serde`
+collects all names that the record doesn't declare:
 
 ```
 use dewspar::fields::UnknownFields;
@@ -29,7 +30,7 @@
 # Ok::<(), serde_json::Error>(())
 ```
 
-[`WithUnknownFields`] does so for a record that has no such field.
+[`WithUnknownFields`] adds such a field to a record type that has none.
 */
 
 use {
@@ -38,19 +39,21 @@
     std::{collections::BTreeMap, sync::Arc},
 };
 
-/// Fields that aren't known, by their names.
+/// Fields of a record that this version doesn't know, by name.
 ///
-/// There are none in nearly every record, so that takes no more than a pointer.
+/// Nearly every record has none, and this type then takes up only a pointer.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct UnknownFields(Option<Arc<BTreeMap<String, Value>>>);
 
 impl UnknownFields {
-    /// Returns whether there are none.
+    /// Returns whether there are no unknown fields.
     pub fn is_empty(&self) -> bool {
         self.0.is_none()
     }
 
-    /// Takes over the fields of a later reading; what it doesn't name stays.
+    /// Merges the fields of a later read of the record into these.
+    ///
+    /// Fields that `later` lacks keep their values.
     pub fn merge(&mut self, later: &UnknownFields) {
         let Some(later) = &later.0 else { return };
         let fields = later.iter().map(|(name, v)| (name.clone(), v.clone()));
@@ -75,13 +78,13 @@
     }
 }
 
-/// A record and the fields of it that aren't known.
+/// A record together with its unknown fields.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct WithUnknownFields<T> {
-    /// What is known.
+    /// The fields that this version knows.
     #[serde(flatten)]
     pub record: T,
-    /// What isn't.
+    /// The fields that this version doesn't know.
     #[serde(flatten)]
     pub other: UnknownFields,
 }
--- a/crates/dewspar/src/history.rs
+++ b/crates/dewspar/src/history.rs
@@ -1,10 +1,11 @@
 /*!
-Histories: what happened in a run, and whether each promise held.
+Histories of test runs, and the check of the system's promises against them.
 
-A run is recorded as one [`Event`] a line, in JSON, in the order in which one
-observer saw them. [`check`] reads it once and says, for each [`Promise`], how
-often the run put it to the test and how often it was broken, and names the
-first event that broke it. The format is described in `docs/TRACES.md`.
+A *promise* is an invariant that the system guarantees. A run is recorded as
+one JSON [`Event`] per line, in the order in which a single observer saw them.
+[`check`] makes one pass over a history. For each [`Promise`] it reports how
+often the run tested it, how often the run violated it, and the first event in
+violation. The format is described in `docs/TRACES.md`.
 
 # Example
 
@@ -30,13 +31,15 @@
     std::collections::BTreeMap,
 };
 
-/// How long a leaving target may still receive new work, in milliseconds.
+/// How long a VM that is marked as leaving may still receive new work, in
+/// milliseconds.
 pub const LEAVING_GRACE_MS: u64 = 3_000;
 
-/// How long an accepted configuration may take everywhere, in milliseconds.
+/// How long an accepted configuration may take to be in force on every node,
+/// in milliseconds.
 pub const ACTIVATION_LIMIT_MS: u64 = 6_000;
 
-/// What must always hold.
+/// An invariant that the system guarantees.
 #[derive(
     Clone, Copy, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize,
 )]
@@ -46,23 +49,23 @@
     Budget,
     /// A VM belongs to exactly one pool.
     OnePool,
-    /// A caller receives its own answer, whole.
+    /// A caller receives the complete answer to its own request.
     OwnAnswer,
-    /// What a caller is told was not run was not run.
+    /// A request that was reported as not run never runs.
     NotRun,
     /// A filing runs at most once.
     AtMostOnce,
-    /// A leaving target receives no new work after a few seconds.
+    /// A leaving VM receives no new work after [`LEAVING_GRACE_MS`].
     Leaving,
-    /// A planned stop cuts no request in flight.
+    /// A planned stop interrupts no request in flight.
     PlannedStop,
-    /// An accepted configuration is in force within seconds and never
-    /// reverts.
+    /// An accepted configuration is in force on every node within
+    /// [`ACTIVATION_LIMIT_MS`], and no node reverts to an older one.
     Configuration,
 }
 
 impl Promise {
-    /// Every promise, in the order of `docs/PROMISES.md`.
+    /// All promises, in the order of `docs/PROMISES.md`.
     pub const ALL: [Promise; 8] = [
         Promise::Budget,
         Promise::OnePool,
@@ -74,7 +77,7 @@
         Promise::Configuration,
     ];
 
-    /// Returns the promise's name in reports.
+    /// Returns the name of the promise in reports.
     pub fn as_str(self) -> &'static str {
         match self {
             Promise::Budget => "budget",
@@ -89,36 +92,36 @@
     }
 }
 
-/// Why a history couldn't be read.
+/// The reason that a history can't be read.
 #[derive(Clone, Debug, Display, Eq, PartialEq)]
 #[non_exhaustive]
 pub enum Error {
     /// line {line} of the history can't be read: {reason}
     Syntax {
-        /// The line's number, from 1.
+        /// The line number, from 1.
         line: usize,
-        /// What the decoder said.
+        /// The decoder's message.
         reason: String,
     },
 }
 
 impl std::error::Error for Error {}
 
-/// What a caller was told.
+/// The outcome that an answer reports to its caller.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Told {
-    /// The request ran, and this is its answer.
+    /// The request ran, and the answer is its result.
     Ran,
     /// The request was not run.
     NotRun,
-    /// Nobody can say.
+    /// It is unknown whether the request ran.
     Unknown,
 }
 
-/// Where a VM is marked as one that takes no new work.
+/// The source that marks a VM as taking no new work.
 ///
-/// Both can mark the same VM. It takes work again once neither does.
+/// Both sources can mark the same VM. It takes work again once neither does.
 #[derive(
     Clone,
     Copy,
@@ -133,26 +136,26 @@
 )]
 #[serde(rename_all = "snake_case")]
 pub enum MarkedBy {
-    /// The VM's row says that it is drained or rebooted.
+    /// The VM's row states that it is being drained or rebooted.
     #[default]
     Row,
-    /// The platform's list of VMs says that it is leaving.
+    /// The platform's list of VMs states that it is leaving.
     List,
 }
 
-/// Something that happened.
+/// An observed event of a run.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(tag = "event", rename_all = "snake_case", deny_unknown_fields)]
 pub enum Event {
-    /// A caller sent a request; filings carry a key.
+    /// A caller sent a request; a filing carries an idempotency key.
     Sent {
-        /// The request's identifier, unique in the run.
+        /// The request's identifier, unique within the run.
         request: String,
         /// The filing's key.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         key: Option<String>,
     },
-    /// A runner started to run a request.
+    /// A runner began to run a request.
     Run {
         /// The request's identifier.
         request: String,
@@ -161,74 +164,74 @@
         key: Option<String>,
         /// The runner's name.
         runner: String,
-        /// The VM that carries the runner.
+        /// The VM that hosts the runner.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         vm: Option<String>,
     },
-    /// A caller got its answer.
+    /// A caller received an answer.
     Answered {
         /// The request's identifier.
         request: String,
-        /// What the answer states.
+        /// The outcome that the answer reports.
         told: Told,
-        /// The request that the answer's body names.
+        /// The request that the body of the answer belongs to.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         body_of: Option<String>,
-        /// Whether the body arrived whole.
+        /// Whether the body arrived complete.
         #[serde(default = "yes")]
         whole: bool,
     },
-    /// A runner or a node was stopped as planned while it held a request.
+    /// A planned stop of a runner or a node interrupted a request.
     Cut {
         /// The request's identifier.
         request: String,
         /// What was stopped.
         by: String,
     },
-    /// A VM was seen in a pool; no pool means none.
+    /// A VM was seen in a pool, or in none.
     InPool {
         /// The VM's name.
         vm: String,
-        /// The pool that counts it as its own.
+        /// The pool that the VM belongs to; `None` for no pool.
         #[serde(default)]
         pool: Option<String>,
         /// The epoch of the VM's row.
         epoch: u64,
     },
-    /// A VM was marked as leaving or draining.
+    /// A VM was marked as taking no new work.
     Leaving {
         /// The VM's name.
         vm: String,
-        /// Where it was marked.
+        /// The source of the mark.
         #[serde(default)]
         by: MarkedBy,
     },
-    /// A VM isn't marked there any more.
+    /// A source removed its mark from a VM.
     Back {
         /// The VM's name.
         vm: String,
-        /// Where it was marked.
+        /// The source of the mark.
         #[serde(default)]
         by: MarkedBy,
     },
-    /// What a budget needs and what there was.
+    /// An availability budget was compared with the actual availability.
     Available {
         /// The budget's name.
         budget: String,
-        /// How many it needs.
+        /// The number of VMs or runners that the budget requires.
         needed: u32,
-        /// How many were available.
+        /// The number available.
         available: u32,
-        /// How many were missing through failures, not through dewspar.
+        /// The number unavailable through failures that dewspar didn't cause.
         #[serde(default)]
         failed: u32,
     },
-    /// An operator was told that a configuration is accepted.
+    /// An operator was told that a configuration was accepted.
     Accepted {
         /// Its revision.
         revision: u64,
     },
-    /// A node reported the revision it has in force.
+    /// A node reported the revision that is in force on it.
     InForce {
         /// The node's name and incarnation.
         node: String,
@@ -241,21 +244,21 @@
     true
 }
 
-/// An event and when it was seen.
+/// A line of a history: an event and the time at which it was observed.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Line {
-    /// When it was seen, in milliseconds from any fixed point.
+    /// The time of observation, in milliseconds from an arbitrary origin.
     pub at_ms: u64,
-    /// What happened.
+    /// The event.
     #[serde(flatten)]
     pub event: Event,
 }
 
-/// Reads a history, one event a line.
+/// Parses a history, one event per line.
 ///
 /// # Errors
 ///
-/// Returns [`Error::Syntax`] with the first line that isn't an event.
+/// Returns [`Error::Syntax`] with the first line that isn't a valid event.
 pub fn parse(text: &str) -> Result<Vec<Line>, Error> {
     text.lines()
         .map(str::trim)
@@ -270,7 +273,7 @@
         .collect()
 }
 
-/// How one promise fared.
+/// The result of checking one promise.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Finding {
     checks: u64,
@@ -279,35 +282,35 @@
 }
 
 impl Finding {
-    /// Returns how often the run put the promise to the test.
+    /// Returns how often the run tested the promise.
     pub fn checks(&self) -> u64 {
         self.checks
     }
 
-    /// Returns how often it was broken.
+    /// Returns how often the run violated the promise.
     pub fn violations(&self) -> u64 {
         self.violations
     }
 
-    /// Returns the first event that broke it.
+    /// Returns a description of the first violation.
     pub fn first_violation(&self) -> Option<&str> {
         self.first_violation.as_deref()
     }
 }
 
-/// How every promise fared.
+/// The results of checking all promises.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Report {
     findings: BTreeMap<Promise, Finding>,
 }
 
 impl Report {
-    /// Returns how one promise fared.
+    /// Returns the result for one promise.
     pub fn get(&self, promise: Promise) -> Finding {
         self.findings.get(&promise).cloned().unwrap_or_default()
     }
 
-    /// Returns whether no promise was broken.
+    /// Returns whether no promise was violated.
     pub fn holds(&self) -> bool {
         self.findings.values().all(|finding| finding.violations == 0)
     }
@@ -324,7 +327,7 @@
     }
 }
 
-/// Checks every promise on a history.
+/// Checks all promises against a history.
 pub fn check(history: &[Line]) -> Report {
     let mut checker = Checker::default();
     for (index, line) in history.iter().enumerate() {
--- a/crates/dewspar/src/job/conflict.rs
+++ b/crates/dewspar/src/job/conflict.rs
@@ -4,11 +4,11 @@
 Each write of a job's [`Progress`] is a compare-and-swap: it is conditional on
 the version of the record that the writer last saw, and on the writer's lease.
 When the store refuses a write although the lease is still valid, no other node
-schedules, and only the writer's view of this one record is wrong. Causes are an
-earlier write of its own whose answer was lost, a read that missed the record,
-or a change by an unknown client. Releasing the lease would not help, since the
-next holder would find the same record. The writer instead examines the record
-that the store returned with the refusal and continues from it:
+schedules, and only the writer's view of this one record is wrong. Causes are
+an earlier write of its own whose answer was lost, a read that missed the
+record, or a change by an unknown client. Releasing the lease would not help,
+since the next holder would find the same record. The writer instead examines
+the record that the store returned with the refusal and continues from it:
 
 | the stored record | resolution |
 |---|---|
--- a/crates/dewspar/src/job/mod.rs
+++ b/crates/dewspar/src/job/mod.rs
@@ -2,11 +2,11 @@
 Jobs: specifications that callers submit, and the recorded progress of each.
 
 A job is a small graph of *steps*; a step is a number of equal *tasks*, and
-each task runs on one worker at a time. A [`JobSpec`] is immutable once it
-has been accepted, so any node may store it and any node may answer reads of it.
-The mutable part is the job's [`Progress`]: which tasks are done, how often each
-has failed, and the checkpoint to resume from. Only the node that holds the
-scheduler lease writes progress, and it writes only what must outlive that
+each task runs on one worker at a time. A [`JobSpec`] is immutable once it has
+been accepted, so any node may store it and any node may answer reads of it.
+The mutable part is the job's [`Progress`]: which tasks are done, how often
+each has failed, and the checkpoint to resume from. Only the node that holds
+the scheduler lease writes progress, and it writes only what must outlive that
 node. The set of running tasks is not stored: the workers report it, and a new
 holder asks them for it after a takeover.
 
--- a/crates/dewspar/src/job/progress.rs
+++ b/crates/dewspar/src/job/progress.rs
@@ -44,8 +44,8 @@
 /// The stored state of a job besides its specification.
 ///
 /// Most tasks succeed at their first run and have nothing else to record. They
-/// are encoded as ranges such as `0.1:0-7`, for tasks 0 to 7 of step 1 of round
-/// 0: 8 tasks then take 9 bytes instead of 490. Encoded one by one, the
+/// are encoded as ranges such as `0.1:0-7`, for tasks 0 to 7 of step 1 of
+/// round 0: 8 tasks then take 9 bytes instead of 490. Encoded one by one, the
 /// progress of running jobs took up half of the data that a holder sent over a
 /// link of 2 Mbit/s.
 ///
--- a/crates/dewspar/src/rows.rs
+++ b/crates/dewspar/src/rows.rs
@@ -1,10 +1,10 @@
 /*!
-Rows of a shared document, some of which another version of the program wrote.
+Rows of a shared document that several versions of the program write.
 
-During an upgrade, nodes of two versions change the same documents. A row that
-the older one can't understand must neither hide the others nor be lost when
-the document is written again: it is kept as it stands, letter by letter.
-*/
+During a rolling upgrade, nodes of two versions change the same documents. A
+row that the older version can't decode must neither make the other rows
+unreadable nor be lost when the document is written again. Such a row is kept
+as its original JSON text, byte for byte. */
 
 use {
     serde::{
@@ -16,19 +16,19 @@
     std::collections::BTreeMap,
 };
 
-/// Rows by name; those that can't be read are kept as they are.
+/// Rows by name; rows that can't be decoded are kept unchanged.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) struct Rows<T> {
     readable: BTreeMap<String, T>,
     unreadable: BTreeMap<String, UnreadableRow>,
 }
 
-/// A row that can't be read.
+/// A row that can't be decoded.
 #[derive(Clone, Debug, Eq, PartialEq)]
 struct UnreadableRow {
-    /// Its JSON.
+    /// The row's JSON text.
     text: String,
-    /// What the decoder said.
+    /// The decoder's message.
     reason: String,
 }
 
@@ -40,34 +40,35 @@
 }
 
 impl<T> Rows<T> {
-    /// Returns the rows that can be read.
+    /// Returns the readable rows with their names.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (&str, &T)> {
         self.readable.iter().map(|(name, row)| (name.as_str(), row))
     }
 
-    /// Returns the names of the rows that can't, with why.
+    /// Returns the names of the unreadable rows, each with the decoder's
+    /// message.
     pub(crate) fn unreadable(&self) -> impl Iterator<Item = (&str, &str)> {
         let rows = self.unreadable.iter();
         rows.map(|(name, row)| (name.as_str(), row.reason.as_str()))
     }
 
-    /// Returns whether there is a row of this name that can't be read.
+    /// Returns whether the row of this name is unreadable.
     pub(crate) fn has_unreadable(&self, name: &str) -> bool {
         self.unreadable.contains_key(name)
     }
 
-    /// Returns a row that can be read.
+    /// Returns the row of this name if it is readable.
     pub(crate) fn get(&self, name: &str) -> Option<&T> {
         self.readable.get(name)
     }
 
-    /// Returns a row that can be read, for changes.
+    /// Returns the row of this name for changes if it is readable.
     pub(crate) fn get_mut(&mut self, name: &str) -> Option<&mut T> {
         self.readable.get_mut(name)
     }
 
-    /// Returns a row for changes, a new one where there is none; `None` for
-    /// one that can't be read.
+    /// Returns the row of this name for changes, and inserts a new one if
+    /// there is none; `None` if the row is unreadable.
     pub(crate) fn entry(
         &mut self,
         name: &str,
--- a/crates/dewspar/src/util.rs
+++ b/crates/dewspar/src/util.rs
@@ -1,5 +1,5 @@
 /*!
-Hashing helpers that more than one module needs.
+Hash functions shared by several modules.
 */
 
 use {
