--- a/crates/dewspar/src/history.rs
+++ b/crates/dewspar/src/history.rs
@@ -332,7 +332,7 @@
     let mut checker = Checker::default();
     for (index, line) in history.iter().enumerate() {
         checker.line = index + 1;
-        checker.event(line);
+        checker.check_event(line);
     }
 
     checker.report
@@ -348,12 +348,12 @@
     key_of: BTreeMap<&'a str, &'a str>,
     pools: BTreeMap<&'a str, (u64, Option<&'a str>)>,
     leaving_since_ms: BTreeMap<(&'a str, MarkedBy), u64>,
-    in_force: BTreeMap<&'a str, u64>,
-    accepted: BTreeMap<u64, u64>,
+    revisions_in_force: BTreeMap<&'a str, u64>,
+    accepted_ms: BTreeMap<u64, u64>,
 }
 
 impl<'a> Checker<'a> {
-    fn event(&mut self, line: &'a Line) {
+    fn check_event(&mut self, line: &'a Line) {
         match &line.event {
             Event::Sent { request, key } => {
                 if let Some(key) = key {
@@ -361,13 +361,13 @@
                 }
             }
             Event::Run { request, key, runner: _, vm } => {
-                self.run(request, key.as_deref());
+                self.check_run(request, key.as_deref());
                 if let Some(vm) = vm {
-                    self.run_on(vm, line.at_ms);
+                    self.check_leaving(vm, line.at_ms);
                 }
             }
             Event::Answered { request, told, body_of, whole } => {
-                self.answered(request, *told, body_of.as_deref(), *whole);
+                self.check_answer(request, *told, body_of.as_deref(), *whole);
             }
             Event::Cut { request, by } => {
                 self.report.add_check(Promise::PlannedStop);
@@ -379,7 +379,7 @@
                 );
             }
             Event::InPool { vm, pool, epoch } => {
-                self.in_pool(vm, pool.as_deref(), *epoch);
+                self.check_pool(vm, pool.as_deref(), *epoch);
             }
             Event::Leaving { vm, by } => {
                 self.report.add_check(Promise::PlannedStop);
@@ -404,15 +404,15 @@
                 }
             }
             Event::Accepted { revision } => {
-                self.accepted.entry(*revision).or_insert(line.at_ms);
+                self.accepted_ms.entry(*revision).or_insert(line.at_ms);
             }
             Event::InForce { node, revision } => {
-                self.in_force(node, *revision, line.at_ms);
+                self.check_revision(node, *revision, line.at_ms);
             }
         }
     }
 
-    fn run(&mut self, request: &'a str, key: Option<&'a str>) {
+    fn check_run(&mut self, request: &'a str, key: Option<&'a str>) {
         self.ran_requests.entry(request).or_insert(self.line);
         if let Some(told) = self.told_not_run.get(request) {
             let what = format!(
@@ -429,7 +429,7 @@
         }
     }
 
-    fn run_on(&mut self, vm: &str, at_ms: u64) {
+    fn check_leaving(&mut self, vm: &str, at_ms: u64) {
         let marks = [MarkedBy::Row, MarkedBy::List];
         let since_ms = marks
             .iter()
@@ -444,7 +444,7 @@
         }
     }
 
-    fn answered(
+    fn check_answer(
         &mut self,
         request: &'a str,
         told: Told,
@@ -488,7 +488,7 @@
         }
     }
 
-    fn in_pool(&mut self, vm: &'a str, pool: Option<&'a str>, epoch: u64) {
+    fn check_pool(&mut self, vm: &'a str, pool: Option<&'a str>, epoch: u64) {
         self.report.add_check(Promise::OnePool);
         if let Some((known, other)) = self.pools.get(vm)
             && *known == epoch
@@ -504,14 +504,14 @@
         self.pools.insert(vm, (epoch, pool));
     }
 
-    fn in_force(&mut self, node: &'a str, revision: u64, at_ms: u64) {
+    fn check_revision(&mut self, node: &'a str, revision: u64, at_ms: u64) {
         self.report.add_check(Promise::Configuration);
-        let last = self.in_force.insert(node, revision).unwrap_or(0);
+        let last = self.revisions_in_force.insert(node, revision).unwrap_or(0);
         if revision < last {
             let what = format!("node {node} went from {last} to {revision}");
             self.report.add_violation(Promise::Configuration, self.line, what);
         }
-        let overdue = self.overdue(revision, at_ms);
+        let overdue = self.overdue_revision(revision, at_ms);
         if let Some(missing) = overdue {
             let what = format!(
                 "node {node} has {revision}, but {missing} was accepted \
@@ -521,8 +521,8 @@
         }
     }
 
-    fn overdue(&self, revision: u64, at_ms: u64) -> Option<u64> {
-        self.accepted
+    fn overdue_revision(&self, revision: u64, at_ms: u64) -> Option<u64> {
+        self.accepted_ms
             .range(revision + 1..)
             .find(|(_, accepted_ms)| {
                 **accepted_ms + ACTIVATION_LIMIT_MS < at_ms
--- a/crates/dewspar/tests/charts.rs
+++ b/crates/dewspar/tests/charts.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn every_move_leads_to_a_state() {
+fn every_transition_leads_to_a_state() {
     for chart in Chart::all() {
         let states: Vec<&str> = chart.states().collect();
         for state in &states {
@@ -25,18 +25,23 @@
 }
 
 #[test]
-fn only_ends_take_no_event() {
-    let ends = ["removed", "answered"];
+fn only_final_states_accept_no_event() {
+    let final_states = ["removed", "answered"];
     for chart in Chart::all() {
         for state in chart.states() {
-            let stuck = chart.events(state).next().is_none();
-            assert_eq!(stuck, ends.contains(&state), "{}", chart.name());
+            let is_final = chart.events(state).next().is_none();
+            assert_eq!(
+                is_final,
+                final_states.contains(&state),
+                "{}",
+                chart.name()
+            );
         }
     }
 }
 
 #[test]
-fn refused_events_are_named_with_those_taken() {
+fn refusal_names_the_event_and_the_accepted_ones() {
     for chart in Chart::all() {
         for state in chart.states() {
             let error = chart.next(state, "explode").expect_err("unknown");
@@ -51,7 +56,7 @@
 
 #[test]
 fn charts_and_code_name_the_same_states() {
-    let of_chart = |chart: &Chart| {
+    let states_of_chart = |chart: &Chart| {
         let mut states: Vec<String> =
             chart.states().map(str::to_owned).collect();
         states.sort();
@@ -59,8 +64,8 @@
     };
     let mut vm = VmState::ALL.map(|s| s.as_str().to_owned()).to_vec();
     vm.sort();
-    assert_eq!(of_chart(Chart::vm()), vm);
+    assert_eq!(states_of_chart(Chart::vm()), vm);
     let mut task = TaskState::ALL.map(|s| s.as_str().to_owned()).to_vec();
     task.sort();
-    assert_eq!(of_chart(Chart::task()), task);
+    assert_eq!(states_of_chart(Chart::task()), task);
 }
--- a/crates/dewspar/tests/checks.rs
+++ b/crates/dewspar/tests/checks.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn broken_histories_are_refused_with_the_first_event() {
+fn violations_are_reported_with_the_first_event() {
     let cases = [
         (
             history!("broken-budget"),
--- a/crates/dewspar/tests/config.rs
+++ b/crates/dewspar/tests/config.rs
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn mistakes_name_their_field_and_what_would_be_valid() {
+fn errors_name_the_field_and_what_would_be_valid() {
     let cases = [
         (
             "kind: Pool\nname: other\nspec: {vms: [vm-2]}\n",
@@ -100,8 +100,8 @@
     for (text, expected) in cases {
         let error = fleet.apply(&changes(text)).expect_err(expected);
         let text = error.to_string();
-        let order_of_kinds = text.contains("quota");
-        if order_of_kinds {
+        let depends_on_order = text.contains("quota");
+        if depends_on_order {
             // Either resource may be the one that exceeds the quota.
             assert!(text.ends_with("its quota is 20000"), "{text}");
         } else {
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn change_is_taken_whole_or_not_at_all() {
+fn changes_are_applied_atomically() {
     let fleet = fleet();
     let mut both = changes("kind: Team\nname: t\nspec: {partner: p}\n");
     both.extend(changes(
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn resource_in_use_is_not_deleted() {
+fn referenced_resource_is_not_deleted() {
     let fleet = fleet();
     let delete = |kind, name: &str| {
         let name = name.to_owned();
@@ -136,14 +136,14 @@
 }
 
 #[test]
-fn same_content_changes_no_revision_of_a_resource() {
+fn put_without_effect_keeps_the_revision() {
     let fleet = fleet();
     let again = fleet.apply(&changes(FLEET)).expect("valid");
     assert_eq!(again.differences(&fleet), []);
 }
 
 #[test]
-fn head_keeps_unchanged_chunks_and_names_what_is_forgotten() {
+fn head_keeps_unchanged_and_recently_replaced_chunks() {
     let first = fleet();
     let (head, chunks) = Head::default().advance(&first, "one");
     assert_eq!(chunks.len(), head.chunk_names().count());
--- a/crates/dewspar/tests/conflict.rs
+++ b/crates/dewspar/tests/conflict.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_record_that_is_gone_is_written_again() {
+fn absent_record_is_written_again() {
     for expected in [0, 7] {
         let ours = progress(Phase::Running, 1);
         let found = FoundRecord::Absent;
@@ -30,14 +30,14 @@
 }
 
 #[test]
-fn a_record_that_says_what_was_to_be_written_is_stored() {
+fn identical_record_counts_as_stored() {
     let ours = progress(Phase::Running, 1);
     let found = FoundRecord::Readable(ours.clone());
     assert_eq!(resolve(7, &ours, found), Resolution::Stored);
 }
 
 #[test]
-fn an_end_on_record_counts_more_than_any_other() {
+fn stored_final_phase_takes_precedence() {
     for ours in [Phase::Queued, Phase::Running, Phase::Cancelled] {
         let theirs = progress(Phase::Completed, 0);
         let found = FoundRecord::Readable(theirs.clone());
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn the_same_end_is_written_once_more() {
+fn identical_final_record_is_written_again() {
     // The write also deletes the job's other keys: they may still be there.
     let ours = progress(Phase::Completed, 0);
     let found = FoundRecord::Readable(ours.clone());
@@ -55,14 +55,14 @@
 }
 
 #[test]
-fn a_job_that_is_over_here_learns_nothing_of_its_tasks() {
+fn local_final_phase_replaces_a_running_record() {
     let ours = progress(Phase::Cancelled, 0);
     let found = FoundRecord::Readable(progress(Phase::Running, 2));
     assert_eq!(resolve(7, &ours, found), Resolution::Retry);
 }
 
 #[test]
-fn a_job_goes_on_from_a_record_that_says_something_else() {
+fn differing_record_is_merged() {
     let ours = progress(Phase::Running, 1);
     let theirs = progress(Phase::Running, 2);
     let found = FoundRecord::Readable(theirs.clone());
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_record_that_cannot_be_read_is_replaced_only_by_one_who_knew_it() {
+fn unreadable_record_is_replaced_only_if_an_earlier_version_is_known() {
     let ours = progress(Phase::Running, 1);
     let unreadable = || FoundRecord::Unreadable;
     assert_eq!(resolve(0, &ours, unreadable()), Resolution::LeaveAlone);
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn a_record_is_written_less_often_the_more_often_it_was_changed() {
+fn retry_delay_grows_with_consecutive_conflicts() {
     let pauses: Vec<u64> = (0..200).map(retry_delay_ms).collect();
     assert!(pauses.is_sorted());
     assert_eq!(pauses[..3], [0, 0, 100]);
--- a/crates/dewspar/tests/ids.rs
+++ b/crates/dewspar/tests/ids.rs
@@ -3,7 +3,7 @@
 use dewspar::job::{JobId, TaskId};
 
 #[test]
-fn a_text_that_is_no_job_says_what_one_is() {
+fn invalid_job_id_error_states_the_format() {
     for text in ["", "12", "00000000000000AB", "000000000000000g"] {
         let error = text.parse::<JobId>().expect_err(text);
         let expected = format!("`{text}` isn't 16 hex digits");
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn a_text_that_is_no_task_says_what_one_is() {
+fn invalid_task_id_error_states_the_format() {
     let job = format!("{:016x}", 7);
     for rest in ["", ".0", ".0.1", ".0.1.x", ".0.1.2.3"] {
         let text = format!("{job}{rest}");
--- a/crates/dewspar/tests/newer_fields.rs
+++ b/crates/dewspar/tests/newer_fields.rs
@@ -52,13 +52,13 @@
 }
 
 #[test]
-fn a_jobs_record_is_written_as_it_was_read() {
+fn job_record_round_trips_with_unknown_fields() {
     let written = serde_json::to_value(read(&record())).expect("plain JSON");
     assert_eq!(written, record());
 }
 
 #[test]
-fn a_holder_that_goes_on_with_a_job_keeps_what_it_does_not_know() {
+fn loaded_job_keeps_unknown_fields() {
     let mut scheduler = scheduler(Some(&read(&record())));
     // A change of this holder's own.
     let change = json!({ "phase": "running", "done": ["0.0:6"] });
@@ -69,14 +69,14 @@
 }
 
 #[test]
-fn a_holder_that_meets_another_record_takes_in_what_it_does_not_know() {
+fn merged_record_adds_unknown_fields() {
     let mut scheduler = scheduler(None);
     scheduler.merge_record(id(), &read(&record()), NOW);
     assert_eq!(stored(&mut scheduler), record());
 }
 
 #[test]
-fn what_is_not_known_of_a_job_outlasts_its_end() {
+fn finished_job_keeps_unknown_fields() {
     let mut scheduler = scheduler(Some(&read(&record())));
     scheduler.cancel(id(), NOW);
     let stored = stored(&mut scheduler);
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn what_is_not_known_of_orders_to_vms_stays_with_them() {
+fn vm_orders_keep_unknown_fields() {
     let by = json!({ "node": "n1", "incarnation": 1 });
     let orders = json!([
         { "by": by, "ages_ms": { "vm-0": 5 } },
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn what_is_not_known_of_a_process_stays_with_what_it_ordered() {
+fn order_issuer_keeps_unknown_fields() {
     let by = json!({ "node": "n1", "incarnation": 1, "newer": ["a", {}] });
     let other = json!({ "node": "n1", "incarnation": 1, "newer": "b" });
     let orders = json!([
--- a/crates/dewspar/tests/progress.rs
+++ b/crates/dewspar/tests/progress.rs
@@ -17,7 +17,7 @@
 }
 
 quickcheck! {
-    fn reads_as_it_was_written(kinds: Vec<Option<u8>>, at_ms: u64) -> bool {
+    fn progress_round_trips(kinds: Vec<Option<u8>>, at_ms: u64) -> bool {
         let tasks = (0..).zip(kinds).filter_map(|(number, kind)| {
             Some(record(number / 5, number % 5, kind?))
         });
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn reads_records_that_name_each_task() {
+fn decodes_records_without_ranges() {
     let json = r#"{"phase":"running","finished_at_ms":0,"tasks":[
         {"round":0,"step":1,"index":2,"done":true,"run":1}]}"#;
     let progress: Progress = serde_json::from_str(json).unwrap();
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn refuses_ranges_that_cannot_be_read_and_names_them() {
+fn invalid_range_is_refused_by_name() {
     for range in ["0.1", "0:1", "0.1:x", "0.1:3-2", "0.1:0-4294967295"] {
         let json = format!(r#"{{"phase":"running","done":["{range}"]}}"#);
         let error = serde_json::from_str::<Progress>(&json).unwrap_err();
