--- a/crates/dewspar/tests/charts.rs
+++ b/crates/dewspar/tests/charts.rs
@@ -1,4 +1,5 @@
-//! The state charts: reachable, without dead ends, and in step with the code.
+//! The state charts: every state is reachable, only final states accept no
+//! events, and the states match those of the code.
 
 use dewspar::{chart::Chart, fleet::VmState, pool::TaskState};
 
--- a/crates/dewspar/tests/checks.rs
+++ b/crates/dewspar/tests/checks.rs
@@ -1,4 +1,4 @@
-//! The history check: good histories pass, each broken one is named.
+//! The history check: valid histories pass, and each violation is reported.
 
 use dewspar::history::{Promise, check, parse};
 
@@ -58,7 +58,7 @@
             "line 2: VM vm-1 got work 3001 ms after leaving",
         ),
         (
-            // Back in its row, but leaving by the platform's list.
+            // No longer marked in its row, but still in the platform's list.
             history!("broken-leaving-one-mark"),
             Promise::Leaving,
             "line 4: VM vm-1 got work 3001 ms after leaving",
--- a/crates/dewspar/tests/config.rs
+++ b/crates/dewspar/tests/config.rs
@@ -1,4 +1,4 @@
-//! Documents: each mistake is refused whole, with its field named.
+//! Validation and storage of configuration documents.
 
 use dewspar::config::{Change, Error, Head, Kind, Resource, Snapshot};
 
@@ -102,7 +102,8 @@
         let text = error.to_string();
         let depends_on_order = text.contains("quota");
         if depends_on_order {
-            // Either resource may be the one that exceeds the quota.
+            // Which of the two resources exceeds the quota depends on the order
+            // in which they are checked.
             assert!(text.ends_with("its quota is 20000"), "{text}");
         } else {
             assert_eq!(text, expected);
@@ -153,7 +154,7 @@
     assert_eq!(fresh.len(), 1, "one kind changed");
     assert!(next.contains("one") && next.contains("two"));
     assert_eq!(next.unreferenced_chunks(&next).count(), 0);
-    // What was replaced is kept for those that still read it.
+    // Replaced chunks are kept for readers of the previous head.
     assert_eq!(head.unreferenced_chunks(&next).count(), 0);
 }
 
--- a/crates/dewspar/tests/conflict.rs
+++ b/crates/dewspar/tests/conflict.rs
@@ -1,4 +1,4 @@
-//! What becomes of a job whose record a refused write found changed.
+//! Resolution of write conflicts on a job's progress record.
 
 use dewspar::job::{
     Phase, Progress, TaskRecord,
@@ -48,7 +48,8 @@
 
 #[test]
 fn identical_final_record_is_written_again() {
-    // The write also deletes the job's other keys: they may still be there.
+    // The same transaction deletes the job's other keys, which may still
+    // exist.
     let ours = progress(Phase::Completed, 0);
     let found = FoundRecord::Readable(ours.clone());
     assert_eq!(resolve(7, &ours, found), Resolution::Finished(ours));
--- a/crates/dewspar/tests/ids.rs
+++ b/crates/dewspar/tests/ids.rs
@@ -1,4 +1,4 @@
-//! Identifiers: what isn't one is refused in words a caller can act on.
+//! Parsing of identifiers: errors state the expected format.
 
 use dewspar::job::{JobId, TaskId};
 
@@ -20,7 +20,7 @@
         let expected = format!("`{text}` isn't JOB.ROUND.STEP.INDEX");
         assert_eq!(error.to_string(), expected);
     }
-    // The part at fault is named where there is one.
+    // An invalid job within a task's identifier is reported on its own.
     let error = "7.0.1.2".parse::<TaskId>().expect_err("a short job");
     assert_eq!(error.to_string(), "`7` isn't 16 hex digits");
 }
--- a/crates/dewspar/tests/newer_fields.rs
+++ b/crates/dewspar/tests/newer_fields.rs
@@ -1,8 +1,10 @@
-//! During an upgrade a node of an older version goes on with what a newer one
-//! has recorded, and writes it again. Fields that it didn't know were gone from
-//! then on: the newer version, once it schedules again, read its own record as
-//! if it had never said so. What isn't known is kept as it was: of a job, of
-//! each of its tasks, of orders to VMs, and of the process that gave them.
+//! Preservation of unknown fields in stored records.
+//!
+//! During a rolling upgrade, a node of an older version rewrites records that a
+//! newer version has written. If it drops the fields that it doesn't know, the
+//! newer version loses that state as soon as it schedules again. Unknown fields
+//! must be kept for jobs, for each of their tasks, for orders to VMs, and for
+//! the processes that issued these orders.
 
 use {
     dewspar::{
@@ -20,8 +22,8 @@
     format!("{:016x}", 1).parse().expect("an identifier")
 }
 
-/// A job's record with a field more, also of two tasks: one is done, of the
-/// other nothing else is known.
+/// Returns a job's record with unknown fields in the job and in two tasks: one
+/// is done, the other has no other state.
 fn record() -> Value {
     let done = json!({ "round": 0, "step": 0, "index": 3, "done": true,
         "run": 1, "newer": 5 });
@@ -44,7 +46,7 @@
     scheduler
 }
 
-/// What the scheduler has stored of its one job.
+/// Returns the progress that the scheduler writes for its only job.
 fn stored(scheduler: &mut Scheduler) -> Value {
     let changes = scheduler.take_changes(1);
     let (_, progress) = changes.progress.first().expect("a change");
@@ -60,7 +62,7 @@
 #[test]
 fn loaded_job_keeps_unknown_fields() {
     let mut scheduler = scheduler(Some(&read(&record())));
-    // A change of this holder's own.
+    // A change that this holder makes itself.
     let change = json!({ "phase": "running", "done": ["0.0:6"] });
     scheduler.merge_record(id(), &read(&change), NOW);
     let mut expected = record();
@@ -125,7 +127,7 @@
     let written = serde_json::to_value(&read).expect("plain JSON");
     assert_eq!(written, orders);
 
-    // Another node holds the lease, then that process again.
+    // The next holder is first another node, then the same process.
     for node in ["n2", "n1"] {
         let mut scheduler = Scheduler::new(7, Options::default());
         let holder = OrderIssuer { node: node.to_owned(), incarnation: 1 };
--- a/crates/dewspar/tests/progress.rs
+++ b/crates/dewspar/tests/progress.rs
@@ -1,4 +1,4 @@
-//! How the progress of jobs is written and read again.
+//! The encoding of job progress.
 
 use {
     dewspar::job::{Phase, Progress, TaskRecord},
