--- a/crates/dewspar/src/fleet.rs
+++ b/crates/dewspar/src/fleet.rs
@@ -1,15 +1,16 @@
 /*!
-The fleet: which pool each VM is in, and what it is doing.
+The fleet: the pool and the state of each VM.
 
-A VM never changes its data hall, so all that must be agreed about it lives
-in one value, the hall's [`Hall`] document. Its row names the pool, which is
-why a VM can't be in two pools: there is one row, and it has one field.
+A VM never changes its data hall, so all shared state about it is in one
+value, the [`Hall`] document of its data hall. Each VM has one row there, and
+the row has one field for the pool, so a VM can't be in two pools.
 
-A row also carries an *epoch*. Each act outside the platform, such as a
-reboot, is fenced by it: the intent raises the epoch, the worker refuses
-older ones, and whoever finds the intent may finish it.
+A row also has an *epoch*, which is the fencing token for actions outside the
+platform, such as a reboot. Recording the intent to act raises the epoch,
+workers refuse older epochs, and any node that finds the intent may complete
+the action.
 
-The states and the moves between them are those of the chart `vm`; see
+The states and their transitions are those of the chart `vm`; see
 [`crate::chart`].
 
 # Example
@@ -18,7 +19,8 @@
 use dewspar::fleet::{Hall, Listing, VmState};
 
 let mut hall = Hall::default();
-hall.apply_listing(&Listing::new("vm-1", "hall-1", "rack-1", "127.0.0.1:7001"));
+let listing = Listing::new("vm-1", "hall-1", "rack-1", "127.0.0.1:7001");
+hall.apply_listing(&listing);
 hall.assign("vm-1", Some("registry"), 10)?;
 assert_eq!(hall.row("vm-1").unwrap().state(), VmState::Serving);
 
@@ -45,7 +47,7 @@
     std::{collections::BTreeMap, fmt},
 };
 
-/// A VM as the platform lists it.
+/// A VM as described by the platform's VM list.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Listing {
     name: String,
@@ -61,7 +63,7 @@
 }
 
 impl Listing {
-    /// Makes a listing of a VM with 32 cores and 128 GB.
+    /// Creates a listing of a VM with 32 cores and 128 GB of memory.
     pub fn new(
         name: &str,
         hall: &str,
@@ -79,7 +81,7 @@
         }
     }
 
-    /// Returns the listing, marked as leaving or not.
+    /// Sets whether the VM is leaving.
     pub fn with_leaving(mut self, leaving: bool) -> Listing {
         self.leaving = leaving;
         self
@@ -115,18 +117,18 @@
         self.memory_mb
     }
 
-    /// Returns whether the platform says that the VM is leaving.
+    /// Returns whether the platform has marked the VM as leaving.
     pub fn leaving(&self) -> bool {
         self.leaving
     }
 }
 
-/// Checks that a list gives each VM an address of its own.
+/// Checks that each VM in a list has a worker address of its own.
 ///
 /// # Errors
 ///
-/// Returns [`Error::SameAddress`] with the first two VMs that share one: an
-/// act on either would be carried out on the other.
+/// Returns [`Error::SameAddress`] with the first two VMs that share an
+/// address: an action on one of them would be carried out on the other.
 pub fn check_addresses(list: &[Listing]) -> Result<(), Error> {
     let mut names = BTreeMap::new();
     for listing in list {
@@ -142,19 +144,19 @@
     Ok(())
 }
 
-/// What a VM is doing.
+/// The state of a VM.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum VmState {
-    /// It belongs to no pool.
+    /// The VM belongs to no pool.
     Free,
     /// Its runners take requests.
     Serving,
-    /// It takes no new work and finishes what it has.
+    /// The VM takes no new work and finishes its work in flight.
     Draining,
-    /// A reboot has been intended, and may be under way.
+    /// The intent to reboot is recorded; the reboot may be in progress.
     Rebooting,
-    /// It stopped answering.
+    /// The VM stopped answering.
     Lost,
 }
 
@@ -186,7 +188,7 @@
     }
 }
 
-/// Why a row was left as it is.
+/// The reason why an update was rejected.
 #[derive(Clone, Debug, Display, Eq, PartialEq)]
 #[non_exhaustive]
 pub enum Error {
@@ -196,14 +198,14 @@
     NotFree {
         /// The VM's name.
         name: String,
-        /// What it is doing.
+        /// Its current state.
         state: VmState,
     },
     /// VMs `{one}` and `{other}` are both listed at {address}
     SameAddress {
-        /// A VM's name.
+        /// The name of the first VM.
         one: String,
-        /// Another VM's name.
+        /// The name of the second VM.
         other: String,
         /// The address of both their workers.
         address: String,
@@ -212,14 +214,14 @@
     Refused {
         /// The VM's name.
         name: String,
-        /// What the chart said.
+        /// The chart's error.
         refusal: chart::Error,
     },
 }
 
 impl std::error::Error for Error {}
 
-/// All that must be agreed about one VM.
+/// The shared state of one VM.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Row {
     hall: String,
@@ -267,17 +269,18 @@
         self.pool.as_deref()
     }
 
-    /// Returns what the VM is doing.
+    /// Returns the VM's state.
     pub fn state(&self) -> VmState {
         self.state
     }
 
-    /// Returns since when it does that, in milliseconds of the Unix epoch.
+    /// Returns when the VM entered its state, in milliseconds since the Unix
+    /// epoch.
     pub fn since_ms(&self) -> u64 {
         self.since_ms
     }
 
-    /// Returns the number that fences acts on the VM.
+    /// Returns the fencing token for actions on the VM.
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
@@ -288,22 +291,24 @@
     }
 }
 
-/// The rows of every VM in one data hall.
+/// The rows of all VMs in one data hall.
 ///
-/// A row that can't be read, since a newer version of the program wrote it,
-/// hides its VM alone and stays as it is when the document is written again.
+/// A row that can't be parsed, because a newer version of the program wrote
+/// it, hides only its own VM. It is kept unchanged when the document is
+/// written again.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Hall {
     rows: Rows<Row>,
 }
 
 impl Hall {
-    /// Returns the rows by the names of their VMs.
+    /// Returns the readable rows, with the names of their VMs.
     pub fn rows(&self) -> impl Iterator<Item = (&str, &Row)> {
         self.rows.iter()
     }
 
-    /// Returns the names of the VMs whose rows can't be read, with why.
+    /// Returns the names of the VMs whose rows can't be read, each with the
+    /// reason.
     pub fn unreadable(&self) -> impl Iterator<Item = (&str, &str)> {
         self.rows.unreadable()
     }
@@ -318,9 +323,10 @@
         self.rows.get(vm)
     }
 
-    /// Takes over a listing; returns whether anything changed.
+    /// Creates or updates a VM's row from a listing; returns whether anything
+    /// changed.
     ///
-    /// Nothing does for a VM whose row can't be read.
+    /// The row of a VM that can't be read is never changed.
     pub fn apply_listing(&mut self, listing: &Listing) -> bool {
         let empty_row = || Row {
             hall: String::new(),
@@ -346,11 +352,12 @@
         *row != before
     }
 
-    /// Puts a free VM into a pool, or takes a drained one out.
+    /// Adds a free VM to a pool, or removes a drained VM from its pool.
     ///
     /// # Errors
     ///
-    /// Returns [`Error::NotFree`] when the VM still works for a pool.
+    /// Returns [`Error::NotFree`] when a VM that is to join a pool isn't free,
+    /// and [`Error::Refused`] when it can't leave its pool in its state.
     pub fn assign(
         &mut self,
         vm: &str,
@@ -373,7 +380,7 @@
         }
     }
 
-    /// Moves a VM by an event of the chart `vm`; raises its epoch.
+    /// Applies an event of the chart `vm` to a VM and raises its epoch.
     ///
     /// # Errors
     ///
--- a/crates/dewspar/src/lib.rs
+++ b/crates/dewspar/src/lib.rs
@@ -1,50 +1,52 @@
 /*!
-Coordination parts for a fleet that rivals share.
+Scheduling and coordination logic for a fleet shared by several partners.
 
 Many nodes stand between callers and targets. They keep nothing on disk, any
 of them may be replaced at any time, and no leader is ever elected. This
-library holds the *decisions* such nodes take, and nothing else: it opens no
-socket and reads no clock. You feed it what you observed and the time, and it
-returns a value that says what to do next. `dewspard` is one program that
-carries those decisions out; yours may be another.
+library contains only the *decisions* that such nodes make: it opens no
+socket and reads no clock. The caller passes in its observations and the
+current time, and gets back a value that says what to do next. The daemon
+`dewspard` carries out these decisions; other programs can do the same.
 
-# One principle
+# Concurrency model
 
-Authority lives in compare-and-swapped records at the platform; ownership is
-only a hint. Any live node may act on any record. A ranking over the live
-roster says who acts first, and two nodes that both act collide on the swap,
-after which one of them reads again. Wasted work, never a wrong result.
+The authoritative state is in records at the platform that are updated by
+compare-and-swap; ownership is only a hint. Any live node may act on any
+record. Rendezvous hashing over the live nodes determines which one should
+act first. If two nodes act at once, one of them fails its compare-and-swap
+and reads the record again: work is wasted, but the result is correct.
 
 # Where to start
 
 | module | concept |
 |---|---|
-| [`config`] | what operators want, as one revisioned snapshot |
-| [`member`] | who is alive, and who acts first |
-| [`fleet`] | which pool each VM is in, and what it is doing |
+| [`config`] | the desired state, as one revisioned snapshot |
+| [`member`] | the membership list, failure detection and rendezvous hashing |
+| [`fleet`] | the pool and state of each VM |
 | [`pool`] | a pool's tasks and its disruption ledger, in one value |
-| [`budget`] | whether one more VM may be taken |
+| [`budget`] | whether one more VM may be taken out of service |
 | [`wave`] | the next step of a maintenance wave |
-| [`place`] | which VM carries which task |
-| [`once`] | a filing runs at most once |
+| [`place`] | the placement of tasks on VMs |
+| [`once`] | at-most-once execution of filings |
 | [`slot`] | a runner's slots, shared by every node |
 | [`route`] | which runner gets the next request |
-| [`admit`] | which request is accepted at all |
-| [`breaker`] | whether a service that fell silent is sent more |
+| [`admit`] | admission control for requests |
+| [`breaker`] | a circuit breaker for services that don't answer |
 | [`overload`] | whether a node keeps up with its work |
-| [`busy`] | how much longer workers may gather what they tell |
-| [`window`] | how many calls a node may have under way |
-| [`relay`] | which nodes carry a scheduling node's orders |
-| [`record`] | when a record is written that one writer replaces |
-| [`fields`] | what newer versions add to records, and older ones keep |
-| [`job`] | what callers hand in, and how far it has come |
-| [`schedule`] | which task of a job runs on which worker |
-| [`chart`] | state charts kept in files and interpreted |
-| [`history`] | recorded runs, and the check of every promise on them |
+| [`busy`] | how long workers may batch their reports |
+| [`window`] | a congestion window for a node's calls |
+| [`link`] | a bandwidth budget for a node's network link |
+| [`relay`] | which nodes forward a scheduling node's orders |
+| [`record`] | when to write a record that has a single writer |
+| [`fields`] | unknown record fields, kept for newer versions |
+| [`job`] | submitted jobs and their progress |
+| [`schedule`] | the assignment of a job's tasks to workers |
+| [`chart`] | state charts that are read from files and interpreted |
+| [`history`] | recorded runs, and checks of every guarantee on them |
 
 # Example
 
-Two nodes agree on who acts first without exchanging a message:
+Two nodes agree on which of them acts first without exchanging a message:
 
 ```
 use dewspar::member;
--- a/crates/dewspar/src/link.rs
+++ b/crates/dewspar/src/link.rs
@@ -1,35 +1,36 @@
 /*!
-What a node sends first when its network link is too small for all of it.
+Prioritizes a node's traffic when its network link can't carry all of it.
 
-A scheduler has several kinds of work for one link. Sent as they come, they
+A scheduler sends several kinds of orders over one link. Without a limit, they
 queue at the link, and the queue delays all of them alike: a burst of 400
-orders to start, of 1.5 kB each, keeps a link of 2 Mbit/s busy for 2.4 s. What
-is renewed too late has lapsed, and what isn't answered in its time counts as
-lost and is sent again, so that a full link stays full although little of what
-it carries is of use.
+start orders of 1.5 kB each keeps a link of 2 Mbit/s busy for 2.4 s. Leases
+whose renewals are late expire, and orders that aren't answered in time count
+as lost and are sent again, so that the link stays saturated while little of
+its traffic is useful.
 
-A [`LinkBudget`] therefore keeps the queue at the node, where it can be
-ordered. It hands out bytes at a rate a little below the link's, in *classes*:
+A [`LinkBudget`] therefore keeps the queue in the node, where it can be
+prioritized. It consists of token buckets that are refilled at a rate a little
+below the link's. The *class* of an order determines when it may be sent:
 
-| class | is sent | because |
+| class | is sent | reason |
 |---|---|---|
-| [`Class::Renewal`] | always | what runs ends if its lease isn't renewed |
-| [`Class::Stop`] | always | room is taken until a stop is carried out |
-| [`Class::Fence`] | as long as there is any budget | nothing starts on a worker before it |
-| [`Class::Question`] | from a share of its own | ends make room, and let next steps begin |
-| [`Class::Start`] | from the rest | |
+| [`Class::Renewal`] | always | runs end if their lease isn't renewed |
+| [`Class::Stop`] | always | a run occupies its room until it is stopped |
+| [`Class::Fence`] | from either bucket | nothing starts on a worker before it |
+| [`Class::Question`] | from its own bucket | known ends free room for next steps |
+| [`Class::Start`] | from the other bucket | |
 
-What one share leaves unused flows to the other, so none is idle while the
-other waits. The rate itself falls when calls turn slow or get no answer while
-it is used up, because the link carries less than was said or other work takes
-it, and rises again while they are fast.
+Tokens that overflow one bucket go to the other, so that no bandwidth is unused
+while orders wait. The rate falls when calls become slow or get no answer while
+a bucket is exhausted, because then the link carries less than was configured
+or other traffic uses it. It rises again while calls are fast.
 
 # Example
 
 ```
 use dewspar::link::{Class, LinkBudget, LinkLimits};
 
-// 250 kB/s, of which 70 % are handed out.
+// A link of 250 kB/s, of which the budget uses 70 %.
 let mut budget = LinkBudget::new(LinkLimits::of_link(2.0));
 budget.refill(1_000);
 let mut starts = 0;
@@ -38,7 +39,7 @@
     starts += 1;
 }
 assert_eq!(starts, 7, "a tenth of a second's share");
-assert!(budget.allows(Class::Question), "these have their own");
+assert!(budget.allows(Class::Question), "a separate bucket");
 assert!(budget.allows(Class::Renewal));
 budget.refill(1_050);
 assert!(budget.allows(Class::Start));
@@ -47,16 +48,16 @@
 
 use crate::window::{CallEnd, Speed, Tally, WindowLimits};
 
-/// What is sent, in classes.
+/// The class of an order, which determines its priority.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Class {
     /// Renews the lease of a worker that will soon need it.
     Renewal,
-    /// Stops a run or changes its pace.
+    /// Stops a run or changes its speed.
     Stop,
-    /// Makes a former holder's orders void.
+    /// Fences off a former holder, so that workers refuse its orders.
     Fence,
-    /// Asks what runs and what has ended.
+    /// Queries which runs are active and which have ended.
     Question,
     /// Starts a run.
     Start,
@@ -65,86 +66,89 @@
 /// Bounds of a [`LinkBudget`].
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct LinkLimits {
-    /// What is handed out at most, in bytes a second.
+    /// The maximum rate, in bytes a second.
     pub bytes_per_s: u64,
-    /// How much may be sent at once after a pause, as time at that rate in
+    /// The maximum burst after a pause, as time at the current rate, in
     /// milliseconds.
     pub burst_ms: u64,
-    /// The share of questions and renewals, in percent.
+    /// The share of the rate for questions, in percent; renewals, stops and
+    /// fences count against it too.
     pub question_percent: u64,
-    /// The lowest that the rate may fall to, in percent of `bytes_per_s`.
+    /// The minimum rate, in percent of `bytes_per_s`.
     pub min_percent: u64,
 }
 
-/// Bytes a second of one megabit a second.
+/// Bytes per megabit.
 const BYTES_PER_MEGABIT: f64 = 125_000.0;
 
-/// The share of a link that is handed out, in percent: the feed, readings of
-/// the directory and writes of progress take the rest.
+/// The share of a link for orders, in percent. The rest is left for the feed,
+/// reads of the directory and writes of progress.
 const ORDER_PERCENT: u64 = 70;
 
 impl LinkLimits {
-    /// Returns the limits for a link of so many megabits a second.
+    /// Returns the limits for a link of the given bandwidth, in megabits a
+    /// second.
     pub fn of_link(megabits_per_s: f64) -> LinkLimits {
         let bytes_per_s = megabits_per_s * BYTES_PER_MEGABIT;
         LinkLimits {
-            // OK to convert: a float goes to the nearest value that fits.
+            // OK to convert: the cast saturates.
             bytes_per_s: (bytes_per_s as u64).saturating_mul(ORDER_PERCENT)
                 / 100,
-            // Half of what an order may take, so that the last of a burst
+            // Half of an order's timeout, so that the last order of a burst
             // is still answered in time.
             burst_ms: 100,
-            // A question of 350 bytes for each start of 600.
+            // One question of 350 bytes for each start of 600 bytes.
             question_percent: 40,
-            // A link that drops to a tenth still carries this.
+            // A link that drops to a tenth of its rate still carries this.
             min_percent: 10,
         }
     }
 }
 
-/// How many calls must have ended before the rate is adapted: as many as a
-/// small link carries in some tenths of a second.
+/// The number of ended calls after which the rate is adjusted: what a small
+/// link carries in a few tenths of a second.
 const CALLS_PER_ADJUSTMENT: usize = 32;
 
-/// For how long a share that was used up says that work waits for the link, in
-/// milliseconds: longer than slow orders take to be noticed.
+/// For how long after a bucket was exhausted orders count as waiting for the
+/// link, in milliseconds: longer than it takes to detect slow orders.
 const EXHAUSTED_RECENTLY_MS: u64 = 1_000;
 
-/// The rate falls to this share of itself when calls are slow, in percent.
+/// The factor by which the rate falls when calls are slow, in percent.
 const DECREASE_PERCENT: u64 = 70;
 
-/// The rate rises to this share of itself while calls are fast, in percent.
+/// The factor by which the rate rises while calls are fast, in percent.
 const INCREASE_PERCENT: u64 = 125;
 
-/// What an order takes of a link beside what it carries, with its head and the
-/// packets of its answer, in bytes: read off the bytes of orders by purpose,
-/// and two packets' heads.
+/// The overhead of an order beyond its payload, in bytes, including its
+/// headers and the packets of its answer: measured from the bytes of orders by
+/// purpose, plus the headers of two packets.
 const ORDER_BYTES: u64 = 250;
 
-/// The same over a relay, where many share a message and heads are left out:
-/// 204 starts with payloads of some 350 bytes and 190 questions a second took
-/// 118 kB, with all else that was sent.
+/// The overhead of an order that is sent through a relay, in bytes. It is
+/// lower because orders share a message and have no headers of their own: 204
+/// starts with payloads of about 350 bytes and 190 questions a second took
+/// 118 kB, including all other traffic.
 const RELAYED_ORDER_BYTES: u64 = 90;
 
-/// Hands out what a link carries.
+/// Token buckets for the bandwidth of a link.
 #[derive(Clone, Debug)]
 pub struct LinkBudget {
     limits: LinkLimits,
-    /// What is handed out now, in bytes a second.
+    /// The current rate, in bytes a second.
     rate: u64,
     refilled_ms: u64,
     questions: Bucket,
     starts: Bucket,
     tally: Tally,
-    /// When the rate last fell.
+    /// When the rate was last lowered.
     last_decrease_ms: u64,
-    /// When a share was last used up.
+    /// When a bucket was last exhausted.
     last_exhausted_ms: u64,
-    /// Whether relays carry what is sent.
+    /// Whether orders are sent through relays.
     relayed: bool,
 }
 
-/// What one share has left; less than nothing after a large order.
+/// A token bucket, in bytes; its level is negative after a large order.
 #[derive(Clone, Copy, Debug, Default)]
 struct Bucket {
     bytes: i64,
@@ -152,7 +156,7 @@
 }
 
 impl Bucket {
-    /// Adds bytes; returns those for which there is no room.
+    /// Adds bytes; returns those that exceed the capacity.
     fn add(&mut self, bytes: i64) -> i64 {
         let filled = self.bytes + bytes;
         self.bytes = filled.min(self.capacity);
@@ -161,7 +165,7 @@
 }
 
 impl LinkBudget {
-    /// Makes a budget that is full.
+    /// Creates a budget with full buckets.
     pub fn new(limits: LinkLimits) -> LinkBudget {
         let mut budget = LinkBudget {
             limits,
@@ -189,14 +193,14 @@
         self.starts.capacity = (burst - questions).max(1);
     }
 
-    /// Adds what the link has carried since the last time.
+    /// Refills the buckets for the time since the last refill.
     pub fn refill(&mut self, now_ms: u64) {
         let elapsed_ms = now_ms.saturating_sub(self.refilled_ms);
-        // More than a burst is lost in any case.
+        // The buckets hold no more than one burst.
         let elapsed_ms = elapsed_ms.min(self.limits.burst_ms);
         let bytes = self.rate.saturating_mul(elapsed_ms) / 1_000;
         if bytes == 0 {
-            // Too short a time to count: it counts with the next.
+            // Less than a byte: this time counts at the next refill.
             return;
         }
         self.refilled_ms = now_ms;
@@ -207,7 +211,7 @@
         self.questions.add(overflow);
     }
 
-    /// Returns whether something of a class may be sent now.
+    /// Returns whether an order of this class may be sent now.
     pub fn allows(&self, class: Class) -> bool {
         match class {
             Class::Renewal | Class::Stop => true,
@@ -217,18 +221,18 @@
         }
     }
 
-    /// Sets whether relays carry what is sent from now on.
+    /// Sets whether orders are sent through relays from now on.
     pub fn set_relayed(&mut self, relayed: bool) {
         self.relayed = relayed;
     }
 
-    /// Returns what an order takes beside what it carries, in bytes.
+    /// Returns the overhead of an order beyond its payload, in bytes.
     pub fn order_bytes(&self) -> u64 {
         if self.relayed { RELAYED_ORDER_BYTES } else { ORDER_BYTES }
     }
 
-    /// Notes that something of a class was sent, of so many bytes with its
-    /// answer in the larger direction.
+    /// Records that an order of this class was sent; `bytes` is the larger of
+    /// what it takes in each direction, including its answer.
     pub fn sent(&mut self, class: Class, bytes: u64) {
         let bytes = i64::try_from(bytes).unwrap_or(i64::MAX / 4);
         let share = match class {
@@ -244,14 +248,14 @@
         }
     }
 
-    /// Returns whether work waited for the link a short while ago although
-    /// the rate could still fall: orders are then slow because there are many
-    /// of them, and on no other node of the kind would they be faster.
+    /// Returns whether orders recently waited for the link while the rate is
+    /// above its minimum. Orders are then slow because of their number, and
+    /// would be no faster on another node of the same kind.
     pub fn is_saturated(&self, now_ms: u64) -> bool {
         self.was_exhausted(now_ms) && self.rate > self.min_rate()
     }
 
-    /// Returns whether a share was used up a short while ago.
+    /// Returns whether a bucket was exhausted recently.
     fn was_exhausted(&self, now_ms: u64) -> bool {
         now_ms < self.last_exhausted_ms + EXHAUSTED_RECENTLY_MS
     }
@@ -262,12 +266,12 @@
         min_rate.clamp(1, bytes_per_s.max(1))
     }
 
-    /// Notes the end of a call that was sent at this time, and adapts the rate
-    /// once enough have ended.
+    /// Records the end of a call that was sent at `sent_ms`, and adjusts the
+    /// rate once enough calls have ended.
     ///
-    /// Calls that were sent before the rate last fell say nothing new: one
-    /// reading of the directory that fills the link for a moment is one cause
-    /// to slow down, however many calls met it.
+    /// Calls that were sent before the rate was last lowered are ignored, so
+    /// that one congestion event lowers the rate once: a single read of the
+    /// directory can fill the link for a moment and delay many calls.
     pub fn ended(
         &mut self,
         sent_ms: u64,
@@ -283,8 +287,8 @@
             return;
         }
         let percent = match std::mem::take(&mut self.tally).speed() {
-            // Slow calls on a link that isn't full are the processor's doing
-            // or the workers', and sending less leaves them as slow.
+            // Slow calls on a link that isn't full are caused by the processor
+            // or the workers; a lower rate would not make them faster.
             Speed::Slow if !self.was_exhausted(now_ms) => return,
             Speed::Slow => {
                 self.last_decrease_ms = now_ms;
@@ -299,7 +303,7 @@
         self.resize_buckets();
     }
 
-    /// Returns what is handed out now, in bytes a second.
+    /// Returns the current rate, in bytes a second.
     pub fn rate(&self) -> u64 {
         self.rate
     }
--- a/crates/dewspar/src/member.rs
+++ b/crates/dewspar/src/member.rs
@@ -1,16 +1,17 @@
 /*!
-Membership: who is alive, and who acts first.
+Membership: the member list, failure detection and rendezvous hashing.
 
-Each node is listed at the platform under a lease, which says who *belongs*.
-Leases are long, because the platform's rates grow more slowly than the
-fleet; who is *alive* is learned by probing. A node probes a few peers, the
-same few each round, so the cost doesn't grow with the roster. What a node
-suspects rides on its probes with an age, and is forgotten when nobody repeats
-it: suspicion is soft state. News of it is passed on at once.
+Each node registers at the platform under a lease; these registrations are
+the membership list. Leases are long, because the request rates that the
+platform can take grow more slowly than the fleet. Failures are therefore
+detected by probing. A node probes a few peers, the same ones in each round,
+so that the cost doesn't grow with the number of members. Suspicions are
+piggybacked on probes, each with its age. They are soft state and expire
+unless they are repeated. New suspicions are passed on at once.
 
-Who acts on a key first is the node ranked first by [`ranked`] among those
-alive. Two nodes with different views may both act; the swap at the platform
-settles it.
+The node that [`ranked`] puts first among the live nodes is the first to act
+on a key. Two nodes with different views may both act; the compare-and-swap
+at the platform lets only one of them succeed.
 
 # Example
 
@@ -18,10 +19,11 @@
 use dewspar::member::{Member, Roster, Timing};
 
 let mut roster = Roster::new("n1", Timing::default());
-roster.set_members((1..=3).map(|i| Member::new(&format!("n{i}"), i, "hall-1")), 0);
+let members = (1..=3).map(|i| Member::new(&format!("n{i}"), i, "hall-1"));
+roster.set_members(members, 0);
 assert_eq!(roster.live(0).len(), 3);
 
-// n2 answers, n3 doesn't: after three missed probes it is suspected.
+// n2 answers; n3 doesn't, and is suspected after three missed probes.
 for now_ms in [500, 1_000, 1_500] {
     roster.probe_succeeded("n2", 0, now_ms);
     roster.probe_failed("n3", now_ms);
@@ -39,7 +41,8 @@
 /// Returns the nodes in the order in which they should act on `key`.
 ///
 /// This is rendezvous hashing: every node computes the same order from the
-/// same roster, and the loss of one node moves only what it was first for.
+/// same members, and the loss of a node reassigns only the keys for which it
+/// was first.
 pub fn ranked<'a>(key: &str, nodes: &[&'a str]) -> Vec<&'a str> {
     let mut order = nodes.to_vec();
     order.sort_by_cached_key(|node| {
@@ -48,7 +51,7 @@
     order
 }
 
-/// Returns the node ranked first for `key`, if there is any.
+/// Returns the node that ranks first for `key`, or `None` without nodes.
 pub fn first<'a>(key: &str, nodes: &[&'a str]) -> Option<&'a str> {
     nodes
         .iter()
@@ -56,7 +59,7 @@
         .max_by_key(|node| (stable_hash(key, node), std::cmp::Reverse(*node)))
 }
 
-/// A node as it lists itself at the platform.
+/// A node's registration at the platform.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Member {
     name: String,
@@ -67,7 +70,7 @@
 }
 
 impl Member {
-    /// Makes a member; its incarnation differs at each start of the process.
+    /// Creates a member; the incarnation differs at each start of the process.
     pub fn new(name: &str, incarnation: u64, hall: &str) -> Member {
         Member {
             name: name.to_owned(),
@@ -77,7 +80,7 @@
         }
     }
 
-    /// Returns the member with the address at which peers reach it.
+    /// Sets the address at which peers reach the node.
     pub fn with_peer_address(mut self, address: &str) -> Member {
         self.peer_address = address.to_owned();
         self
@@ -88,7 +91,8 @@
         &self.name
     }
 
-    /// Returns the number that tells this process from its predecessors.
+    /// Returns the number that distinguishes this process from earlier ones of
+    /// the same name.
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
@@ -104,7 +108,7 @@
     }
 }
 
-/// How often peers are probed, and when they are suspected.
+/// Parameters of the failure detector.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Timing {
     probe_interval_ms: u64,
@@ -113,39 +117,39 @@
 }
 
 impl Default for Timing {
-    /// Probes three peers each 500 ms and suspects after three misses, so a
-    /// dead node is suspected within about 1.5 s.
+    /// Probes three peers every 500 ms and suspects a peer after three missed
+    /// probes, so that a failed node is suspected within about 1.5 s.
     fn default() -> Timing {
         Timing { probe_interval_ms: 500, fan_out: 3, misses: 3 }
     }
 }
 
 impl Timing {
-    /// Sets the time between two rounds of probes, in milliseconds.
+    /// Sets the interval between rounds of probes, in milliseconds.
     pub fn probe_interval_ms(mut self, interval_ms: u64) -> Timing {
         self.probe_interval_ms = interval_ms;
         self
     }
 
-    /// Sets how many peers are probed in a round.
+    /// Sets the number of peers that are probed in each round.
     pub fn fan_out(mut self, fan_out: usize) -> Timing {
         self.fan_out = fan_out;
         self
     }
 
-    /// Returns the time between two rounds of probes, in milliseconds.
+    /// Returns the interval between rounds of probes, in milliseconds.
     pub fn interval_ms(&self) -> u64 {
         self.probe_interval_ms
     }
 
-    /// Returns how long a suspicion lasts that nobody repeats, in
+    /// Returns when a suspicion expires unless it is repeated, in
     /// milliseconds.
     fn suspicion_timeout_ms(&self) -> u64 {
         self.probe_interval_ms * u64::from(self.misses + 1)
     }
 }
 
-/// One node's suspicion of another, as it travels on probes.
+/// A node's suspicion of another node, as sent on probes.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Suspicion {
     name: String,
@@ -153,7 +157,7 @@
     age_ms: u64,
 }
 
-/// The most suspicions that one probe carries.
+/// The maximum number of suspicions in one probe.
 const MAX_SUSPICIONS: usize = 8;
 
 #[derive(Clone, Debug)]
@@ -170,7 +174,7 @@
     }
 }
 
-/// One node's view of who belongs and who is alive.
+/// One node's view of which nodes are members and which are alive.
 #[derive(Clone, Debug)]
 pub struct Roster {
     own: String,
@@ -180,7 +184,8 @@
 }
 
 impl Roster {
-    /// Makes the roster of the node named `own`; it always counts itself.
+    /// Creates the roster of the node named `own`, which counts itself as live
+    /// until it leaves.
     pub fn new(own: &str, timing: Timing) -> Roster {
         Roster {
             own: own.to_owned(),
@@ -190,11 +195,12 @@
         }
     }
 
-    /// Takes over the platform's list of members.
+    /// Replaces the membership list by the platform's.
     ///
-    /// Members that the platform no longer lists are dropped. Callers hold
-    /// a list back for a grace period after an outage, so that members whose
-    /// leases lapsed meanwhile come back before anyone succeeds them.
+    /// Members that the platform no longer lists are dropped. After an outage
+    /// of the platform, callers hold a list back for a grace period, so that
+    /// members whose leases expired can register again before other nodes take
+    /// over from them.
     pub fn set_members(
         &mut self,
         members: impl IntoIterator<Item = Member>,
@@ -206,7 +212,7 @@
         for (name, member) in listed {
             match self.peers.get_mut(&name) {
                 Some(peer) if peer.member == member => {}
-                // A new incarnation starts with a clean slate.
+                // Misses and suspicions of an earlier incarnation don't count.
                 _ => {
                     let peer = Peer {
                         member,
@@ -220,12 +226,12 @@
         }
     }
 
-    /// Returns the member of that name.
+    /// Returns the member with this name.
     pub fn member(&self, name: &str) -> Option<&Member> {
         self.peers.get(name).map(|peer| &peer.member)
     }
 
-    /// Returns every listed member but this node.
+    /// Returns all members except this node.
     pub fn others(&self) -> impl Iterator<Item = &Member> {
         let own = self.own.as_str();
         self.peers
@@ -236,18 +242,18 @@
 
     /// Returns the peers that this node probes.
     ///
-    /// With `n` others they follow this node on the ring of names at the
-    /// distances 1, c, c², where c is the root of `n` that makes as many
-    /// steps as there are probes. So every node is probed by as many others
-    /// as it probes, news crosses the ring in a few hops, and the same few
-    /// connections serve for good.
+    /// With `n` other members and `k` probes a round, these are the nodes that
+    /// follow this one on the ring of names at the distances 1, c, c², and so
+    /// on, where c is the `k`-th root of `n`. Thus every node is probed by as
+    /// many nodes as it probes, updates cross the ring in a few hops, and the
+    /// same few connections are used all the time.
     pub fn probe_targets(&self) -> Vec<Member> {
         let others: Vec<&Member> = self.others().collect();
         let count = others.len();
         if count <= self.timing.fan_out {
             return others.into_iter().cloned().collect();
         }
-        // Members are ordered by name, and this node is not among them.
+        // Members are ordered by name, and this node isn't one of `others`.
         let start =
             others.iter().take_while(|m| *m.name() < *self.own).count();
         let ratio = (count as f64).powf(1.0 / self.timing.fan_out as f64);
@@ -263,7 +269,7 @@
 
     /// Records that a peer answered a probe with this incarnation.
     ///
-    /// An incarnation of 0 means that the answer didn't name it.
+    /// An incarnation of 0 means that the answer didn't contain one.
     pub fn probe_succeeded(
         &mut self,
         name: &str,
@@ -280,8 +286,8 @@
 
     /// Records that a peer didn't answer a probe in time.
     ///
-    /// Returns whether the peer is suspected from now on and was not before,
-    /// which is worth passing on at once.
+    /// Returns whether the peer is newly suspected, which should be passed on
+    /// at once.
     pub fn probe_failed(&mut self, name: &str, now_ms: u64) -> bool {
         let timing = self.timing;
         let Some(peer) = self.peers.get_mut(name) else { return false };
@@ -294,15 +300,16 @@
         changed
     }
 
-    /// Records that this node is about to stop as planned: from now on
-    /// others act first.
+    /// Records that this node is about to shut down, so that it no longer
+    /// counts as live.
     pub fn leave(&mut self) {
         self.leaving = true;
     }
 
-    /// Records that a peer is about to stop as planned.
+    /// Records that a peer has announced its shutdown.
     ///
-    /// Returns whether that is news, which is worth passing on at once.
+    /// Returns whether this is new, in which case it should be passed on at
+    /// once.
     pub fn mark_leaving(&mut self, name: &str, incarnation: u64) -> bool {
         match self.peers.get_mut(name) {
             Some(peer) if peer.member.incarnation == incarnation => {
@@ -312,7 +319,7 @@
         }
     }
 
-    /// Returns whether a peer has said that it is about to stop.
+    /// Returns whether a peer has announced its shutdown.
     pub fn is_leaving(&self, name: &str) -> bool {
         self.peers.get(name).is_some_and(|peer| peer.leaving)
     }
@@ -325,7 +332,7 @@
             .filter(|peer| !peer.is_live(now_ms))
             .take(MAX_SUSPICIONS)
             .map(|peer| {
-                // One that leaves is as good as suspected just now.
+                // A leaving peer counts as newly suspected.
                 let remaining_ms = match peer.leaving {
                     true => timeout_ms,
                     false => peer.suspected_until_ms - now_ms,
@@ -339,10 +346,11 @@
             .collect()
     }
 
-    /// Takes over what a peer suspects, unless it is about this node or
-    /// about a process that has been replaced.
+    /// Merges a peer's suspicions, except those of this node and those of
+    /// earlier incarnations.
     ///
-    /// Returns whether that is news, which is worth passing on at once.
+    /// Returns whether any member is newly suspected, which should be passed
+    /// on at once.
     pub fn merge_suspicions(
         &mut self,
         suspicions: &[Suspicion],
@@ -351,8 +359,8 @@
         self.merge_suspicions_as_of(suspicions, now_ms, now_ms)
     }
 
-    /// Takes over what a peer suspected at `sent_ms`, in the same way; it has
-    /// aged since.
+    /// Merges suspicions that a peer sent at `sent_ms`, as
+    /// [`Roster::merge_suspicions`] does; they have aged since then.
     pub fn merge_suspicions_as_of(
         &mut self,
         suspicions: &[Suspicion],
@@ -377,7 +385,8 @@
         changed
     }
 
-    /// Returns the names of the members that aren't suspected, in order.
+    /// Returns the names of the members that are neither suspected nor
+    /// leaving, in ascending order.
     pub fn live(&self, now_ms: u64) -> Vec<&str> {
         let mut live: Vec<&str> = self
             .peers
@@ -393,29 +402,30 @@
         live
     }
 
-    /// Returns whether this node should act on `key` now.
+    /// Returns whether this node is the first to act on `key` now.
     pub fn is_first(&self, key: &str, now_ms: u64) -> bool {
         first(key, &self.live(now_ms)) == Some(self.own.as_str())
     }
 }
 
-/// How sure a node is that no newer configuration is in force.
+/// Whether a node's configuration is known to be current.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Freshness {
     /// The platform or a peer that reaches it confirmed the revision.
     Confirmed,
-    /// Nobody on the roster reaches the platform, so nobody can have
-    /// accepted anything newer.
+    /// No member reaches the platform, so none can have accepted a newer
+    /// revision.
     PlatformOut,
-    /// Somebody may have accepted something newer: stop serving.
+    /// Another node may have accepted a newer revision: stop serving.
     CutOff,
 }
 
-/// Says how fresh a node's configuration is.
+/// Returns whether a node's configuration is known to be current.
 ///
-/// `own_age_ms` is the time since the platform itself confirmed it. Each
-/// peer gives the time since that peer was last heard, and the age of its
-/// own confirmation at that moment. Ages beyond `bound_ms` don't count.
+/// `own_age_ms` is the time since the platform itself confirmed the revision.
+/// For each peer, `peers` has the time since its last message and the age of
+/// its own confirmation in that message. Confirmations and messages older than
+/// `bound_ms` are ignored.
 ///
 /// # Example
 ///
@@ -446,12 +456,12 @@
     }
 }
 
-/// What a peer last said about its reach to the platform.
+/// When a peer last confirmed its configuration with the platform.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct PeerAge {
-    /// Milliseconds since the peer was last heard.
+    /// Milliseconds since the peer's last message.
     pub heard_ms: u64,
-    /// Milliseconds since its own confirmation when it spoke, if it reaches
-    /// the platform.
+    /// The age of the peer's own confirmation in that message, in
+    /// milliseconds, if the peer reaches the platform.
     pub confirmed_ms: Option<u64>,
 }
--- a/crates/dewspar/src/place.rs
+++ b/crates/dewspar/src/place.rs
@@ -1,25 +1,28 @@
 /*!
-Placement: which VM carries which task.
-
-A service wants so many runners and a job so many tasks. [`plan`] compares
-that with the pool's document and returns what to change, nothing else: tasks
-that stand where they can stay are left alone, because each move may cost a
-signing. A task is sized by the peak its worker reported, with a margin, once
-there is a report; declared sizes are far from the truth.
-
-Among the VMs with room, the one is taken that carries the fewest siblings,
-then whose rack does, then whose hall does; so the loss of one takes as few
-runners of a service as can be. While a wave runs, VMs that it has maintained
-come first, so that a drained task moves once and not again.
-
-A VM that a wave has taken keeps its tasks: the budgets were found to hold
-without them, so they wait for its return, and nothing moves at all. Tasks
-move when their VM is lost or leaves the pool. Where that has put several
-runners of a service on one VM, a wave may not be able to take it; [`spread`]
-then moves one of them away, which the budgets must allow.
-
-A task that no VM of the pool could ever carry is named as such. It waits
-with that reason and holds up nobody.
+Placement: which VM runs which task.
+
+The configuration sets the number of runners of a service and of tasks of a
+job. [`plan`] compares it with the pool's document and returns only the
+differences: a task whose VM can keep it isn't moved, because each move may
+cost a signing. Declared sizes are far from the real use, so a task's size is
+the peak use that its worker reported, plus a margin, as soon as there is a
+report.
+
+Among the VMs with enough room, the planner prefers the one with the fewest
+siblings (tasks of the same owner), then the one whose rack has the fewest,
+then the one whose data hall has the fewest. Thus the loss of a VM, rack or
+hall stops as few runners of a service as possible. While a wave runs, VMs
+that it has already maintained come first, so that a displaced task moves only
+once.
+
+A VM that a wave has taken keeps its tasks: the budgets hold without them, so
+they wait for the VM's return and nothing moves. Tasks move when their VM is
+lost or leaves the pool. This can put several runners of a service on one VM,
+and a wave may then be unable to take that VM; [`spread`] moves one of them
+away if the budgets allow it.
+
+A task that is too large for every VM of the pool waits with a reason that says
+so. It doesn't block other tasks.
 
 # Example
 
@@ -75,10 +78,10 @@
     std::collections::{BTreeMap, BTreeSet},
 };
 
-/// The margin on observed peaks, in percent.
+/// The margin that is added to observed peaks, in percent.
 const PEAK_MARGIN_PERCENT: u64 = 25;
 
-/// How much of a VM a task takes.
+/// The resources of a VM, or those that a task needs.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Size {
     /// Processor time, in thousandths of a core.
@@ -100,21 +103,21 @@
     }
 }
 
-/// The highest use that workers have reported, by task.
+/// The peak resource use that workers have reported, by task.
 #[derive(Clone, Debug, Default)]
 pub struct Usage {
     peaks: BTreeMap<String, Size>,
 }
 
 impl Usage {
-    /// Takes in one report of a task's current use.
+    /// Records a report of a task's current use.
     pub fn observe(&mut self, task: &str, size: Size) {
         let peak = self.peaks.entry(task.to_owned()).or_default();
         peak.cpu_millis = peak.cpu_millis.max(size.cpu_millis);
         peak.memory_mb = peak.memory_mb.max(size.memory_mb);
     }
 
-    /// Forgets tasks that `keep` doesn't name.
+    /// Removes the tasks for which `keep` returns false.
     pub fn retain(&mut self, keep: impl Fn(&str) -> bool) {
         self.peaks.retain(|task, _| keep(task));
     }
@@ -134,7 +137,7 @@
     value.saturating_mul(100 + PEAK_MARGIN_PERCENT) / 100
 }
 
-/// What to change in a pool's document.
+/// A change to a pool's document.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Step {
     /// Start the task on a VM.
@@ -143,26 +146,26 @@
         task: String,
         /// Its service or job.
         owner: String,
-        /// The VM that should carry it.
+        /// The VM that should run it.
         vm: String,
     },
-    /// Let the task wait.
+    /// Keep the task waiting.
     Wait {
         /// The task's name.
         task: String,
         /// Its service or job.
         owner: String,
-        /// Why no VM carries it.
+        /// Why no VM can run it.
         why: String,
     },
-    /// Take the task off a VM that no longer serves.
+    /// Remove the task from a VM that no longer serves.
     Unplace {
         /// The task's name.
         task: String,
-        /// Why it was taken off.
+        /// Why it was removed.
         why: String,
     },
-    /// Forget a task that is no longer wanted.
+    /// Delete a task that is no longer configured.
     Remove {
         /// The task's name.
         task: String,
@@ -170,7 +173,7 @@
 }
 
 impl Step {
-    /// Returns the name of the task that it is about.
+    /// Returns the name of the task that the step changes.
     pub fn task(&self) -> &str {
         match self {
             Step::Place { task, .. }
@@ -181,7 +184,7 @@
     }
 }
 
-/// A task that should exist.
+/// A task that should exist according to the configuration.
 struct Wanted<'a> {
     task: String,
     owner: &'a str,
@@ -190,7 +193,8 @@
     runs_forever: bool,
 }
 
-/// Returns what to change so that the pool carries what it should.
+/// Returns the changes that bring a pool's tasks in line with its
+/// configuration.
 pub fn plan(
     snapshot: &Snapshot,
     pool: &str,
@@ -219,7 +223,8 @@
         .collect()
 }
 
-/// Lists the wanted tasks: urgent jobs, then services, then other jobs.
+/// Returns the tasks that should exist: urgent jobs first, then services, then
+/// other jobs.
 fn wanted<'a>(snapshot: &'a Snapshot, pool: &str) -> Vec<Wanted<'a>> {
     let services = snapshot
         .services()
@@ -255,8 +260,9 @@
     wanted
 }
 
-/// Returns a move that puts siblings on one VM apart, so that the wave can
-/// take that VM; `None` if no move helps or no budget allows one now.
+/// Returns a move of one of several siblings on a VM to another VM, so that
+/// the wave can take the first VM; `None` if no move helps or the budgets
+/// allow none now.
 pub fn spread(
     snapshot: &Snapshot,
     pool: &str,
@@ -268,7 +274,7 @@
     let starting =
         state.tasks().any(|(_, task)| task.state() == TaskState::Starting);
     if starting {
-        // One at a time: the last move must have come to its end.
+        // Tasks are moved one at a time: the previous move must be complete.
         return None;
     }
     let wanted = wanted(snapshot, pool);
@@ -294,7 +300,7 @@
     })
 }
 
-/// What stands on each VM while a plan is made.
+/// The tasks and free room of each VM while a plan is computed.
 struct Occupancy<'a> {
     vms: BTreeMap<&'a str, Vm<'a>>,
     vm_sizes: Vec<Size>,
@@ -305,7 +311,7 @@
     row: &'a Row,
     room: Size,
     owners: BTreeMap<String, usize>,
-    // Whether it takes tasks, and whether it may keep those it has.
+    // Whether it accepts new tasks, and whether it may keep those it has.
     accepts_tasks: bool,
     keeps_tasks: bool,
     maintained: bool,
@@ -399,7 +405,7 @@
         }
     }
 
-    /// Says what becomes of a task for which no VM has room.
+    /// Returns the step for a task for which no VM has room.
     fn unplaceable(
         &self,
         want: &Wanted<'_>,
@@ -412,7 +418,7 @@
             let owner = want.owner.to_owned();
             return Some(Step::Wait { task, owner, why });
         };
-        // A draining VM finishes what it has; the task waits only after it.
+        // A draining VM finishes its tasks; the task waits only after that.
         let still_up = self.vms.get(vm).is_some_and(|vm| {
             matches!(vm.row.state(), VmState::Draining | VmState::Serving)
         });
@@ -464,7 +470,7 @@
     }
 }
 
-/// Returns whether a wave has the VM, which will be back with its tasks.
+/// Returns whether a wave has taken the VM, which will return with its tasks.
 fn is_in_wave(state: &PoolState, vm: &str, row: &Row) -> bool {
     let by_wave = state.taken().any(|(name, taken)| {
         name == vm && matches!(taken.reason(), Reason::Wave(_))
--- a/crates/dewspar/src/relay.rs
+++ b/crates/dewspar/src/relay.rs
@@ -1,34 +1,35 @@
 /*!
-Which nodes carry a scheduling node's orders to workers.
-
-One node decides what runs where, because one view of all workers decides
-best. To *carry* an order is dearer than to decide it: a call over a
-connection of its own costs some 75 us of processor and half a kilobyte of link
-each way, and a busy fleet takes thousands a second. So the holder of the
-scheduler lease has other nodes carry for it. It sends such a *relay* many
-orders in one message; the relay makes the calls, and sends the answers back
-many at a time.
-
-A relay decides nothing. What it carries has the holder's fencing token, so an
-order that it brings late does as little harm as one that the network brings
-late; an order whose relay is lost is an order without an answer. What its
-holder no longer waits for, since the relay stood still for seconds, it passes
-over, by [`Lateness`].
-
-# How many
-
-[`RelayDemand`] keeps how much a node sent of late, second by second, and
-remembers the most for a while: demand comes in peaks of seconds, and relays
-that come and go with each would be missing when the next begins.
-[`RelayDemand::relays`] compares that with what nodes carry beside their
-other work. A node that carries its own orders has no relay.
-
-# Which one
-
-All orders for one worker go through one relay, so that its connections are
-few. [`relay_for`] ranks relays for a worker by weighted rendezvous hashing: a
-stronger one gets more workers, and one that comes or goes only moves those
-that it gains or had.
+Relays: nodes that forward a scheduling node's orders to workers.
+
+One node, the holder of the scheduler lease, decides what runs where, because
+a single view of all workers gives the best decisions. Sending an order costs
+more than deciding on it: a call over a connection of its own takes about 75 us
+of processor time and half a kilobyte of bandwidth each way, and a busy fleet
+needs thousands of calls a second. The holder therefore sends its orders in
+large batches to other nodes, its *relays*. They make the calls to the workers
+and return the answers in batches.
+
+A relay makes no scheduling decisions. Orders contain the holder's fencing
+token, so an order that a relay delays is as harmless as one that the network
+delays, and an order whose relay is lost counts as unanswered. A relay that was
+suspended for seconds drops the orders for which the holder no longer waits; it
+recognizes them with [`Lateness`].
+
+# Number of relays
+
+[`RelayDemand`] records the rate of calls, second by second, and remembers the
+maximum for a while: load comes in peaks of a few seconds, and relays that were
+released after each peak would be missing at the start of the next.
+[`RelayDemand::relays`] compares this rate with the number of calls that nodes
+can make beside their other work. A node that can send all its orders itself
+has no relay.
+
+# Choice of relay
+
+All orders for a worker go through the same relay, which keeps the number of
+connections low. [`relay_for`] chooses it by weighted rendezvous hashing: a
+relay with more strength gets more workers, and when a relay is added or
+removed, only the workers that it gains or had change their relay.
 
 # Example
 
@@ -44,10 +45,10 @@
 
 let mut demand = RelayDemand::default();
 demand.record(1_000, 400);
-assert!(demand.relays(1_000, 500, &nodes).is_empty(), "it carries these");
+assert!(demand.relays(1_000, 500, &nodes).is_empty(), "needs no relay");
 demand.record(2_000, 3_000);
 let relays = demand.relays(2_000, 500, &nodes);
-assert_eq!(relays.len(), 3, "twice what was sent has to fit");
+assert_eq!(relays.len(), 3, "enough for twice the rate");
 
 let first = relay_for("worker-7", &nodes).unwrap();
 let others: Vec<RelayNode> =
@@ -62,48 +63,49 @@
     std::collections::VecDeque,
 };
 
-/// How many calls a second a node carries beside its other work, for each
-/// unit of its strength, which is a thousandth of a core where its link
-/// suffices: a call takes 75 us of processor (a profile at 4,500 calls a
-/// second), and this is four tenths of it.
+/// The calls a second that a node can forward beside its other work, for each
+/// unit of strength (a thousandth of a core, if its link suffices). A call
+/// takes 75 us of processor time, as profiled at 4,500 calls a second; this
+/// rate uses about four tenths of the processor.
 const CALLS_PER_STRENGTH: u64 = 5;
 
-/// How much more than what was sent relays must be able to carry: what is sent
-/// is what could be, not what waits, and a peak grows by as much in a second.
+/// The ratio of the relays' capacity to the measured rate of calls. The
+/// measured rate excludes orders that could not be sent yet, and a growing
+/// peak can increase by this factor within a second.
 const HEADROOM_FACTOR: u64 = 2;
 
-/// For how long the most that was sent in a second counts, in milliseconds:
-/// longer than from one peak of a fleet's queues to the next.
+/// For how long a peak rate is remembered, in milliseconds: longer than the
+/// time between two load peaks of a fleet's queues.
 const PEAK_WINDOW_MS: u64 = 60_000;
 
-/// A node that offers to carry orders, as it says of itself.
+/// A node's offer to forward orders.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct RelayNode {
     /// The node's name.
     pub name: String,
-    /// Where it takes orders to carry.
+    /// The address at which it accepts orders to forward.
     pub address: String,
-    /// How much it can schedule or carry: thousandths of a core, or less where
-    /// its link doesn't suffice for them.
+    /// Its capacity to schedule or forward orders: thousandths of a core, or
+    /// less if its link is the bottleneck.
     pub strength: u64,
 }
 
-/// How many calls were sent in one second.
+/// The number of calls that were sent in one second.
 #[derive(Clone, Copy, Debug)]
 struct Sample {
     at_ms: u64,
     calls_per_s: u64,
 }
 
-/// How much a node sent of late, and how many relays that takes.
+/// Tracks a node's recent peak rate of calls and chooses relays for it.
 #[derive(Clone, Debug, Default)]
 pub struct RelayDemand {
-    /// Newest last; each is more than all after it.
+    /// Newest last; each rate is higher than all later ones.
     samples: VecDeque<Sample>,
 }
 
 impl RelayDemand {
-    /// Notes how many calls a second were sent up to now.
+    /// Records the current rate of calls.
     pub fn record(&mut self, now_ms: u64, calls_per_s: u64) {
         while self.samples.back().is_some_and(|s| s.calls_per_s <= calls_per_s)
         {
@@ -116,14 +118,14 @@
         }
     }
 
-    /// Returns the most that was sent in a second of late.
+    /// Returns the recent peak rate, in calls a second.
     pub fn calls_per_s(&self) -> u64 {
         self.samples.front().map_or(0, |sample| sample.calls_per_s)
     }
 
-    /// Returns which of the other nodes a node of such a strength has carry
-    /// for it: none if it carries all by itself, else the strongest that
-    /// suffice, or all.
+    /// Returns the relays for a node of strength `own_strength`: none if it can
+    /// make all calls itself, else the strongest nodes that suffice together,
+    /// or all nodes if they don't suffice.
     pub fn relays(
         &self,
         now_ms: u64,
@@ -153,12 +155,13 @@
     }
 }
 
-/// How late a node's messages come over one connection, by the steady clocks of
-/// both ends.
+/// Estimates how late messages on a connection are, from the monotonic clocks
+/// of both ends.
 ///
-/// These clocks have nothing in common but their pace, and both count the time
-/// for which a VM is suspended. The message that came soonest says how far they
-/// are apart, with its way; any other is late by what it took longer.
+/// The clocks advance at the same rate, including while a VM is suspended, but
+/// their offset is unknown. The message with the shortest apparent delay gives
+/// the offset plus its own transit time; any other message is late by the time
+/// that it took longer.
 ///
 /// # Example
 ///
@@ -167,18 +170,18 @@
 ///
 /// let mut lateness = Lateness::new(5_000_000, 1_000);
 /// assert_eq!(lateness.of(5_000_100, 1_100), 0);
-/// // The second lay in the connection while the receiver stood still.
+/// // This one waited while the receiver was suspended.
 /// assert_eq!(lateness.of(5_000_200, 9_200), 8_000);
 /// assert_eq!(lateness.of(5_008_300, 9_300), 0);
 /// ```
 #[derive(Clone, Copy, Debug)]
 pub struct Lateness {
-    /// How far the receiver's clock is ahead, in milliseconds, at most.
+    /// An upper bound on how far the receiver's clock is ahead, in milliseconds.
     clock_offset_ms: i64,
 }
 
 impl Lateness {
-    /// Begins with a first message, by when it was sent and received.
+    /// Starts with the times at which the first message was sent and received.
     pub fn new(sent_ms: u64, received_ms: u64) -> Lateness {
         Lateness { clock_offset_ms: clock_offset_ms(sent_ms, received_ms) }
     }
@@ -191,14 +194,15 @@
     }
 }
 
-/// Returns how far the receiver's clock seems ahead, in milliseconds; what the
-/// sender says may be any number.
+/// Returns the apparent lead of the receiver's clock, in milliseconds.
+///
+/// The arithmetic wraps because `sent_ms` is untrusted and can be any number.
 fn clock_offset_ms(sent_ms: u64, received_ms: u64) -> i64 {
     received_ms.wrapping_sub(sent_ms).cast_signed()
 }
 
-/// Returns the position of the relay that carries a worker's orders; `None`
-/// where there is no relay.
+/// Returns the index of the relay that forwards a worker's orders, or `None` if
+/// there are no relays.
 pub fn relay_for<'a>(
     worker: &str,
     relays: impl IntoIterator<Item = &'a RelayNode>,
@@ -210,12 +214,14 @@
     best.map(|(position, _)| position)
 }
 
-/// Ranks a relay for a worker; the highest one is taken.
+/// Returns a relay's score for a worker; the relay with the highest score is
+/// chosen.
 ///
-/// With ranks of `-weight / ln(u)`, `u` being uniform between 0 and 1, each
-/// relay is the highest for a share of workers that is as large as its weight.
+/// With scores of `-weight / ln(u)`, where `u` is uniform between 0 and 1, the
+/// share of workers for which a relay scores highest is proportional to its
+/// weight.
 fn weighted_score(worker: &str, relay: &str, strength: u64) -> f64 {
-    // Half a step up, so that it is neither 0 nor 1.
+    // Adding half a step keeps the value strictly between 0 and 1.
     let hashed = (stable_hash(worker, relay) >> 11) as f64 + 0.5;
     let uniform = hashed / (1u64 << 53) as f64;
     -(strength.max(1) as f64) / uniform.ln()
--- a/crates/dewspar/src/wave.rs
+++ b/crates/dewspar/src/wave.rs
@@ -1,15 +1,17 @@
 /*!
-Maintenance waves: every VM of a pool drained and rebooted once.
+Maintenance waves: rolling reboots that drain and reboot each VM of a pool
+once.
 
-A wave has no memory of its own. What it has done stands in the VMs' rows and
-in the pool's ledger, so any node can compute its next [`Step`]s from the
-same documents, and a node that dies leaves nothing behind but intents that
-the next one finishes.
+A wave keeps no state of its own. Its progress is recorded in the VMs' rows
+and in the pool's disruption ledger, so any node can compute the next
+[`Step`]s from the same documents. A node that crashes leaves behind only
+recorded intents, which another node completes.
 
-For each VM the order is fixed: take it in the pool's ledger, drain it in its
-hall's document, wait until no node has a request in flight on it, intend the
-reboot at a new epoch, reboot, and release it once it serves again. A VM is
-only taken when every budget of the pool holds without it.
+The order of steps for each VM is fixed: take it in the pool's ledger, drain
+it in its hall's document, wait until no node has a request in flight on it,
+record the intent to reboot at a new epoch, reboot, and release it once it
+serves again. A VM is taken only if every disruption budget of the pool holds
+without it.
 
 # Example
 
@@ -55,55 +57,56 @@
     std::collections::BTreeMap,
 };
 
-/// What to do next for a wave.
+/// The next step of a wave.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Step {
-    /// Enter the VM into the pool's ledger.
+    /// Record the VM as taken in the pool's disruption ledger.
     Take {
         /// The VM's name.
         vm: String,
     },
-    /// Let the VM drain: it is in the ledger.
+    /// Drain the VM, which is in the ledger.
     Drain {
         /// The VM's name.
         vm: String,
     },
-    /// Intend the reboot as soon as nothing is in flight on the VM.
+    /// Record the intent to reboot once nothing is in flight on the VM.
     RebootWhenDrained {
         /// The VM's name.
         vm: String,
     },
-    /// Ask the worker for the intended reboot, and whether it is done.
+    /// Request the intended reboot from the worker, or poll whether it is
+    /// done.
     Reboot {
         /// The VM's name.
         vm: String,
     },
-    /// Take the VM out of the ledger: it serves again.
+    /// Remove the VM, which serves again, from the ledger.
     Release {
         /// The VM's name.
         vm: String,
     },
-    /// Nothing more is taken until this budget allows it.
+    /// Take no more VMs until this budget allows it.
     Blocked {
-        /// The budget in the way.
+        /// The budget that would be violated.
         shortage: Shortage,
     },
-    /// Every VM has been maintained and released.
+    /// Mark the wave as done: every VM is maintained and released.
     Complete,
 }
 
-/// A wave as operators read it.
+/// The progress of a wave, as reported to operators.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Progress {
     /// The state in the chart `wave`.
     pub state: &'static str,
-    /// How many VMs have been maintained.
+    /// The number of VMs that have been maintained.
     pub done: usize,
-    /// How many VMs are out for the wave now.
+    /// The number of VMs that the wave has taken out of service now.
     pub out: usize,
-    /// How many VMs the pool has.
+    /// The number of VMs in the pool.
     pub total: usize,
-    /// What stands in the way, if anything.
+    /// The budget that blocks the wave, if any.
     pub blocked_by: Option<String>,
 }
 
@@ -126,8 +129,7 @@
         .filter_map(|(vm, row)| next_step_for(wave, state, vm, row))
         .collect();
     let out = count_out(wave, state);
-    // One that failed meanwhile remains too, until it is back or has left
-    // the pool.
+    // A VM that failed remains too, until it is back or has left the pool.
     let remaining: Vec<&(&str, &Row)> =
         vms.iter().filter(|(_, row)| row.maintained() != Some(wave)).collect();
     if remaining.is_empty() && out == 0 {
@@ -138,7 +140,7 @@
     steps
 }
 
-/// Returns how far the wave has come.
+/// Returns the progress of the wave, or `None` if there is no such wave.
 pub fn progress(
     snapshot: &Snapshot,
     wave: &str,
@@ -182,10 +184,10 @@
     state.taken().filter(|(_, taken)| by_wave(taken.reason())).count()
 }
 
-/// Orders the pool's VMs rack by rack.
+/// Returns the pool's VMs, grouped by rack.
 ///
-/// VMs of one rack share a fate anyway: while the wave is in a rack, the
-/// worst single rack to lose is often that same one.
+/// The VMs of a rack are one failure domain. While a wave works on a rack, the
+/// rack whose loss would be worst is often the same one.
 fn by_rack<'a>(
     pool: &str,
     rows: &[(&'a str, &'a Row)],
@@ -200,7 +202,7 @@
     racks.into_values().flatten().collect()
 }
 
-/// Returns the next step of a VM that the wave has taken.
+/// Returns the next step for a VM, if the wave has taken it.
 fn next_step_for(
     wave: &str,
     state: &PoolState,
--- a/crates/dewspar/src/window.rs
+++ b/crates/dewspar/src/window.rs
@@ -1,21 +1,21 @@
 /*!
-How many calls a node may have under way at once, learnt from how long they
-take.
+A congestion window: limits a node's calls in flight according to their
+latency.
 
-A node that sends everything at once which there is to send doesn't get it
-done sooner. Its calls wait for its own processor and link, answers are read
-late, and what is read after its time limit counts as lost and is sent again:
-the more is lost, the more is sent. A [`CallWindow`] bounds what is under way,
-as a congestion window does for packets. While calls are answered fast and the
-window is full, it grows by half; once the median call is slow, it shrinks to
-half.
+A node that sends all its waiting calls at once doesn't finish them sooner.
+The calls queue for its own processor and link, answers are read late, and a
+call whose answer is read after its timeout counts as lost and is retried, so
+that losses cause more traffic. A [`CallWindow`] limits the number of calls in
+flight, as a congestion window does for packets. While the median call is fast
+and the window is full, it grows by half; when the median call is slow, it
+shrinks to half.
 
-The median decides, and a call without an answer counts as a slow one. A few
-silent servers therefore change nothing, since most calls are still answered
-fast; a node that can't keep up sees *all* its calls become slow.
+A call without an answer counts as slow. Because the median decides, a few
+servers that don't answer have no effect as long as most calls are answered
+fast. On a node that can't keep up, *all* calls become slow.
 
-The window is looked at once as many calls have ended as it holds, so that each
-look judges calls that were sent under the present size.
+The size is adjusted each time as many calls have ended as the window holds, so
+that each adjustment is based on calls that were sent at the present size.
 
 # Example
 
@@ -26,7 +26,7 @@
 let mut window = CallWindow::new(limits);
 assert_eq!(window.room(), limits.initial);
 window.sent(limits.initial);
-assert_eq!(window.room(), 0, "the others wait");
+assert_eq!(window.room(), 0, "the window is full");
 for _ in 0..limits.initial {
     window.ended(CallEnd::Answered { took_ms: 3 });
 }
@@ -34,35 +34,36 @@
 ```
 */
 
-/// Bounds of a [`CallWindow`], and what counts as fast and slow.
+/// Bounds of a [`CallWindow`], and its thresholds of fast and slow calls.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct WindowLimits {
-    /// The size to begin with, in calls.
+    /// The initial size, in calls.
     pub initial: usize,
     /// The smallest size, in calls.
     pub least: usize,
     /// The largest size, in calls.
     pub most: usize,
-    /// Below which time at the median calls are fast, in milliseconds.
+    /// Calls are fast if their median latency is below this, in milliseconds.
     pub fast_ms: u64,
-    /// From which time at the median calls are slow, in milliseconds.
+    /// Calls are slow if their median latency is at least this, in
+    /// milliseconds.
     pub slow_ms: u64,
 }
 
 impl Default for WindowLimits {
     fn default() -> WindowLimits {
         WindowLimits {
-            // What a node of half a core sends and hears answered in 100 ms,
-            // half of the time that an order may take. 32 and 64 left such a
-            // node idle beside a backlog (trials).
+            // What a node with half a core sends and gets answered in 100 ms,
+            // half of an order's timeout. 32 and 64 left such a node idle
+            // despite a backlog.
             initial: 256,
-            // What a node of an eighth of a core does in that time.
+            // What a node with an eighth of a core does in that time.
             least: 64,
-            // Above any that was seen to be of use.
+            // Larger than any size that was observed to be useful.
             most: 1_024,
-            // Half as many again would still be answered in time.
+            // With half as many calls again, all are still answered in time.
             fast_ms: 100,
-            // The slowest are late then.
+            // At this median the slowest calls exceed their timeout.
             slow_ms: 150,
         }
     }
@@ -71,40 +72,41 @@
 /// How a call ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum CallEnd {
-    /// It was answered.
+    /// The call was answered.
     Answered {
-        /// After how long, in milliseconds.
+        /// The latency, in milliseconds.
         took_ms: u64,
     },
-    /// It got no answer in its time.
+    /// The call timed out.
     Unanswered,
-    /// It says nothing of the node, such as one that was never sent.
+    /// The call says nothing about the node's load, for example because it was
+    /// never sent.
     Discarded,
 }
 
-/// Bounds how many calls are under way.
+/// Limits the number of calls in flight.
 #[derive(Clone, Debug)]
 pub struct CallWindow {
     limits: WindowLimits,
     size: usize,
     in_flight: usize,
-    /// Whether it was full since the last look.
+    /// Whether the window was full since the last adjustment.
     was_full: bool,
     tally: Tally,
 }
 
-/// How fast calls were of late, by their median.
+/// The speed of recent calls, by their median latency.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Speed {
-    /// At least half of them were slow or got no answer.
+    /// At least half of the calls were slow or got no answer.
     Slow,
-    /// Neither.
+    /// Neither slow nor fast.
     Moderate,
-    /// More than half of them were fast.
+    /// More than half of the calls were fast.
     Fast,
 }
 
-/// How calls ended since the last look.
+/// Counts of calls that ended since the last adjustment.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Tally {
     pub(crate) ended: usize,
@@ -113,7 +115,7 @@
 }
 
 impl Tally {
-    /// Notes the end of a call.
+    /// Records the end of a call.
     pub(crate) fn record(&mut self, end: CallEnd, limits: &WindowLimits) {
         match end {
             CallEnd::Answered { took_ms } => {
@@ -129,7 +131,7 @@
         }
     }
 
-    /// Returns how fast they were.
+    /// Returns the speed of the counted calls.
     pub(crate) fn speed(&self) -> Speed {
         if self.slow * 2 >= self.ended {
             Speed::Slow
@@ -142,7 +144,7 @@
 }
 
 impl CallWindow {
-    /// Makes a window with nothing under way.
+    /// Creates a window with no calls in flight.
     pub fn new(limits: WindowLimits) -> CallWindow {
         CallWindow {
             limits,
@@ -158,22 +160,23 @@
         self.size.saturating_sub(self.in_flight)
     }
 
-    /// Returns how many calls may be under way at once.
+    /// Returns the maximum number of calls in flight.
     pub fn size(&self) -> usize {
         self.size
     }
 
-    /// Returns how many calls are under way.
+    /// Returns the number of calls in flight.
     pub fn in_flight(&self) -> usize {
         self.in_flight
     }
 
-    /// Returns how long calls take at the median on a node that can't keep up,
-    /// in milliseconds: `slow_ms`, unless the window is as small as it gets.
+    /// Returns the median latency from which the node counts as overloaded, in
+    /// milliseconds: `slow_ms`, but at most `fast_ms` when the window has its
+    /// smallest size.
     ///
-    /// A window keeps calls fast by sending fewer, so that a node with too
-    /// much to do may never see slow ones. But where even the smallest window
-    /// isn't answered fast, nothing is left to be done about that.
+    /// The window keeps calls fast by sending fewer of them, so that an
+    /// overloaded node may never see slow calls. But if calls aren't fast even
+    /// at the smallest size, the window can't be reduced further.
     pub fn overloaded_ms(&self, slow_ms: u64) -> u64 {
         if self.size <= self.limits.least {
             slow_ms.min(self.limits.fast_ms)
@@ -182,14 +185,14 @@
         }
     }
 
-    /// Notes calls that are sent; more than there is room for is allowed
-    /// where calls must go together.
+    /// Records that calls were sent. This may exceed the window's room when
+    /// several calls must be sent together.
     pub fn sent(&mut self, calls: usize) {
         self.in_flight += calls;
         self.was_full |= self.in_flight >= self.size;
     }
 
-    /// Notes the end of a call.
+    /// Records the end of a call.
     pub fn ended(&mut self, end: CallEnd) {
         self.in_flight = self.in_flight.saturating_sub(1);
         self.tally.record(end, &self.limits);
