--- a/crates/dewspar/src/schedule/mod.rs
+++ b/crates/dewspar/src/schedule/mod.rs
@@ -25,9 +25,8 @@
 
 A worker that can't be reached after a takeover may run any task of a job that
 the former holder knew. Such tasks wait until that worker's lease has certainly
-expired, or until that process of the worker is known to have ended. Jobs
-accepted after the takeover don't wait, since the former holder can't have
-known them.
+expired, or until the worker is known to have ended. Jobs accepted after the
+takeover don't wait, since the former holder can't have known them.
 
 # Unanswered orders
 
--- a/crates/dewspar/src/schedule/order.rs
+++ b/crates/dewspar/src/schedule/order.rs
@@ -399,7 +399,8 @@
     Unhealthy,
     /// The worker can't parse the order.
     Invalid,
-    /// Another process of the worker answers at the address.
+    /// Another worker answers at the address: its identifier isn't the one in
+    /// the order.
     OtherLife,
 }
 
