--- a/crates/dewspar/src/once/journal.rs
+++ b/crates/dewspar/src/once/journal.rs
@@ -3,12 +3,12 @@
 
 Entries wait until the write before theirs is answered, and then ride on the
 next one together. A ticket says which of them have become safe, and which
-another node's write has overtaken.
+another node's write has superseded.
 */
 
 use crate::once::{
-    Actor, CLOCK_SKEW_MS, Error, Filing, Key, Outcome, RETENTION_MS, Segment,
-    Standing, Write,
+    Actor, CLOCK_SKEW_MS, Error, Filing, Key, KeyStatus, Outcome,
+    RETENTION_MS, Segment, Write,
     known::KnownKeys,
     stored::{Entry, Head, decode, encode},
 };
@@ -25,16 +25,16 @@
     /// Its intent waits to be written; dispatch only when it has been.
     Queued(Ticket),
     /// It can't be run now, or not at all.
-    Stands(Standing),
+    Blocked(KeyStatus),
 }
 
 /// A waiting entry that can't be written any more.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Overtaken {
+pub struct Superseded {
     /// The ticket that was given for it.
     pub ticket: Ticket,
     /// What the journal says now.
-    pub standing: Standing,
+    pub status: KeyStatus,
 }
 
 #[derive(Debug)]
@@ -132,7 +132,7 @@
         self.version = version;
         self.in_flight = None;
         for entry in &entries {
-            self.known.learn(entry);
+            self.known.apply(entry);
         }
         Ok(unread)
     }
@@ -145,12 +145,12 @@
     pub fn load_segment(&mut self, body: &[u8]) -> Result<(), Error> {
         let entries: Vec<Entry> = decode(self.partition, body)?;
         for entry in &entries {
-            self.known.learn(entry);
+            self.known.apply(entry);
         }
         // What the head holds is newer than any segment.
         let open = self.head.open.clone();
         for entry in &open {
-            self.known.learn(entry);
+            self.known.apply(entry);
         }
         Ok(())
     }
@@ -164,16 +164,16 @@
     ) -> Admission {
         let key_ms = filing.key.unix_ms();
         if key_ms.saturating_add(RETENTION_MS) < now_ms {
-            return Admission::Stands(Standing::TooOld);
+            return Admission::Blocked(KeyStatus::TooOld);
         }
         if key_ms > now_ms + CLOCK_SKEW_MS {
-            return Admission::Stands(Standing::TooNew);
+            return Admission::Blocked(KeyStatus::TooNew);
         }
-        if let Some(known) = self.known.standing(filing) {
-            return Admission::Stands(known);
+        if let Some(known) = self.known.status(filing) {
+            return Admission::Blocked(known);
         }
         if let Some(actor) = self.queued_actor(filing.key) {
-            return Admission::Stands(Standing::Pending(actor));
+            return Admission::Blocked(KeyStatus::Pending(actor));
         }
         let (filing, actor) = (*filing, actor.clone());
         let entry = Entry::Intent { filing, actor, at_ms: now_ms };
@@ -202,7 +202,7 @@
         let size = self.waiting.len().min(MAX_BATCH);
         let batch: Vec<Waiting> = self.waiting.drain(..size).collect();
         let mut head = self.head.clone();
-        let dropped = head.drop_old(now_ms);
+        let dropped = head.drop_expired(now_ms);
         let sealed = head.seal();
         head.open.extend(batch.iter().map(|waiting| waiting.entry.clone()));
         let token = self.next_token;
@@ -223,7 +223,7 @@
         self.version = version;
         self.head = in_flight.head;
         for waiting in &in_flight.batch {
-            self.known.learn(&waiting.entry);
+            self.known.apply(&waiting.entry);
         }
         in_flight.batch.iter().map(|waiting| waiting.ticket).collect()
     }
@@ -258,29 +258,29 @@
         Ok(landed.then(|| self.written(token, version)))
     }
 
-    /// Returns the waiting intents that the journal has overtaken.
+    /// Returns the waiting intents that the journal has superseded.
     ///
     /// Call it after a [`Journal::load`] that followed a conflict. An intent
     /// whose own write landed unseen, so that it now stands in the journal
-    /// in this actor's name, comes back as [`Standing::Intended`].
-    pub fn overtaken(&mut self) -> Vec<Overtaken> {
+    /// in this actor's name, comes back as [`KeyStatus::Intended`].
+    pub fn take_superseded(&mut self) -> Vec<Superseded> {
         let mut kept = Vec::new();
-        let mut overtaken = Vec::new();
+        let mut superseded = Vec::new();
         for waiting in std::mem::take(&mut self.waiting) {
-            let standing = match &waiting.entry {
-                Entry::Intent { filing, .. } => self.known.standing(filing),
+            let status = match &waiting.entry {
+                Entry::Intent { filing, .. } => self.known.status(filing),
                 Entry::Outcome { .. } => None,
             };
-            match standing {
+            match status {
                 None => kept.push(waiting),
-                Some(standing) => {
+                Some(status) => {
                     let ticket = waiting.ticket;
-                    overtaken.push(Overtaken { ticket, standing });
+                    superseded.push(Superseded { ticket, status });
                 }
             }
         }
         self.waiting = kept;
-        overtaken
+        superseded
     }
 
     /// Gives up a waiting entry; returns whether it still waited and so was
@@ -302,8 +302,8 @@
     }
 
     /// Forgets keys that are past the retention window.
-    pub fn forget_old(&mut self, now_ms: u64) {
-        self.known.forget_old(now_ms);
+    pub fn forget_expired(&mut self, now_ms: u64) {
+        self.known.forget_expired(now_ms);
     }
 
     fn queue(&mut self, entry: Entry) -> Ticket {
--- a/crates/dewspar/src/once/key.rs
+++ b/crates/dewspar/src/once/key.rs
@@ -28,7 +28,7 @@
     /// `{0}` isn't a UUID
     NotUuid(String),
     /// `{0}` isn't a version 7 UUID, whose time says how old the key is
-    NotTimed(String),
+    NotVersion7(String),
 }
 
 impl std::error::Error for KeyError {}
@@ -48,12 +48,12 @@
     ///
     /// # Errors
     ///
-    /// Returns [`KeyError::NotTimed`] for a UUID of another version.
+    /// Returns [`KeyError::NotVersion7`] for a UUID of another version.
     pub fn parse(text: &str) -> Result<Key, KeyError> {
         let uuid = Uuid::parse_str(text.trim_matches('"'))
             .map_err(|_| KeyError::NotUuid(text.to_owned()))?;
         if uuid.get_version_num() != 7 {
-            return Err(KeyError::NotTimed(text.to_owned()));
+            return Err(KeyError::NotVersion7(text.to_owned()));
         }
         Ok(Key(uuid.as_u128()))
     }
--- a/crates/dewspar/src/once/known.rs
+++ b/crates/dewspar/src/once/known.rs
@@ -8,7 +8,7 @@
 use {
     crate::once::{
         Actor, Filing, Key, Outcome,
-        stored::{Entry, expired},
+        stored::{Entry, is_expired},
     },
     serde::{Deserialize, Serialize},
     std::collections::HashMap,
@@ -16,7 +16,7 @@
 
 /// Why a key can't be run.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub enum Standing {
+pub enum KeyStatus {
     /// This actor's intent waits to be written, and may not be.
     Pending(Actor),
     /// This actor's intent stands without an outcome.
@@ -32,7 +32,7 @@
 }
 
 #[derive(Clone, Debug)]
-struct Known {
+struct KeyRecord {
     body_hash: u64,
     state: State,
     at_ms: u64,
@@ -45,7 +45,7 @@
 }
 
 impl State {
-    fn is_by(&self, actor: &Actor) -> bool {
+    fn is_intended_by(&self, actor: &Actor) -> bool {
         matches!(self, State::Intended(by) if by == actor)
     }
 }
@@ -53,7 +53,7 @@
 /// The keys of one partition that are remembered.
 #[derive(Debug, Default)]
 pub(super) struct KnownKeys {
-    keys: HashMap<Key, Known>,
+    keys: HashMap<Key, KeyRecord>,
 }
 
 impl KnownKeys {
@@ -62,30 +62,30 @@
     }
 
     /// Returns why a filing can't be run; `None` means that it can.
-    pub(super) fn standing(&self, filing: &Filing) -> Option<Standing> {
+    pub(super) fn status(&self, filing: &Filing) -> Option<KeyStatus> {
         let known = self.keys.get(&filing.key)?;
         if known.body_hash != filing.body_hash {
-            return Some(Standing::OtherBody);
+            return Some(KeyStatus::OtherBody);
         }
         match &known.state {
             State::Settled(Outcome::NotRun) => None,
-            State::Settled(outcome) => Some(Standing::Settled(*outcome)),
-            State::Intended(actor) => Some(Standing::Intended(actor.clone())),
+            State::Settled(outcome) => Some(KeyStatus::Settled(*outcome)),
+            State::Intended(actor) => Some(KeyStatus::Intended(actor.clone())),
         }
     }
 
     /// Takes in an entry that stands at the platform.
-    pub(super) fn learn(&mut self, entry: &Entry) {
+    pub(super) fn apply(&mut self, entry: &Entry) {
         match entry {
             Entry::Intent { filing, actor, at_ms } => {
                 let state = State::Intended(actor.clone());
                 let body_hash = filing.body_hash;
-                let known = Known { body_hash, state, at_ms: *at_ms };
+                let known = KeyRecord { body_hash, state, at_ms: *at_ms };
                 self.keys.insert(filing.key, known);
             }
             Entry::Outcome { key, actor, outcome, .. } => {
                 if let Some(known) = self.keys.get_mut(key)
-                    && known.state.is_by(actor)
+                    && known.state.is_intended_by(actor)
                 {
                     known.state = State::Settled(*outcome);
                 }
@@ -94,7 +94,7 @@
     }
 
     /// Forgets keys that are past the retention window.
-    pub(super) fn forget_old(&mut self, now_ms: u64) {
-        self.keys.retain(|_, known| !expired(known.at_ms, now_ms));
+    pub(super) fn forget_expired(&mut self, now_ms: u64) {
+        self.keys.retain(|_, known| !is_expired(known.at_ms, now_ms));
     }
 }
--- a/crates/dewspar/src/once/mod.rs
+++ b/crates/dewspar/src/once/mod.rs
@@ -25,13 +25,13 @@
 
 A key is a version 7 UUID, whose time says how old it is. A key older than
 the retention window can't be told from one whose entry has been dropped; it
-is refused as [`Standing::TooOld`] and never run.
+is refused as [`KeyStatus::TooOld`] and never run.
 
 # Example
 
 ```
 use dewspar::once::{
-    Actor, Admission, Filing, Journal, Key, Outcome, Standing,
+    Actor, Admission, Filing, Journal, Key, Outcome, KeyStatus,
 };
 
 let now_ms = 1_800_000_000_000;
@@ -50,7 +50,7 @@
 other.load(1, Some(write.value()))?;
 assert!(matches!(
     other.admit(&filing, &Actor::new("athens-2", 2, 1), now_ms),
-    Admission::Stands(Standing::Intended(_)),
+    Admission::Blocked(KeyStatus::Intended(_)),
 ));
 
 journal.settle(filing.key(), &actor, Outcome::Ran { status: 201 }, now_ms);
@@ -58,16 +58,16 @@
 other.load(2, Some(write.value()))?;
 assert_eq!(
     other.admit(&filing, &actor, now_ms),
-    Admission::Stands(Standing::Settled(Outcome::Ran { status: 201 })),
+    Admission::Blocked(KeyStatus::Settled(Outcome::Ran { status: 201 })),
 );
 # Ok::<(), dewspar::once::Error>(())
 ```
 */
 
 pub use self::{
-    journal::{Admission, Journal, Overtaken, Ticket},
+    journal::{Admission, Journal, Superseded, Ticket},
     key::{Key, KeyError},
-    known::Standing,
+    known::KeyStatus,
     stored::{Error, Segment},
     write::Write,
 };
--- a/crates/dewspar/src/once/stored.rs
+++ b/crates/dewspar/src/once/stored.rs
@@ -76,10 +76,10 @@
     }
 
     /// Takes the segments out that are past the retention window.
-    pub(super) fn drop_old(&mut self, now_ms: u64) -> Vec<Segment> {
+    pub(super) fn drop_expired(&mut self, now_ms: u64) -> Vec<Segment> {
         let (old, kept) = std::mem::take(&mut self.segments)
             .into_iter()
-            .partition(|segment| expired(segment.newest_ms, now_ms));
+            .partition(|segment| is_expired(segment.newest_ms, now_ms));
         self.segments = kept;
         old
     }
@@ -115,6 +115,6 @@
 }
 
 /// Returns whether an entry of this time is past the retention window.
-pub(super) fn expired(at_ms: u64, now_ms: u64) -> bool {
+pub(super) fn is_expired(at_ms: u64, now_ms: u64) -> bool {
     at_ms + RETENTION_MS + 2 * CLOCK_SKEW_MS < now_ms
 }
--- a/crates/dewspar/tests/once.rs
+++ b/crates/dewspar/tests/once.rs
@@ -2,8 +2,8 @@
 
 use {
     dewspar::once::{
-        Actor, Admission, CLOCK_SKEW_MS, Filing, Journal, Key, Outcome,
-        RETENTION_MS, Standing, Ticket,
+        Actor, Admission, CLOCK_SKEW_MS, Filing, Journal, Key, KeyStatus,
+        Outcome, RETENTION_MS, Ticket,
     },
     quickcheck::{Arbitrary, Gen, QuickCheck},
     std::collections::{BTreeMap, BTreeSet},
@@ -48,9 +48,9 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-enum Act {
+enum Action {
     /// A caller asks the writer to run a key.
-    Ask { writer: usize, key: u8 },
+    Admit { writer: usize, key: u8 },
     /// The writer writes, and its answer arrives.
     Write { writer: usize },
     /// The writer writes, but its answer is lost; it reads back.
@@ -60,75 +60,75 @@
     /// The writer settles what it ran.
     Settle { writer: usize, not_run: bool },
     /// An old outcome arrives once more.
-    Repeat { writer: usize },
+    RepeatOutcome { writer: usize },
     /// The writer is replaced by a fresh process.
     Crash { writer: usize },
 }
 
-impl Arbitrary for Act {
-    fn arbitrary(g: &mut Gen) -> Act {
+impl Arbitrary for Action {
+    fn arbitrary(g: &mut Gen) -> Action {
         let writer = usize::arbitrary(g) % 2;
         match u8::arbitrary(g) % 10 {
-            0..=2 => Act::Ask { writer, key: u8::arbitrary(g) % 4 },
-            3..=4 => Act::Write { writer },
-            5 => Act::WriteLost { writer },
-            6 => Act::WriteFails { writer },
-            7 => Act::Settle { writer, not_run: bool::arbitrary(g) },
-            8 => Act::Repeat { writer },
-            _ => Act::Crash { writer },
+            0..=2 => Action::Admit { writer, key: u8::arbitrary(g) % 4 },
+            3..=4 => Action::Write { writer },
+            5 => Action::WriteLost { writer },
+            6 => Action::WriteFails { writer },
+            7 => Action::Settle { writer, not_run: bool::arbitrary(g) },
+            8 => Action::RepeatOutcome { writer },
+            _ => Action::Crash { writer },
         }
     }
 }
 
 /// All that happens, and how often each key really ran.
-struct World {
+struct Simulation {
     platform: Platform,
     writers: Vec<Writer>,
-    started: u64,
-    open: Vec<Vec<(Key, Actor)>>,
+    processes: u64,
+    dispatched: Vec<Vec<(Key, Actor)>>,
     ran: BTreeMap<Key, u32>,
     settled: Vec<(Key, Actor, Outcome)>,
 }
 
-impl World {
-    fn new() -> World {
+impl Simulation {
+    fn new() -> Simulation {
         let platform = Platform::default();
         let writers =
             vec![Writer::new(0, 1, &platform), Writer::new(1, 2, &platform)];
-        World {
+        Simulation {
             platform,
             writers,
-            started: 2,
-            open: vec![Vec::new(), Vec::new()],
+            processes: 2,
+            dispatched: vec![Vec::new(), Vec::new()],
             ran: BTreeMap::new(),
             settled: Vec::new(),
         }
     }
 
-    fn act(&mut self, act: Act) {
-        match act {
-            Act::Ask { writer, key } => self.ask(writer, key),
-            Act::Write { writer } => self.write(writer, false),
-            Act::WriteLost { writer } => self.write(writer, true),
-            Act::WriteFails { writer } => {
+    fn apply(&mut self, action: Action) {
+        match action {
+            Action::Admit { writer, key } => self.admit(writer, key),
+            Action::Write { writer } => self.write(writer, false),
+            Action::WriteLost { writer } => self.write(writer, true),
+            Action::WriteFails { writer } => {
                 let journal = &mut self.writers[writer].journal;
                 if let Some(write) = journal.next_write(NOW_MS) {
                     journal.not_written(write.token());
                 }
             }
-            Act::Settle { writer, not_run } => self.settle(writer, not_run),
-            Act::Repeat { writer } => self.repeat(writer),
-            Act::Crash { writer } => self.crash(writer),
+            Action::Settle { writer, not_run } => self.settle(writer, not_run),
+            Action::RepeatOutcome { writer } => self.repeat_outcome(writer),
+            Action::Crash { writer } => self.crash(writer),
         }
     }
 
-    fn ask(&mut self, index: usize, key: u8) {
+    fn admit(&mut self, index: usize, key: u8) {
         let key = Key::at(NOW_MS, u128::from(key));
         let filing = Filing::new(key, b"body");
         let writer = &mut self.writers[index];
         writer.attempts += 1;
         let name = format!("n{}", writer.name);
-        let actor = Actor::new(&name, self.started, writer.attempts);
+        let actor = Actor::new(&name, self.processes, writer.attempts);
         let admission = writer.journal.admit(&filing, &actor, NOW_MS);
         if let Admission::Queued(ticket) = admission {
             writer.waiting.insert(ticket, (key, actor));
@@ -164,20 +164,20 @@
         };
         if !swapped {
             writer.load(platform);
-            for overtaken in writer.journal.overtaken() {
-                writer.waiting.remove(&overtaken.ticket);
+            for superseded in writer.journal.take_superseded() {
+                writer.waiting.remove(&superseded.ticket);
             }
         }
         for ticket in written {
             // The intent stands: the filing is dispatched now.
             if let Some((key, actor)) = writer.waiting.remove(&ticket) {
-                self.open[index].push((key, actor));
+                self.dispatched[index].push((key, actor));
             }
         }
     }
 
     fn settle(&mut self, index: usize, not_run: bool) {
-        let Some((key, actor)) = self.open[index].pop() else { return };
+        let Some((key, actor)) = self.dispatched[index].pop() else { return };
         let outcome = if not_run {
             Outcome::NotRun
         } else {
@@ -189,7 +189,7 @@
         self.settled.push((key, actor, outcome));
     }
 
-    fn repeat(&mut self, index: usize) {
+    fn repeat_outcome(&mut self, index: usize) {
         if let Some((key, actor, outcome)) = self.settled.first() {
             let journal = &mut self.writers[index].journal;
             journal.settle(*key, actor, *outcome, NOW_MS);
@@ -198,33 +198,33 @@
 
     fn crash(&mut self, index: usize) {
         // What was dispatched runs on, and nobody settles it.
-        for (key, _) in std::mem::take(&mut self.open[index]) {
+        for (key, _) in std::mem::take(&mut self.dispatched[index]) {
             *self.ran.entry(key).or_default() += 1;
         }
-        self.started += 1;
-        let fresh = Writer::new(index, self.started, &self.platform);
+        self.processes += 1;
+        let fresh = Writer::new(index, self.processes, &self.platform);
         self.writers[index] = fresh;
     }
 }
 
 #[test]
 fn no_key_ever_runs_twice() {
-    fn once(acts: Vec<Act>) -> bool {
-        let mut world = World::new();
-        for act in acts {
-            world.act(act);
-            assert!(world.ran.values().all(|runs| *runs <= 1));
+    fn property(actions: Vec<Action>) -> bool {
+        let mut simulation = Simulation::new();
+        for action in actions {
+            simulation.apply(action);
+            assert!(simulation.ran.values().all(|runs| *runs <= 1));
         }
         true
     }
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(120, 11))
         .tests(4_000)
-        .quickcheck(once as fn(Vec<Act>) -> bool);
+        .quickcheck(property as fn(Vec<Action>) -> bool);
 }
 
 #[test]
-fn late_outcome_of_an_older_attempt_changes_nothing() {
+fn late_outcome_of_an_earlier_attempt_is_ignored() {
     let mut journal = Journal::new(0);
     let key = Key::at(NOW_MS, 1);
     let filing = Filing::new(key, b"body");
@@ -246,26 +246,26 @@
     write(&mut journal);
     let third = Actor::new("n3", 3, 1);
     let admission = journal.admit(&filing, &third, NOW_MS);
-    assert_eq!(admission, Admission::Stands(Standing::Intended(second)));
+    assert_eq!(admission, Admission::Blocked(KeyStatus::Intended(second)));
 }
 
 #[test]
-fn keys_out_of_their_time_are_refused() {
+fn keys_too_old_or_in_the_future_are_refused() {
     let mut journal = Journal::new(0);
     let actor = Actor::new("n1", 1, 1);
-    let mut ask = |key_ms: u64| {
+    let mut admit = |key_ms: u64| {
         let filing = Filing::new(Key::at(key_ms, 1), b"body");
         journal.admit(&filing, &actor, NOW_MS)
     };
     assert_eq!(
-        ask(NOW_MS - RETENTION_MS - 1),
-        Admission::Stands(Standing::TooOld)
+        admit(NOW_MS - RETENTION_MS - 1),
+        Admission::Blocked(KeyStatus::TooOld)
     );
     assert_eq!(
-        ask(NOW_MS + CLOCK_SKEW_MS + 1),
-        Admission::Stands(Standing::TooNew)
+        admit(NOW_MS + CLOCK_SKEW_MS + 1),
+        Admission::Blocked(KeyStatus::TooNew)
     );
-    assert!(matches!(ask(NOW_MS - RETENTION_MS), Admission::Queued(_)));
+    assert!(matches!(admit(NOW_MS - RETENTION_MS), Admission::Queued(_)));
 }
 
 #[test]
@@ -278,11 +278,11 @@
     journal.written(write.token(), 1);
     let other = Filing::new(key, b"two");
     let admission = journal.admit(&other, &actor, NOW_MS);
-    assert_eq!(admission, Admission::Stands(Standing::OtherBody));
+    assert_eq!(admission, Admission::Blocked(KeyStatus::OtherBody));
 }
 
 #[test]
-fn sealed_entries_are_remembered_and_then_dropped() {
+fn sealed_entries_are_loaded_and_later_dropped() {
     let mut platform = Platform::default();
     let mut writer = Writer::new(0, 1, &platform);
     let mut keys = BTreeSet::new();
@@ -308,7 +308,7 @@
     assert_eq!(next.journal.known_keys(), keys.len());
     // Long after, the segments are dropped and the keys forgotten.
     let later_ms = NOW_MS + RETENTION_MS + 3 * CLOCK_SKEW_MS;
-    next.journal.forget_old(later_ms);
+    next.journal.forget_expired(later_ms);
     assert_eq!(next.journal.known_keys(), 0);
     let actor = Actor::new("n2", 2, 1);
     let filing = Filing::new(Key::at(later_ms, 9), b"x");
--- a/crates/dewspard/src/journal/mod.rs
+++ b/crates/dewspard/src/journal/mod.rs
@@ -17,7 +17,7 @@
         membership::StandingReader,
         peer::{Endpoint, FilingAnswer, FilingItem},
     },
-    dewspar::once::{Actor, Filing, Key, Outcome, Standing},
+    dewspar::once::{Actor, Filing, Key, KeyStatus, Outcome},
     dewspar_platform::KeyValue,
     route::Route,
     slog::Logger,
@@ -50,7 +50,7 @@
     /// It is written: the filing may be run by this actor.
     Written(Actor),
     /// The journal says something else of the key.
-    Standing(Standing),
+    Standing(KeyStatus),
     /// It was not written, for now.
     NotWritten,
 }
@@ -125,7 +125,7 @@
         match self.route(partition, item).await {
             FilingAnswer::Written => Intended::Written(actor),
             // The writer's answer was lost, and another found the intent.
-            FilingAnswer::Standing(Standing::Intended(by)) if by == actor => {
+            FilingAnswer::Standing(KeyStatus::Intended(by)) if by == actor => {
                 Intended::Written(actor)
             }
             FilingAnswer::Standing(standing) => Intended::Standing(standing),
--- a/crates/dewspard/src/journal/writer.rs
+++ b/crates/dewspard/src/journal/writer.rs
@@ -97,7 +97,7 @@
                 return;
             }
             if Instant::now() >= forget_at {
-                journal.forget_old(clock::unix_ms());
+                journal.forget_expired(clock::unix_ms());
                 forget_at = Instant::now() + FORGET_INTERVAL;
             }
             pace.wait().await;
@@ -126,7 +126,7 @@
                     Admission::Queued(ticket) => {
                         self.replies.insert(ticket, reply);
                     }
-                    Admission::Stands(standing) => {
+                    Admission::Blocked(standing) => {
                         let _ = reply.send(FilingAnswer::Standing(standing));
                     }
                 }
@@ -150,7 +150,7 @@
                 }
                 Written::Collided => {
                     count_write("collided");
-                    self.answer_overtaken(journal);
+                    self.answer_superseded(journal);
                 }
                 Written::No(error) => {
                     count_write("failed");
@@ -287,10 +287,10 @@
         }
     }
 
-    fn answer_overtaken(&mut self, journal: &mut Journal) {
-        for overtaken in journal.overtaken() {
-            if let Some(reply) = self.replies.remove(&overtaken.ticket) {
-                let standing = overtaken.standing;
+    fn answer_superseded(&mut self, journal: &mut Journal) {
+        for superseded in journal.take_superseded() {
+            if let Some(reply) = self.replies.remove(&superseded.ticket) {
+                let standing = superseded.status;
                 let _ = reply.send(FilingAnswer::Standing(standing));
             }
         }
--- a/crates/dewspard/src/peer/message.rs
+++ b/crates/dewspard/src/peer/message.rs
@@ -1,7 +1,7 @@
 use {
     dewspar::{
         member::Suspicion,
-        once::{Actor, Filing, Key, Outcome, Standing},
+        once::{Actor, Filing, Key, KeyStatus, Outcome},
         slot,
     },
     serde::{Deserialize, Serialize},
@@ -147,7 +147,7 @@
     /// It stands in the journal.
     Written,
     /// The journal says something else of the key.
-    Standing(Standing),
+    Standing(KeyStatus),
     /// It was not written, for now; the filing was not run.
     NotWritten,
 }
--- a/crates/dewspard/src/proxy/filing.rs
+++ b/crates/dewspard/src/proxy/filing.rs
@@ -10,7 +10,7 @@
     },
     crate::journal::Intended,
     bytes::Bytes,
-    dewspar::once::{Filing, Key, Outcome, Standing},
+    dewspar::once::{Filing, Key, KeyStatus, Outcome},
     http_body_util::Full,
     hyper::{Response, StatusCode},
     std::sync::Arc,
@@ -69,24 +69,24 @@
 fn answer_standing(
     proxy: &Proxy,
     key: Key,
-    standing: Standing,
+    standing: KeyStatus,
 ) -> Result<Answer, Problem> {
     let problem = match standing {
-        Standing::Settled(Outcome::Ran { status }) => {
+        KeyStatus::Settled(Outcome::Ran { status }) => {
             return Ok(repeat(proxy, key, status));
         }
-        Standing::Settled(Outcome::Unknown) => Problem::unknown(
+        KeyStatus::Settled(Outcome::Unknown) => Problem::unknown(
             StatusCode::BAD_GATEWAY,
             "in-doubt",
             "an earlier attempt with this key may have run",
         ),
-        Standing::Settled(Outcome::NotRun) => Problem::not_run(
+        KeyStatus::Settled(Outcome::NotRun) => Problem::not_run(
             StatusCode::SERVICE_UNAVAILABLE,
             "not-run",
             "an attempt with this key was given up",
         )
         .retry_after_ms(1),
-        Standing::Pending(actor) | Standing::Intended(actor)
+        KeyStatus::Pending(actor) | KeyStatus::Intended(actor)
             if proxy.filings().is_live(&actor) =>
         {
             let detail = "another attempt with this key is under way";
@@ -94,23 +94,23 @@
             Problem::unknown(status, "in-progress", detail)
                 .retry_after_ms(IN_PROGRESS_RETRY_MS)
         }
-        Standing::Pending(_) | Standing::Intended(_) => Problem::unknown(
+        KeyStatus::Pending(_) | KeyStatus::Intended(_) => Problem::unknown(
             StatusCode::BAD_GATEWAY,
             "in-doubt",
             "the node that took this filing is gone, and may have run it",
         ),
-        Standing::OtherBody => Problem::not_run(
+        KeyStatus::OtherBody => Problem::not_run(
             StatusCode::UNPROCESSABLE_ENTITY,
             "key-reused",
             "header `idempotency-key`: the key was used with another request",
         ),
-        Standing::TooOld => Problem::unknown(
+        KeyStatus::TooOld => Problem::unknown(
             StatusCode::GONE,
             "key-too-old",
             "header `idempotency-key`: the key is older than the time for \
              which keys are remembered, and may have run",
         ),
-        Standing::TooNew => Problem::not_run(
+        KeyStatus::TooNew => Problem::not_run(
             StatusCode::BAD_REQUEST,
             "key-too-new",
             "header `idempotency-key`: the key's time lies in the future",
