--- a/crates/dewspar/src/job/stored.rs
+++ b/crates/dewspar/src/job/stored.rs
@@ -1,13 +1,13 @@
 /*!
-How the progress of a job is written.
+The stored encoding of a job's progress.
 
-Tasks that are done at their first run are named in ranges; the others have a
-record each.
+Tasks that succeeded at their first run are encoded as ranges; every other task
+has a record of its own.
 */
 
 use {
     crate::{
-        fields::OtherFields,
+        fields::UnknownFields,
         job::{Phase, Progress, TaskRecord},
     },
     displaydoc::Display,
@@ -15,23 +15,24 @@
     std::{fmt, num::ParseIntError, str::FromStr},
 };
 
-/// The most tasks that a range may name: more than any step has.
+/// The maximum number of tasks in a range, more than any step has. Bounds the
+/// memory that decoding a malformed record can take.
 const MAX_RANGE: u32 = 100_000;
 
-/// The written form of a [`Progress`].
+/// The encoded form of a [`Progress`].
 #[derive(Debug, Deserialize, Serialize)]
 pub(super) struct StoredProgress {
     phase: Phase,
     #[serde(default, skip_serializing_if = "is_zero")]
     finished_at_ms: u64,
-    /// Tasks that are done at their first run.
+    /// Ranges of tasks that succeeded at their first run.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     done: Vec<String>,
-    /// All other tasks of which there is something to say.
+    /// All other tasks that have state to record.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     tasks: Vec<TaskRecord>,
     #[serde(flatten)]
-    other: OtherFields,
+    other: UnknownFields,
 }
 
 fn is_zero(number: &u64) -> bool {
@@ -44,7 +45,7 @@
     text: String,
 }
 
-/// Tasks of one step, one after the other.
+/// A range of consecutive tasks of one step.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 struct TaskRange {
     round: u32,
@@ -54,19 +55,21 @@
 }
 
 impl TaskRange {
-    fn of(task: &TaskRecord) -> TaskRange {
+    fn from_record(task: &TaskRecord) -> TaskRange {
         let TaskRecord { round, step, index, .. } = *task;
         TaskRange { round, step, first: index, last: index }
     }
 
-    /// Takes the next task in; returns whether it is one of these.
+    /// Extends the range by `task` if that is the next one of the step.
+    ///
+    /// Returns whether the range was extended.
     fn extend(&mut self, task: &TaskRecord) -> bool {
-        let next = (task.round, task.step) == (self.round, self.step)
+        let is_next = (task.round, task.step) == (self.round, self.step)
             && task.index == self.last + 1;
-        if next {
+        if is_next {
             self.last = task.index;
         }
-        next
+        is_next
     }
 
     fn records(self) -> impl Iterator<Item = TaskRecord> {
@@ -109,14 +112,14 @@
             first: number(first)?,
             last: number(last)?,
         };
-        let fits =
+        let is_valid =
             range.first <= range.last && range.last - range.first < MAX_RANGE;
-        fits.then_some(range).ok_or_else(invalid)
+        is_valid.then_some(range).ok_or_else(invalid)
     }
 }
 
-/// Returns whether a range says all of a task.
-fn is_plainly_done(task: &TaskRecord) -> bool {
+/// Returns whether a range represents the record of a task in full.
+fn is_done_on_first_run(task: &TaskRecord) -> bool {
     task.done
         && task.run == 1
         && task.crashes == 0
@@ -129,13 +132,13 @@
 impl From<Progress> for StoredProgress {
     fn from(progress: Progress) -> StoredProgress {
         let Progress { phase, finished_at_ms, tasks, other } = progress;
-        let (plain, tasks): (Vec<TaskRecord>, Vec<TaskRecord>) =
-            tasks.into_iter().partition(is_plainly_done);
+        let (done_on_first_run, tasks): (Vec<TaskRecord>, Vec<TaskRecord>) =
+            tasks.into_iter().partition(is_done_on_first_run);
         let mut ranges: Vec<TaskRange> = Vec::new();
-        for task in &plain {
+        for task in &done_on_first_run {
             let extended = ranges.last_mut().is_some_and(|r| r.extend(task));
             if !extended {
-                ranges.push(TaskRange::of(task));
+                ranges.push(TaskRange::from_record(task));
             }
         }
         let done = ranges.iter().map(TaskRange::to_string).collect();
--- a/crates/dewspar/src/place.rs
+++ b/crates/dewspar/src/place.rs
@@ -1,25 +1,28 @@
 /*!
-Placement: which VM carries which task.
-
-A service wants so many runners and a job so many tasks. [`plan`] compares
-that with the pool's document and returns what to change, nothing else: tasks
-that stand where they can stay are left alone, because each move may cost a
-signing. A task is sized by the peak its worker reported, with a margin, once
-there is a report; declared sizes are far from the truth.
-
-Among the VMs with room, the one is taken that carries the fewest siblings,
-then whose rack does, then whose hall does; so the loss of one takes as few
-runners of a service as can be. While a wave runs, VMs that it has maintained
-come first, so that a drained task moves once and not again.
-
-A VM that a wave has taken keeps its tasks: the budgets were found to hold
-without them, so they wait for its return, and nothing moves at all. Tasks
-move when their VM is lost or leaves the pool. Where that has put several
-runners of a service on one VM, a wave may not be able to take it; [`spread`]
-then moves one of them away, which the budgets must allow.
-
-A task that no VM of the pool could ever carry is named as such. It waits
-with that reason and holds up nobody.
+Placement: which VM runs which task.
+
+The configuration sets the number of runners of a service and of tasks of a
+job. [`plan`] compares it with the pool's document and returns only the
+differences: a task whose VM can keep it isn't moved, because each move may
+cost a signing. Declared sizes are far from the real use, so a task's size is
+the peak use that its worker reported, plus a margin, as soon as there is a
+report.
+
+Among the VMs with enough room, the planner prefers the one with the fewest
+siblings (tasks of the same owner), then the one whose rack has the fewest,
+then the one whose data hall has the fewest. Thus the loss of a VM, rack or
+hall stops as few runners of a service as possible. While a wave runs, VMs
+that it has already maintained come first, so that a displaced task moves only
+once.
+
+A VM that a wave has taken keeps its tasks: the budgets hold without them, so
+they wait for the VM's return and nothing moves. Tasks move when their VM is
+lost or leaves the pool. This can put several runners of a service on one VM,
+and a wave may then be unable to take that VM; [`spread`] moves one of them
+away if the budgets allow it.
+
+A task that is too large for every VM of the pool waits with a reason that says
+so. It doesn't block other tasks.
 
 # Example
 
@@ -47,7 +50,7 @@
 let changes: Vec<Change> = desired.into_iter().map(Change::put).collect();
 let snapshot = Snapshot::default().apply(&changes)?;
 let mut hall = Hall::default();
-hall.list(&Listing::new("vm-1", "hall-1", "rack-1", "127.0.0.1:1"));
+hall.apply_listing(&Listing::new("vm-1", "hall-1", "rack-1", "127.0.0.1:1"));
 hall.assign("vm-1", Some("registry"), 0)?;
 let rows: Vec<_> = hall.rows().collect();
 
@@ -75,10 +78,10 @@
     std::collections::{BTreeMap, BTreeSet},
 };
 
-/// The margin on observed peaks, in percent.
+/// The margin that is added to observed peaks, in percent.
 const PEAK_MARGIN_PERCENT: u64 = 25;
 
-/// How much of a VM a task takes.
+/// The resources of a VM, or those that a task needs.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Size {
     /// Processor time, in thousandths of a core.
@@ -100,21 +103,21 @@
     }
 }
 
-/// The highest use that workers have reported, by task.
+/// The peak resource use that workers have reported, by task.
 #[derive(Clone, Debug, Default)]
 pub struct Usage {
     peaks: BTreeMap<String, Size>,
 }
 
 impl Usage {
-    /// Takes in one report of a task's current use.
+    /// Records a report of a task's current use.
     pub fn observe(&mut self, task: &str, size: Size) {
         let peak = self.peaks.entry(task.to_owned()).or_default();
         peak.cpu_millis = peak.cpu_millis.max(size.cpu_millis);
         peak.memory_mb = peak.memory_mb.max(size.memory_mb);
     }
 
-    /// Forgets tasks that `keep` doesn't name.
+    /// Removes the tasks for which `keep` returns false.
     pub fn retain(&mut self, keep: impl Fn(&str) -> bool) {
         self.peaks.retain(|task, _| keep(task));
     }
@@ -134,7 +137,7 @@
     value.saturating_mul(100 + PEAK_MARGIN_PERCENT) / 100
 }
 
-/// What to change in a pool's document.
+/// A change to a pool's document.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Step {
     /// Start the task on a VM.
@@ -143,26 +146,26 @@
         task: String,
         /// Its service or job.
         owner: String,
-        /// The VM that should carry it.
+        /// The VM that should run it.
         vm: String,
     },
-    /// Let the task wait.
+    /// Keep the task waiting.
     Wait {
         /// The task's name.
         task: String,
         /// Its service or job.
         owner: String,
-        /// Why no VM carries it.
+        /// Why no VM can run it.
         why: String,
     },
-    /// Take the task off a VM that no longer serves.
+    /// Remove the task from a VM that no longer serves.
     Unplace {
         /// The task's name.
         task: String,
-        /// Why it was taken off.
+        /// Why it was removed.
         why: String,
     },
-    /// Forget a task that is no longer wanted.
+    /// Delete a task that is no longer configured.
     Remove {
         /// The task's name.
         task: String,
@@ -170,7 +173,7 @@
 }
 
 impl Step {
-    /// Returns the name of the task that it is about.
+    /// Returns the name of the task that the step changes.
     pub fn task(&self) -> &str {
         match self {
             Step::Place { task, .. }
@@ -181,7 +184,7 @@
     }
 }
 
-/// A task that should exist.
+/// A task that should exist according to the configuration.
 struct Wanted<'a> {
     task: String,
     owner: &'a str,
@@ -190,7 +193,8 @@
     runs_forever: bool,
 }
 
-/// Returns what to change so that the pool carries what it should.
+/// Returns the changes that bring a pool's tasks in line with its
+/// configuration.
 pub fn plan(
     snapshot: &Snapshot,
     pool: &str,
@@ -199,17 +203,17 @@
     usage: &Usage,
 ) -> Vec<Step> {
     let wanted = wanted(snapshot, pool);
-    let mut board = Board::new(&wanted, pool, state, rows, usage);
-    let mut steps: Vec<Step> = surplus(&wanted, state);
+    let mut occupancy = Occupancy::new(&wanted, pool, state, rows, usage);
+    let mut steps: Vec<Step> = unwanted(&wanted, state);
     for want in &wanted {
-        if let Some(step) = board.step(want, state, usage) {
+        if let Some(step) = occupancy.step(want, state, usage) {
             steps.push(step);
         }
     }
     steps
 }
 
-fn surplus(wanted: &[Wanted<'_>], state: &PoolState) -> Vec<Step> {
+fn unwanted(wanted: &[Wanted<'_>], state: &PoolState) -> Vec<Step> {
     let names: BTreeSet<&str> =
         wanted.iter().map(|want| want.task.as_str()).collect();
     state
@@ -219,7 +223,8 @@
         .collect()
 }
 
-/// Lists the wanted tasks: urgent jobs, then services, then other jobs.
+/// Returns the tasks that should exist: urgent jobs first, then services, then
+/// other jobs.
 fn wanted<'a>(snapshot: &'a Snapshot, pool: &str) -> Vec<Wanted<'a>> {
     let services = snapshot
         .services()
@@ -255,8 +260,9 @@
     wanted
 }
 
-/// Returns a move that puts siblings on one VM apart, so that the wave can
-/// take that VM; `None` if no move helps or no budget allows one now.
+/// Returns a move of one of several siblings on a VM to another VM, so that
+/// the wave can take the first VM; `None` if no move helps or the budgets
+/// allow none now.
 pub fn spread(
     snapshot: &Snapshot,
     pool: &str,
@@ -268,44 +274,46 @@
     let starting =
         state.tasks().any(|(_, task)| task.state() == TaskState::Starting);
     if starting {
-        // One at a time: the last move must have come to its end.
+        // Tasks are moved one at a time: the previous move must be complete.
         return None;
     }
     let wanted = wanted(snapshot, pool);
-    let board = Board::new(&wanted, pool, state, rows, usage);
+    let occupancy = Occupancy::new(&wanted, pool, state, rows, usage);
     wanted.iter().find_map(|want| {
-        let task = state.task(&want.task).filter(|task| stands(task))?;
-        let from = board.vms.get(task.vm())?;
-        let here = from.siblings(want.owner);
-        let to_do = from.row.maintained() != Some(wave);
-        if !from.open || !to_do || here < 2 {
+        let task = state.task(&want.task).filter(|task| is_placed(task))?;
+        let from = occupancy.vms.get(task.vm())?;
+        let siblings_here = from.siblings(want.owner);
+        let not_maintained = from.row.maintained() != Some(wave);
+        if !from.accepts_tasks || !not_maintained || siblings_here < 2 {
             return None;
         }
         let size = usage.size_of(&want.task, want.declared);
-        let vm = board.best(want, size)?;
-        let there = board.vms.get(vm.as_str())?.siblings(want.owner);
+        let vm = occupancy.best_vm(want, size)?;
+        let siblings_there =
+            occupancy.vms.get(vm.as_str())?.siblings(want.owner);
         let allowed =
             budget::may_stop(snapshot, pool, state, rows, &want.task);
-        let helps = there + 1 < here && allowed == budget::Verdict::Yes;
+        let helps = siblings_there + 1 < siblings_here
+            && allowed == budget::Verdict::Yes;
         let (task, owner) = (want.task.clone(), want.owner.to_owned());
         helps.then_some(Step::Place { task, owner, vm })
     })
 }
 
-/// What stands on each VM while a plan is made.
-struct Board<'a> {
+/// The tasks and free room of each VM while a plan is computed.
+struct Occupancy<'a> {
     vms: BTreeMap<&'a str, Vm<'a>>,
-    largest: Vec<Size>,
-    wave_runs: bool,
+    vm_sizes: Vec<Size>,
+    wave_active: bool,
 }
 
 struct Vm<'a> {
     row: &'a Row,
     room: Size,
     owners: BTreeMap<String, usize>,
-    // Whether it takes tasks, and whether it may keep those it has.
-    open: bool,
-    keeps: bool,
+    // Whether it accepts new tasks, and whether it may keep those it has.
+    accepts_tasks: bool,
+    keeps_tasks: bool,
     maintained: bool,
 }
 
@@ -315,14 +323,14 @@
     }
 }
 
-impl<'a> Board<'a> {
+impl<'a> Occupancy<'a> {
     fn new(
         wanted: &[Wanted<'_>],
         pool: &str,
         state: &PoolState,
         rows: &[(&'a str, &'a Row)],
         usage: &Usage,
-    ) -> Board<'a> {
+    ) -> Occupancy<'a> {
         let wave = state.taken().find_map(|(_, taken)| match taken.reason() {
             Reason::Wave(wave) => Some(wave.clone()),
             _ => None,
@@ -330,27 +338,39 @@
         let in_pool = rows.iter().filter(|(_, row)| row.pool() == Some(pool));
         let vms: BTreeMap<&str, Vm<'_>> = in_pool
             .map(|&(name, row)| {
-                let open =
+                let accepts_tasks =
                     row.state() == VmState::Serving && !state.is_taken(name);
-                let keeps = open || is_in_wave(state, name, row);
+                let keeps_tasks =
+                    accepts_tasks || is_in_wave(state, name, row);
                 let maintained =
                     wave.is_some() && row.maintained() == wave.as_deref();
                 let room = size_of_vm(row);
                 let owners = BTreeMap::new();
-                (name, Vm { row, room, owners, open, keeps, maintained })
+                (
+                    name,
+                    Vm {
+                        row,
+                        room,
+                        owners,
+                        accepts_tasks,
+                        keeps_tasks,
+                        maintained,
+                    },
+                )
             })
             .collect();
-        let largest = vms.values().map(|vm| vm.room).collect();
-        let mut board = Board { vms, largest, wave_runs: wave.is_some() };
+        let vm_sizes = vms.values().map(|vm| vm.room).collect();
+        let mut occupancy =
+            Occupancy { vms, vm_sizes, wave_active: wave.is_some() };
         for want in wanted {
             if let Some(task) = state.task(&want.task)
-                && stands(task)
+                && is_placed(task)
             {
                 let size = usage.size_of(&want.task, want.declared);
-                board.occupy(task.vm(), want.owner, size);
+                occupancy.occupy(task.vm(), want.owner, size);
             }
         }
-        board
+        occupancy
     }
 
     fn occupy(&mut self, vm: &str, owner: &str, size: Size) {
@@ -370,35 +390,35 @@
         if task.is_some_and(|task| task.state() == TaskState::Finished) {
             return None;
         }
-        let on = task.filter(|task| stands(task)).map(Task::vm);
-        if on.is_some_and(|vm| self.can_stay(vm)) {
+        let current_vm = task.filter(|task| is_placed(task)).map(Task::vm);
+        if current_vm.is_some_and(|vm| self.can_stay(vm)) {
             return None;
         }
         let size = usage.size_of(&want.task, want.declared);
-        match self.best(want, size) {
+        match self.best_vm(want, size) {
             Some(vm) => {
                 self.occupy(&vm, want.owner, size);
                 let (task, owner) = (want.task.clone(), want.owner.to_owned());
                 Some(Step::Place { task, owner, vm })
             }
-            None => self.homeless(want, on, size),
+            None => self.unplaceable(want, current_vm, size),
         }
     }
 
-    /// Says what becomes of a task for which no VM has room.
-    fn homeless(
+    /// Returns the step for a task for which no VM has room.
+    fn unplaceable(
         &self,
         want: &Wanted<'_>,
-        on: Option<&str>,
+        current_vm: Option<&str>,
         size: Size,
     ) -> Option<Step> {
         let task = want.task.clone();
-        let why = self.why(size);
-        let Some(vm) = on else {
+        let why = self.wait_reason(size);
+        let Some(vm) = current_vm else {
             let owner = want.owner.to_owned();
             return Some(Step::Wait { task, owner, why });
         };
-        // A draining VM finishes what it has; the task waits only after it.
+        // A draining VM finishes its tasks; the task waits only after that.
         let still_up = self.vms.get(vm).is_some_and(|vm| {
             matches!(vm.row.state(), VmState::Draining | VmState::Serving)
         });
@@ -406,17 +426,17 @@
     }
 
     fn can_stay(&self, vm: &str) -> bool {
-        self.vms.get(vm).is_some_and(|vm| vm.keeps)
+        self.vms.get(vm).is_some_and(|vm| vm.keeps_tasks)
     }
 
-    fn why(&self, size: Size) -> String {
+    fn wait_reason(&self, size: Size) -> String {
         let Size { cpu_millis, memory_mb } = size;
         let needs = format!(
             "needs {cpu_millis} cpu_millis and {memory_mb} memory_mb",
         );
-        if self.largest.iter().any(|largest| size.fits(*largest)) {
+        if self.vm_sizes.iter().any(|vm_size| size.fits(*vm_size)) {
             format!("{needs}, and no serving VM has that much room now")
-        } else if self.largest.is_empty() {
+        } else if self.vm_sizes.is_empty() {
             "the pool has no VM".to_owned()
         } else {
             format!(
@@ -425,32 +445,32 @@
         }
     }
 
-    fn best(&self, want: &Wanted<'_>, size: Size) -> Option<String> {
-        let siblings = |same: &dyn Fn(&Row) -> bool| -> usize {
+    fn best_vm(&self, want: &Wanted<'_>, size: Size) -> Option<String> {
+        let siblings = |matches_vm: &dyn Fn(&Row) -> bool| -> usize {
             self.vms
                 .values()
-                .filter(|vm| same(vm.row))
+                .filter(|vm| matches_vm(vm.row))
                 .filter_map(|vm| vm.owners.get(want.owner))
                 .sum()
         };
         let (name, _) = self
             .vms
             .iter()
-            .filter(|(_, vm)| vm.open && size.fits(vm.room))
+            .filter(|(_, vm)| vm.accepts_tasks && size.fits(vm.room))
             .min_by_key(|(name, vm)| {
-                let not_yet = self.wave_runs && !vm.maintained;
-                let here = vm.siblings(want.owner);
+                let not_maintained = self.wave_active && !vm.maintained;
+                let siblings_here = vm.siblings(want.owner);
                 let rack = siblings(&|row| row.rack() == vm.row.rack());
                 let hall = siblings(&|row| row.hall() == vm.row.hall());
                 let room = std::cmp::Reverse(vm.room.cpu_millis);
-                let tie = stable_hash(&want.task, name);
-                (not_yet, here, rack, hall, room, tie)
+                let tie_break = stable_hash(&want.task, name);
+                (not_maintained, siblings_here, rack, hall, room, tie_break)
             })?;
         Some((*name).to_owned())
     }
 }
 
-/// Returns whether a wave has the VM, which will be back with its tasks.
+/// Returns whether a wave has taken the VM, which will return with its tasks.
 fn is_in_wave(state: &PoolState, vm: &str, row: &Row) -> bool {
     let by_wave = state.taken().any(|(name, taken)| {
         name == vm && matches!(taken.reason(), Reason::Wave(_))
@@ -458,7 +478,7 @@
     by_wave && row.state() != VmState::Lost
 }
 
-fn stands(task: &Task) -> bool {
+fn is_placed(task: &Task) -> bool {
     matches!(task.state(), TaskState::Starting | TaskState::Running)
 }
 
--- a/crates/dewspar/src/schedule/mod.rs
+++ b/crates/dewspar/src/schedule/mod.rs
@@ -25,9 +25,8 @@
 
 A worker that can't be reached after a takeover may run any task of a job that
 the former holder knew. Such tasks wait until that worker's lease has certainly
-expired, or until that process of the worker is known to have ended. Jobs
-accepted after the takeover don't wait, since the former holder can't have
-known them.
+expired, or until the worker is known to have ended. Jobs accepted after the
+takeover don't wait, since the former holder can't have known them.
 
 # Unanswered orders
 
@@ -61,7 +60,7 @@
 let mut scheduler = Scheduler::new(7, Options::default());
 let now = Now { steady_ms: 1_000, unix_ms: 1_700_000_000_000 };
 let id = WorkerId::new("worker-1");
-let incarnation = Incarnation::born_at(1_700_000_000_000);
+let incarnation = Incarnation::started_at(1_700_000_000_000);
 scheduler.list_workers(now, vec![WorkerListing {
     id: id.clone(),
     incarnation,
--- a/crates/dewspar/src/wave.rs
+++ b/crates/dewspar/src/wave.rs
@@ -1,15 +1,17 @@
 /*!
-Maintenance waves: every VM of a pool drained and rebooted once.
+Maintenance waves: rolling reboots that drain and reboot each VM of a pool
+once.
 
-A wave has no memory of its own. What it has done stands in the VMs' rows and
-in the pool's ledger, so any node can compute its next [`Step`]s from the
-same documents, and a node that dies leaves nothing behind but intents that
-the next one finishes.
+A wave keeps no state of its own. Its progress is recorded in the VMs' rows
+and in the pool's disruption ledger, so any node can compute the next
+[`Step`]s from the same documents. A node that crashes leaves behind only
+recorded intents, which another node completes.
 
-For each VM the order is fixed: take it in the pool's ledger, drain it in its
-hall's document, wait until no node has a request in flight on it, intend the
-reboot at a new epoch, reboot, and release it once it serves again. A VM is
-only taken when every budget of the pool holds without it.
+The order of steps for each VM is fixed: take it in the pool's ledger, drain
+it in its hall's document, wait until no node has a request in flight on it,
+record the intent to reboot at a new epoch, reboot, and release it once it
+serves again. A VM is taken only if every disruption budget of the pool holds
+without it.
 
 # Example
 
@@ -34,7 +36,7 @@
 let snapshot = Snapshot::default().apply(&changes)?;
 let mut hall = Hall::default();
 for vm in ["vm-1", "vm-2"] {
-    hall.list(&Listing::new(vm, "hall-1", "rack-1", "127.0.0.1:1"));
+    hall.apply_listing(&Listing::new(vm, "hall-1", "rack-1", "127.0.0.1:1"));
     hall.assign(vm, Some("registry"), 0)?;
 }
 let rows: Vec<_> = hall.rows().collect();
@@ -55,55 +57,56 @@
     std::collections::BTreeMap,
 };
 
-/// What to do next for a wave.
+/// The next step of a wave.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Step {
-    /// Enter the VM into the pool's ledger.
+    /// Record the VM as taken in the pool's disruption ledger.
     Take {
         /// The VM's name.
         vm: String,
     },
-    /// Let the VM drain: it is in the ledger.
+    /// Drain the VM, which is in the ledger.
     Drain {
         /// The VM's name.
         vm: String,
     },
-    /// Intend the reboot as soon as nothing is in flight on the VM.
+    /// Record the intent to reboot once nothing is in flight on the VM.
     RebootWhenDrained {
         /// The VM's name.
         vm: String,
     },
-    /// Ask the worker for the intended reboot, and whether it is done.
+    /// Request the intended reboot from the worker, or poll whether it is
+    /// done.
     Reboot {
         /// The VM's name.
         vm: String,
     },
-    /// Take the VM out of the ledger: it serves again.
+    /// Remove the VM, which serves again, from the ledger.
     Release {
         /// The VM's name.
         vm: String,
     },
-    /// Nothing more is taken until this budget allows it.
+    /// Take no more VMs until this budget allows it.
     Blocked {
-        /// The budget in the way.
+        /// The budget that would be violated.
         shortage: Shortage,
     },
-    /// Every VM has been maintained and released.
+    /// Mark the wave as done: every VM is maintained and released.
     Complete,
 }
 
-/// A wave as operators read it.
+/// The progress of a wave, as reported to operators.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Progress {
     /// The state in the chart `wave`.
     pub state: &'static str,
-    /// How many VMs have been maintained.
+    /// The number of VMs that have been maintained.
     pub done: usize,
-    /// How many VMs are out for the wave now.
+    /// The number of VMs that the wave has taken out of service now.
     pub out: usize,
-    /// How many VMs the pool has.
+    /// The number of VMs in the pool.
     pub total: usize,
-    /// What stands in the way, if anything.
+    /// The budget that blocks the wave, if any.
     pub blocked_by: Option<String>,
 }
 
@@ -114,24 +117,21 @@
     state: &PoolState,
     rows: &[(&str, &Row)],
 ) -> Vec<Step> {
-    let Some(spec) = spec_of(snapshot, wave) else {
+    let Some(spec) = wave_spec(snapshot, wave) else {
         return Vec::new();
     };
     if state.wave_done(wave) {
         return Vec::new();
     }
-    let order = order(&spec.pool, rows);
-    let mut steps: Vec<Step> = order
+    let vms = by_rack(&spec.pool, rows);
+    let mut steps: Vec<Step> = vms
         .iter()
-        .filter_map(|(vm, row)| under_way(wave, state, vm, row))
-        .collect();
-    let out = out_for(wave, state);
-    // One that failed meanwhile remains too, until it is back or has left
-    // the pool.
-    let remaining: Vec<&(&str, &Row)> = order
-        .iter()
-        .filter(|(_, row)| row.maintained() != Some(wave))
+        .filter_map(|(vm, row)| next_step_for(wave, state, vm, row))
         .collect();
+    let out = count_out(wave, state);
+    // A VM that failed remains too, until it is back or has left the pool.
+    let remaining: Vec<&(&str, &Row)> =
+        vms.iter().filter(|(_, row)| row.maintained() != Some(wave)).collect();
     if remaining.is_empty() && out == 0 {
         steps.push(Step::Complete);
     } else if !spec.paused && out < spec.max_parallel as usize {
@@ -140,17 +140,17 @@
     steps
 }
 
-/// Returns how far the wave has come.
+/// Returns the progress of the wave, or `None` if there is no such wave.
 pub fn progress(
     snapshot: &Snapshot,
     wave: &str,
     state: &PoolState,
     rows: &[(&str, &Row)],
 ) -> Option<Progress> {
-    let spec = spec_of(snapshot, wave)?;
-    let order = order(&spec.pool, rows);
+    let spec = wave_spec(snapshot, wave)?;
+    let vms = by_rack(&spec.pool, rows);
     let done =
-        order.iter().filter(|(_, row)| row.maintained() == Some(wave)).count();
+        vms.iter().filter(|(_, row)| row.maintained() == Some(wave)).count();
     let steps = steps(snapshot, wave, state, rows);
     let blocked_by = steps.iter().find_map(|step| match step {
         Step::Blocked { shortage } => Some(shortage.to_string()),
@@ -165,11 +165,11 @@
     } else {
         "running"
     };
-    let out = out_for(wave, state);
-    Some(Progress { state: name, done, out, total: order.len(), blocked_by })
+    let out = count_out(wave, state);
+    Some(Progress { state: name, done, out, total: vms.len(), blocked_by })
 }
 
-fn spec_of<'a>(
+fn wave_spec<'a>(
     snapshot: &'a Snapshot,
     wave: &str,
 ) -> Option<&'a MaintenanceWaveSpec> {
@@ -179,16 +179,16 @@
     }
 }
 
-fn out_for(wave: &str, state: &PoolState) -> usize {
+fn count_out(wave: &str, state: &PoolState) -> usize {
     let by_wave = |reason: &Reason| *reason == Reason::Wave(wave.to_owned());
     state.taken().filter(|(_, taken)| by_wave(taken.reason())).count()
 }
 
-/// Orders the pool's VMs rack by rack.
+/// Returns the pool's VMs, grouped by rack.
 ///
-/// VMs of one rack share a fate anyway: while the wave is in a rack, the
-/// worst single rack to lose is often that same one.
-fn order<'a>(
+/// The VMs of a rack are one failure domain. While a wave works on a rack, the
+/// rack whose loss would be worst is often the same one.
+fn by_rack<'a>(
     pool: &str,
     rows: &[(&'a str, &'a Row)],
 ) -> Vec<(&'a str, &'a Row)> {
@@ -202,8 +202,8 @@
     racks.into_values().flatten().collect()
 }
 
-/// Returns the next step of a VM that the wave has taken.
-fn under_way(
+/// Returns the next step for a VM, if the wave has taken it.
+fn next_step_for(
     wave: &str,
     state: &PoolState,
     vm: &str,
