--- a/crates/dewspar/src/job/conflict.rs
+++ b/crates/dewspar/src/job/conflict.rs
@@ -78,7 +78,7 @@
     Finished(Progress),
     /// Merge the record into the local state, then write again.
     Merge(Progress),
-    /// Write again; the record has nothing that the writer doesn't know.
+    /// Write again; the record has nothing that the writer needs.
     Retry,
     /// It isn't known which tasks were done: start no more tasks of the job.
     LeaveAlone,
--- a/crates/dewspar/tests/config.rs
+++ b/crates/dewspar/tests/config.rs
@@ -102,8 +102,8 @@
         let text = error.to_string();
         let depends_on_order = text.contains("quota");
         if depends_on_order {
-            // Which of the two resources exceeds the quota depends on the order
-            // in which they are checked.
+            // Which of the two resources exceeds the quota depends on the
+            // order in which they are checked.
             assert!(text.ends_with("its quota is 20000"), "{text}");
         } else {
             assert_eq!(text, expected);
--- a/crates/dewspar/tests/newer_fields.rs
+++ b/crates/dewspar/tests/newer_fields.rs
@@ -1,10 +1,10 @@
 //! Preservation of unknown fields in stored records.
 //!
-//! During a rolling upgrade, a node of an older version rewrites records that a
-//! newer version has written. If it drops the fields that it doesn't know, the
-//! newer version loses that state as soon as it schedules again. Unknown fields
-//! must be kept for jobs, for each of their tasks, for orders to VMs, and for
-//! the processes that issued these orders.
+//! During a rolling upgrade, a node of an older version rewrites records that
+//! a newer version has written. If it drops the fields that it doesn't know,
+//! the newer version loses that state as soon as it schedules again. Unknown
+//! fields must be kept for jobs, for each of their tasks, for orders to VMs,
+//! and for the processes that issued these orders.
 
 use {
     dewspar::{
