--- a/crates/dewspar/src/config/resource.rs
+++ b/crates/dewspar/src/config/resource.rs
@@ -228,15 +228,15 @@
         value: Value,
     ) -> Result<Spec, Error> {
         Ok(match kind {
-            Kind::Team => Spec::Team(read(kind, name, value)?),
-            Kind::Pool => Spec::Pool(read(kind, name, value)?),
-            Kind::Service => Spec::Service(read(kind, name, value)?),
-            Kind::Job => Spec::Job(read(kind, name, value)?),
+            Kind::Team => Spec::Team(decode_spec(kind, name, value)?),
+            Kind::Pool => Spec::Pool(decode_spec(kind, name, value)?),
+            Kind::Service => Spec::Service(decode_spec(kind, name, value)?),
+            Kind::Job => Spec::Job(decode_spec(kind, name, value)?),
             Kind::AvailabilityBudget => {
-                Spec::AvailabilityBudget(read(kind, name, value)?)
+                Spec::AvailabilityBudget(decode_spec(kind, name, value)?)
             }
             Kind::MaintenanceWave => {
-                Spec::MaintenanceWave(read(kind, name, value)?)
+                Spec::MaintenanceWave(decode_spec(kind, name, value)?)
             }
         })
     }
@@ -369,7 +369,7 @@
     }
 }
 
-fn read<T: DeserializeOwned>(
+fn decode_spec<T: DeserializeOwned>(
     kind: Kind,
     name: &str,
     value: Value,
