--- a/crates/dewspar/examples/planning.rs
+++ b/crates/dewspar/examples/planning.rs
@@ -1,18 +1,19 @@
 /*!
-What a scheduler's work costs in a queue's peak, on a large fleet.
+Measures the cost of scheduling on a large fleet while a queue has a load peak.
 
-1,100 workers in 5 pools, 4,000 open jobs, and a queue that asks for 3,800
-starts a second; see [`dewspar_standin::peak`]. It is played twice, with a
-processor that is ample and with one that is short, since events come in one at
-a time with the former and in bursts with the latter. What happens is the same
-in each run; what is measured is the time on this machine, and how often
-memory was asked for.
+The simulation has 1,100 workers in 5 pools, 4,000 open jobs, and a queue that
+requests 3,800 starts a second; see [`dewspar_standin::peak`]. It runs twice,
+with ample processor time and with half a core: with the former, events are
+handled one at a time; with the latter, in bursts. The simulated events are the
+same in each run. The results are the time taken on this machine and the number
+of memory allocations.
 
 ```sh
 cargo run --release -p dewspar --example planning
 ```
 
-With `ample` or `short` as its argument it plays only that one, for a profile.
+With `ample` or `short` as its argument it runs only that case, which is
+useful for profiling.
 */
 
 use {
@@ -30,13 +31,14 @@
 #[global_allocator]
 static ALLOCATOR: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
-/// How long the peak is played, in simulated milliseconds.
+/// The duration of the measured peak, in simulated milliseconds.
 const PEAK_MS: u64 = 3_000;
 
-/// How long the fleet is filled before, in simulated milliseconds.
+/// How long the fleet is filled before the measurement, in simulated
+/// milliseconds.
 const WARM_UP_MS: u64 = 3_000;
 
-/// What one part has cost.
+/// The cost of one part of the scheduler's work.
 #[derive(Clone, Copy, Debug, Default)]
 struct Cost {
     calls: u64,
@@ -52,7 +54,7 @@
     }
 }
 
-/// Measures time and how often memory is asked for.
+/// Measures the time and the memory allocations of each part.
 #[derive(Debug, Default)]
 struct Costs {
     parts: BTreeMap<Part, Cost>,
--- a/crates/dewspar/src/link.rs
+++ b/crates/dewspar/src/link.rs
@@ -16,8 +16,8 @@
 |---|---|---|
 | [`Class::Renewal`] | always | runs end if their lease isn't renewed |
 | [`Class::Stop`] | always | a run occupies its room until it is stopped |
-| [`Class::Fence`] | from either bucket | nothing starts on a worker before it |
-| [`Class::Question`] | from its own bucket | known ends free room for next steps |
+| [`Class::Fence`] | from either bucket | starts on a worker wait for it |
+| [`Class::Question`] | from its own bucket | ends make room for new starts |
 | [`Class::Start`] | from the other bucket | |
 
 Tokens that overflow one bucket go to the other, so that no bandwidth is unused
--- a/crates/dewspar/src/relay.rs
+++ b/crates/dewspar/src/relay.rs
@@ -123,9 +123,9 @@
         self.samples.front().map_or(0, |sample| sample.calls_per_s)
     }
 
-    /// Returns the relays for a node of strength `own_strength`: none if it can
-    /// make all calls itself, else the strongest nodes that suffice together,
-    /// or all nodes if they don't suffice.
+    /// Returns the relays for a node of strength `own_strength`: none if it
+    /// can make all calls itself, else the strongest nodes that suffice
+    /// together, or all nodes if they don't suffice.
     pub fn relays(
         &self,
         now_ms: u64,
@@ -176,7 +176,8 @@
 /// ```
 #[derive(Clone, Copy, Debug)]
 pub struct Lateness {
-    /// An upper bound on how far the receiver's clock is ahead, in milliseconds.
+    /// An upper bound on how far the receiver's clock is ahead, in
+    /// milliseconds.
     clock_offset_ms: i64,
 }
 
@@ -201,8 +202,8 @@
     received_ms.wrapping_sub(sent_ms).cast_signed()
 }
 
-/// Returns the index of the relay that forwards a worker's orders, or `None` if
-/// there are no relays.
+/// Returns the index of the relay that forwards a worker's orders, or `None`
+/// if there are no relays.
 pub fn relay_for<'a>(
     worker: &str,
     relays: impl IntoIterator<Item = &'a RelayNode>,
--- a/crates/dewspar/tests/halls.rs
+++ b/crates/dewspar/tests/halls.rs
@@ -1,8 +1,9 @@
-//! Nodes of two versions of the program change the same hall's document. One
-//! row with a state that the older version doesn't know ("unknown variant
-//! `sleeping`, expected one of `free`, `serving`, ...") failed the document as a
-//! whole, so that no VM of the hall was known. Such a row hides its own VM
-//! alone, and it must still be there, as it was, after the others have changed.
+//! Nodes of two versions of the program change the same hall's document. A row
+//! with a state that the older version doesn't know fails to parse ("unknown
+//! variant `sleeping`, expected one of `free`, `serving`, ..."). This must not
+//! make the whole document unreadable, which would hide all VMs of the hall.
+//! It may hide only the row's own VM, and the row must be kept unchanged when
+//! other rows are updated.
 
 use {
     dewspar::fleet::{Error, Hall, Listing, VmState},
@@ -21,7 +22,7 @@
     hall
 }
 
-/// A document with this row beside a good one.
+/// Returns a document with this row and a valid one.
 fn hall_with_odd_row(odd: &str) -> Hall {
     let good = serde_json::to_value(good_hall()).expect("plain JSON");
     let good = &good["rows"]["vm-good"];
@@ -38,7 +39,7 @@
 }
 
 #[test]
-fn a_row_that_cant_be_read_hides_itself_alone_and_is_kept() {
+fn an_unreadable_row_hides_only_its_own_vm_and_is_kept() {
     for odd in [
         row_with_unknown_state().as_str(),
         "null",
@@ -52,7 +53,7 @@
         let unreadable: Vec<&str> =
             hall.unreadable().map(|(vm, _)| vm).collect();
         assert_eq!(unreadable, ["vm-odd"]);
-        // Nothing is believed of it, and nothing is made of it anew.
+        // The row is neither used nor replaced.
         assert!(!hall.apply_listing(&listing("vm-odd")), "{odd}");
         let refused = hall.handle("vm-odd", "lose", 20);
         assert_eq!(refused, Err(Error::Unlisted("vm-odd".to_owned())));
@@ -65,9 +66,9 @@
     }
 }
 
-/// A field that this version doesn't know is no reason to hide a VM.
+/// A row with an unknown field is still readable.
 #[test]
-fn a_row_with_a_field_more_is_read() {
+fn a_row_with_an_unknown_field_is_readable() {
     let mut row = serde_json::to_value(good_hall()).expect("plain JSON");
     let mut row = row["rows"]["vm-good"].take();
     row["power"] = json!({ "watts": 300 });
--- a/crates/dewspar/tests/link.rs
+++ b/crates/dewspar/tests/link.rs
@@ -1,4 +1,4 @@
-//! What a link's budget hands out, under loads that it can't carry.
+//! The link budget under more load than the link can carry.
 
 use dewspar::{
     link::{Class, LinkBudget, LinkLimits},
@@ -8,8 +8,8 @@
 const QUESTION: u64 = 250;
 const START: u64 = 1_000;
 
-/// Sends all that is allowed of two classes each 5 ms for so long, where
-/// starts are planned before questions; returns how many of each.
+/// Sends all starts (if `starts` is set) and then all questions that are
+/// allowed, every 5 ms for `ms`; returns the number of each.
 fn send_for(budget: &mut LinkBudget, ms: u64, starts: bool) -> (u64, u64) {
     let mut sent = (0, 0);
     for now_ms in (0..ms).step_by(5) {
@@ -26,7 +26,7 @@
     sent
 }
 
-/// Sends more than the budget has.
+/// Exhausts the budget of starts.
 fn exhaust(budget: &mut LinkBudget, now_ms: u64) {
     budget.refill(now_ms);
     budget.sent(Class::Start, 1_000_000);
@@ -51,7 +51,8 @@
 fn starts_and_questions_do_not_starve_each_other() {
     let mut budget = LinkBudget::new(LinkLimits::of_link(2.0));
     let (starts, questions) = send_for(&mut budget, 10_000, true);
-    // 175 kB/s: 60 % for starts of 1 kB, 40 % for questions of 250 bytes.
+    // Of 175 kB/s, 60 % are for starts of 1 kB and 40 % for questions of
+    // 250 bytes.
     assert!((1_000..1_100).contains(&starts), "{starts}");
     assert!((2_700..2_900).contains(&questions), "{questions}");
 }
@@ -82,12 +83,12 @@
     let mut budget = LinkBudget::new(LinkLimits::of_link(2.0));
     let full = budget.rate();
     exhaust(&mut budget, 1_000);
-    // 200 calls that all met the same reading of the directory.
+    // 200 calls that were all delayed by the same read of the directory.
     for _ in 0..200 {
         budget.ended(1_000, 1_300, CallEnd::Unanswered, &window);
     }
     assert_eq!(budget.rate(), full / 100 * 70);
-    // Calls sent after that are slow as well.
+    // Calls that were sent after the rate was lowered are slow too.
     for _ in 0..32 {
         budget.ended(1_301, 1_600, CallEnd::Unanswered, &window);
     }
@@ -109,7 +110,7 @@
     }
     assert_eq!(budget.rate(), full / 100 * limits.min_percent);
     exhaust(&mut budget, now_ms);
-    assert!(!budget.is_saturated(now_ms), "nothing is left to be lowered");
+    assert!(!budget.is_saturated(now_ms), "the rate is at its minimum");
     for _ in 0..1_000 {
         now_ms += 100;
         let end = CallEnd::Answered { took_ms: 3 };
@@ -117,6 +118,6 @@
     }
     assert_eq!(budget.rate(), full);
     exhaust(&mut budget, now_ms);
-    assert!(budget.is_saturated(now_ms), "work waits");
+    assert!(budget.is_saturated(now_ms), "orders wait for the link");
     assert!(!budget.is_saturated(now_ms + 2_000));
 }
--- a/crates/dewspar/tests/members.rs
+++ b/crates/dewspar/tests/members.rs
@@ -1,4 +1,4 @@
-//! Membership: ranks, targets and suspicion at several sizes.
+//! Rendezvous hashing, probe targets and suspicion for several roster sizes.
 
 use dewspar::member::{Member, Roster, Timing, first, ranked};
 
@@ -62,7 +62,7 @@
                 targets.iter().filter_map(index).collect()
             })
             .collect();
-        // A probe carries news both ways.
+        // A probe carries updates in both directions.
         let mut informed = vec![false; count];
         informed[0] = true;
         let mut hops = 0;
@@ -105,13 +105,13 @@
     let changed = receiver.merge_suspicions(&sender.suspicions(1_500), 1_510);
     assert!(changed);
     assert!(!receiver.live(1_510).contains(&"entry-002"));
-    // Heard again it is no news, and after a while it is forgotten.
+    // A repeated suspicion isn't new, and it expires after a while.
     assert!(!receiver.merge_suspicions(&sender.suspicions(1_500), 1_520));
     assert!(receiver.live(6_000).contains(&"entry-002"));
 }
 
-/// A node that was suspended reads what a peer suspected before: it has aged
-/// as long as the node slept.
+/// A node that was suspended reads suspicions that a peer sent before. Their
+/// age includes the time of the suspension.
 #[test]
 fn suspicion_read_late_counts_from_when_it_was_sent() {
     let mut sender = roster("entry-000", 4);
@@ -122,7 +122,7 @@
     let mut receiver = roster("entry-001", 4);
     assert!(
         !receiver.merge_suspicions_as_of(&suspicions, 1_500, 9_000),
-        "forgotten by now"
+        "expired by now"
     );
     assert!(receiver.live(9_000).contains(&"entry-002"));
 
@@ -153,7 +153,7 @@
 fn leaving_node_is_not_live() {
     let mut node = roster("entry-000", 3);
     assert!(node.mark_leaving("entry-001", 1));
-    assert!(!node.mark_leaving("entry-001", 1), "that is no news");
+    assert!(!node.mark_leaving("entry-001", 1), "not new");
     assert_eq!(node.live(0), ["entry-000", "entry-002"]);
     node.leave();
     assert_eq!(node.live(0), ["entry-002"]);
--- a/crates/dewspar/tests/relay.rs
+++ b/crates/dewspar/tests/relay.rs
@@ -1,4 +1,4 @@
-//! Which nodes carry a holder's orders, and how many of them.
+//! The number and choice of relays, and how late messages are.
 
 use {
     dewspar::relay::{Lateness, RelayDemand, RelayNode, relay_for},
@@ -14,8 +14,8 @@
     (0..count).map(|n| node(&format!("athens-{n}"), strength)).collect()
 }
 
-/// Returns how many relays a node of half a core wants at each second of what
-/// it sends.
+/// Returns the number of relays of a node with half a core, for each second of
+/// the given rates.
 fn relays_over(calls_per_s: &[u64]) -> Vec<usize> {
     let others = nodes(17, 500);
     let mut demand = RelayDemand::default();
@@ -29,8 +29,9 @@
         .collect()
 }
 
-/// A queue's demand turns each 20 s: five seconds at five times its mean,
-/// fifteen at a twentieth. Relays are there for the second peak from its start.
+/// The load of a queue has a cycle of 20 s: five seconds at up to five times
+/// its mean and 15 s at a twentieth of its peak. The relays of the first peak
+/// must be available from the start of the second one.
 #[test]
 fn relays_are_kept_between_peaks() {
     let cycle = [200, 900, 3_600, 4_000, 4_000]
@@ -93,7 +94,7 @@
 }
 
 quickcheck! {
-    /// Whatever relay is lost, no worker moves that it didn't carry for.
+    /// When a relay is lost, the workers of other relays keep theirs.
     fn losing_a_relay_moves_only_its_own_workers(
         strengths: Vec<u16>, worker: u32, lost: usize
     ) -> bool {
@@ -114,9 +115,9 @@
     }
 }
 
-/// Whatever the clocks of both ends say, a message is late by what it took
-/// longer than the fastest one so far; also where the receiver was suspended
-/// before the first one.
+/// For any offset between the clocks of both ends, a message is late by the
+/// time that it took longer than the fastest one so far, even if the receiver
+/// was suspended before the first one.
 #[test]
 fn lateness_is_the_excess_over_the_fastest_message() {
     for offset_ms in [0, 7, 1_000_000_000, u64::MAX - 5] {
--- a/crates/dewspar/tests/waves.rs
+++ b/crates/dewspar/tests/waves.rs
@@ -1,4 +1,4 @@
-//! Waves, budgets and placement together, carried out step by step.
+//! Simulates waves together with budgets and placement, step by step.
 
 use {
     dewspar::{
@@ -12,7 +12,7 @@
     quickcheck::{Gen, QuickCheck},
 };
 
-/// A pool and its documents, in which every act succeeds at once.
+/// A pool and its documents; every action succeeds at once.
 struct Sim {
     snapshot: Snapshot,
     hall: Hall,
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Carries out the wave's next steps; returns whether anything was done.
+    /// Carries out the wave's next steps; returns whether there was any.
     fn step(&mut self) -> bool {
         self.now_ms += 1;
         self.place();
@@ -172,7 +172,7 @@
                 return false;
             }
         }
-        panic!("the wave neither ends nor stands still");
+        panic!("the wave neither completes nor blocks");
     }
 }
 
@@ -198,7 +198,8 @@
 
 #[test]
 fn wave_reserves_the_loss_of_the_largest_rack() {
-    // Two VMs a rack: taking one of another rack leaves 8 - 1 - 2.
+    // With two VMs per rack, 8 - 1 - 2 remain when one VM is taken and another
+    // rack is lost.
     let mut sim = Sim::new(8, 6, true);
     assert!(!sim.run());
     let mut sim = Sim::new(8, 5, true);
@@ -207,9 +208,9 @@
 
 #[test]
 fn wave_spreads_siblings_that_a_failure_placed_on_one_vm() {
-    // A VM fails, and its runner moves in with a sibling. No VM with two
-    // runners may be taken until they are apart again, and the wave can't
-    // end without the VM that failed.
+    // A VM fails, and its runner is placed on the VM of a sibling. That VM
+    // can't be taken until the runners are on separate VMs again, and the wave
+    // can't complete without the VM that failed.
     let mut sim = Sim::new(4, 3, false);
     sim.fail("vm-2");
     assert_eq!(sim.moves(), 1);
--- a/crates/dewspar/tests/window.rs
+++ b/crates/dewspar/tests/window.rs
@@ -1,4 +1,4 @@
-//! How a window of calls grows and shrinks.
+//! How the call window grows and shrinks.
 
 use {
     dewspar::{
@@ -13,7 +13,7 @@
 const MODERATE: CallEnd = CallEnd::Answered { took_ms: 120 };
 const SLOW: CallEnd = CallEnd::Answered { took_ms: 190 };
 
-/// Fills the window and ends every call, `ends` in turn.
+/// Fills the window and ends every call, cycling through `ends`.
 fn fill(window: &mut CallWindow, ends: &[CallEnd]) {
     let room = window.room();
     window.sent(room);
@@ -67,11 +67,11 @@
     assert_eq!(window.size(), limits.initial);
 }
 
-/// How long an order may take.
+/// The timeout of an order.
 const TIMEOUT_MS: u64 = 200;
 
-/// Lets a node that carries out so many calls a second, in their order, have
-/// more to do than that for 20 s; returns whether it was found overloaded.
+/// Simulates a node that completes this many calls a second, in order, and has
+/// a backlog for 20 s; returns whether it is detected as overloaded.
 fn is_found_overloaded(calls_per_s: f64) -> bool {
     let mut window = CallWindow::new(WindowLimits::default());
     let mut trips = RoundTrips::new(600);
@@ -102,7 +102,7 @@
 fn a_node_too_slow_for_the_smallest_window_is_found_overloaded() {
     assert!(is_found_overloaded(350.0));
     assert!(is_found_overloaded(500.0));
-    // A node of half a core: it has much to do, and does it.
+    // A node with half a core is busy but keeps up with its work.
     assert!(!is_found_overloaded(2_000.0));
 }
 
