--- a/crates/dewspar/src/lib.rs
+++ b/crates/dewspar/src/lib.rs
@@ -33,7 +33,7 @@
 | [`admit`] | admission control for requests |
 | [`breaker`] | a circuit breaker for services that don't answer |
 | [`overload`] | whether a node keeps up with its work |
-| [`busy`] | how long workers may batch their reports |
+| [`poll_delay`] | how long workers may batch their reports |
 | [`window`] | a congestion window for a node's calls |
 | [`link`] | a bandwidth budget for a node's network link |
 | [`relay`] | which nodes forward a scheduling node's orders |
@@ -62,7 +62,6 @@
 pub mod admit;
 pub mod breaker;
 pub mod budget;
-pub mod busy;
 pub mod chart;
 pub mod config;
 pub mod feed;
@@ -76,6 +75,7 @@
 pub mod overload;
 pub mod place;
 pub mod poll;
+pub mod poll_delay;
 pub mod pool;
 pub mod record;
 pub mod relay;
