--- a/crates/dewspar/tests/config.rs
+++ b/crates/dewspar/tests/config.rs
@@ -1,4 +1,4 @@
-//! Documents: each mistake is refused whole, with its field named.
+//! Validation and storage of configuration documents.
 
 use dewspar::config::{Change, Error, Head, Kind, Resource, Snapshot};
 
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn mistakes_name_their_field_and_what_would_be_valid() {
+fn errors_name_the_field_and_what_would_be_valid() {
     let cases = [
         (
             "kind: Pool\nname: other\nspec: {vms: [vm-2]}\n",
@@ -100,9 +100,10 @@
     for (text, expected) in cases {
         let error = fleet.apply(&changes(text)).expect_err(expected);
         let text = error.to_string();
-        let order_of_kinds = text.contains("quota");
-        if order_of_kinds {
-            // Either resource may be the one that exceeds the quota.
+        let depends_on_order = text.contains("quota");
+        if depends_on_order {
+            // Which of the two resources exceeds the quota depends on the order
+            // in which they are checked.
             assert!(text.ends_with("its quota is 20000"), "{text}");
         } else {
             assert_eq!(text, expected);
@@ -111,7 +112,7 @@
 }
 
 #[test]
-fn change_is_taken_whole_or_not_at_all() {
+fn changes_are_applied_atomically() {
     let fleet = fleet();
     let mut both = changes("kind: Team\nname: t\nspec: {partner: p}\n");
     both.extend(changes(
@@ -122,7 +123,7 @@
 }
 
 #[test]
-fn resource_in_use_is_not_deleted() {
+fn referenced_resource_is_not_deleted() {
     let fleet = fleet();
     let delete = |kind, name: &str| {
         let name = name.to_owned();
@@ -136,14 +137,14 @@
 }
 
 #[test]
-fn same_content_changes_no_revision_of_a_resource() {
+fn put_without_effect_keeps_the_revision() {
     let fleet = fleet();
     let again = fleet.apply(&changes(FLEET)).expect("valid");
     assert_eq!(again.differences(&fleet), []);
 }
 
 #[test]
-fn head_keeps_unchanged_chunks_and_names_what_is_forgotten() {
+fn head_keeps_unchanged_and_recently_replaced_chunks() {
     let first = fleet();
     let (head, chunks) = Head::default().advance(&first, "one");
     assert_eq!(chunks.len(), head.chunk_names().count());
@@ -153,7 +154,7 @@
     assert_eq!(fresh.len(), 1, "one kind changed");
     assert!(next.contains("one") && next.contains("two"));
     assert_eq!(next.unreferenced_chunks(&next).count(), 0);
-    // What was replaced is kept for those that still read it.
+    // Replaced chunks are kept for readers of the previous head.
     assert_eq!(head.unreferenced_chunks(&next).count(), 0);
 }
 
