--- a/crates/dewspar/src/once/journal.rs
+++ b/crates/dewspar/src/once/journal.rs
@@ -1,9 +1,9 @@
 /*!
 The state machine of one partition, without I/O.
 
-Entries wait until the write before theirs is answered, and then ride on the
-next one together. A ticket says which of them have become safe, and which
-another node's write has superseded.
+Entries are queued while a write is in flight, and go into the next write
+together. Each entry has a ticket, by which the journal reports whether the
+entry is durable or was superseded by another node's write.
 */
 
 use crate::once::{
@@ -13,27 +13,27 @@
     stored::{Entry, Head, decode, encode},
 };
 
-/// The most entries that one write carries.
+/// The maximum number of entries in one write.
 const MAX_BATCH: usize = 4_096;
 
-/// A ticket for an entry that waits to be written.
+/// Identifies an entry that waits to be written.
 pub type Ticket = u64;
 
-/// What the journal says to a filing.
+/// The journal's decision on a filing.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Admission {
-    /// Its intent waits to be written; dispatch only when it has been.
+    /// The intent is queued; dispatch the filing only after it is written.
     Queued(Ticket),
-    /// It can't be run now, or not at all.
+    /// The filing can't be run, now or ever, because of its key's status.
     Blocked(KeyStatus),
 }
 
-/// A waiting entry that can't be written any more.
+/// A queued intent that can no longer be written.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Superseded {
-    /// The ticket that was given for it.
+    /// The ticket of the entry.
     pub ticket: Ticket,
-    /// What the journal says now.
+    /// The current status of the key.
     pub status: KeyStatus,
 }
 
@@ -50,7 +50,7 @@
     batch: Vec<Waiting>,
 }
 
-/// The journal of one partition, as one node runs it.
+/// One node's view of the journal of one partition.
 #[derive(Debug)]
 pub struct Journal {
     partition: u32,
@@ -64,13 +64,13 @@
 }
 
 impl Journal {
-    /// Makes an empty journal; [`Journal::load`] it before use.
+    /// Creates an empty journal; call [`Journal::load`] before use.
     pub fn new(partition: u32) -> Journal {
         Journal::with_seed(partition, 0)
     }
 
-    /// Makes an empty journal whose tokens start from `seed`, which must
-    /// differ between processes.
+    /// Creates an empty journal whose write tokens are derived from `seed`,
+    /// which must differ between processes.
     pub fn with_seed(partition: u32, seed: u64) -> Journal {
         Journal {
             partition,
@@ -89,25 +89,25 @@
         self.partition
     }
 
-    /// Returns how many keys are remembered.
+    /// Returns the number of keys in memory.
     pub fn known_keys(&self) -> usize {
         self.known.len()
     }
 
-    /// Returns how many entries wait for the next write.
+    /// Returns the number of entries queued for the next write.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Returns the version of the head that was last read or written.
+    /// Returns the version of the head last read or written.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Takes in the head as it stands at the platform.
+    /// Loads the head as read from the platform.
     ///
-    /// Returns the segments whose bodies must be given to
-    /// [`Journal::load_segment`] before the journal admits anything.
+    /// Returns the segments whose bodies must be passed to
+    /// [`Journal::load_segment`] before the journal may admit filings.
     ///
     /// # Errors
     ///
@@ -137,7 +137,7 @@
         Ok(unread)
     }
 
-    /// Takes in a sealed segment's body.
+    /// Loads the body of a sealed segment.
     ///
     /// # Errors
     ///
@@ -147,7 +147,7 @@
         for entry in &entries {
             self.known.apply(entry);
         }
-        // What the head holds is newer than any segment.
+        // The entries of the head are newer than those of any segment.
         let open = self.head.open.clone();
         for entry in &open {
             self.known.apply(entry);
@@ -155,7 +155,7 @@
         Ok(())
     }
 
-    /// Asks for a filing to be run; queues its intent if it is fresh.
+    /// Requests to run a filing; queues its intent if the key allows it.
     pub fn admit(
         &mut self,
         filing: &Filing,
@@ -180,9 +180,9 @@
         Admission::Queued(self.queue(entry))
     }
 
-    /// Records what became of an actor's attempt at a filing.
+    /// Queues the outcome of an actor's attempt to run a filing.
     ///
-    /// It changes nothing if another attempt stands there by then.
+    /// The outcome is ignored if another attempt's intent is recorded by then.
     pub fn settle(
         &mut self,
         key: Key,
@@ -214,8 +214,8 @@
         Some(Write { token, expected_version, value, sealed, dropped })
     }
 
-    /// Records that the write landed as this version; returns the tickets
-    /// of the entries that are now safe.
+    /// Records that the write succeeded with this version; returns the tickets
+    /// of the entries that are now durable.
     pub fn written(&mut self, token: u64, version: u64) -> Vec<Ticket> {
         let Some(in_flight) = self.take_in_flight(token) else {
             return Vec::new();
@@ -228,8 +228,8 @@
         in_flight.batch.iter().map(|waiting| waiting.ticket).collect()
     }
 
-    /// Records that the write certainly did not land; its entries wait
-    /// again, ahead of those that came later.
+    /// Records that the write certainly did not take effect; its entries are
+    /// queued again, ahead of later ones.
     pub fn not_written(&mut self, token: u64) {
         if let Some(in_flight) = self.take_in_flight(token) {
             let later = std::mem::replace(&mut self.waiting, in_flight.batch);
@@ -237,8 +237,8 @@
         }
     }
 
-    /// Decides from the head as read back whether a write landed whose
-    /// answer was lost; `None` means that it did not.
+    /// Decides from the head as read back whether a write without a response
+    /// took effect; `None` means that it did not.
     ///
     /// # Errors
     ///
@@ -258,11 +258,11 @@
         Ok(landed.then(|| self.written(token, version)))
     }
 
-    /// Returns the waiting intents that the journal has superseded.
+    /// Removes and returns the queued intents whose keys are in use by now.
     ///
     /// Call it after a [`Journal::load`] that followed a conflict. An intent
-    /// whose own write landed unseen, so that it now stands in the journal
-    /// in this actor's name, comes back as [`KeyStatus::Intended`].
+    /// whose own write took effect without a response is recorded in its
+    /// actor's name, and is returned with [`KeyStatus::Intended`].
     pub fn take_superseded(&mut self) -> Vec<Superseded> {
         let mut kept = Vec::new();
         let mut superseded = Vec::new();
@@ -283,15 +283,15 @@
         superseded
     }
 
-    /// Gives up a waiting entry; returns whether it still waited and so was
-    /// certainly not written.
+    /// Withdraws a queued entry; returns whether it was still queued, and so
+    /// was certainly not written.
     pub fn withdraw(&mut self, ticket: Ticket) -> bool {
         let before = self.waiting.len();
         self.waiting.retain(|waiting| waiting.ticket != ticket);
         self.waiting.len() < before
     }
 
-    /// Gives up every waiting intent; outcomes go on waiting.
+    /// Withdraws all queued intents; outcomes stay queued.
     pub fn withdraw_intents(&mut self) -> Vec<Ticket> {
         let (intents, rest) = std::mem::take(&mut self.waiting)
             .into_iter()
@@ -301,7 +301,7 @@
         intents.iter().map(|waiting| waiting.ticket).collect()
     }
 
-    /// Forgets keys that are past the retention window.
+    /// Removes keys past the retention window from memory.
     pub fn forget_expired(&mut self, now_ms: u64) {
         self.known.forget_expired(now_ms);
     }
--- a/crates/dewspar/src/once/key.rs
+++ b/crates/dewspar/src/once/key.rs
@@ -6,7 +6,7 @@
     xxhash_rust::xxh3::xxh3_64,
 };
 
-/// A filing's key: a version 7 UUID.
+/// A filing's idempotency key: a version 7 UUID.
 #[derive(
     Clone,
     Copy,
@@ -21,7 +21,7 @@
 )]
 pub struct Key(u128);
 
-/// Why a text is not a key.
+/// The reason why a text is not a valid key.
 #[derive(Clone, Debug, Display, Eq, PartialEq)]
 #[non_exhaustive]
 pub enum KeyError {
@@ -34,7 +34,7 @@
 impl std::error::Error for KeyError {}
 
 impl Key {
-    /// Makes a key of the given time, in milliseconds of the Unix epoch.
+    /// Creates a key with this timestamp, in milliseconds of the Unix epoch.
     pub fn at(unix_ms: u64, random: u128) -> Key {
         let bytes = random.to_be_bytes();
         // OK because a u128 has the 16 bytes of which the last 10 are taken.
@@ -44,11 +44,12 @@
         Key(builder.into_uuid().as_u128())
     }
 
-    /// Reads a key.
+    /// Parses a key, which may be enclosed in double quotes.
     ///
     /// # Errors
     ///
-    /// Returns [`KeyError::NotVersion7`] for a UUID of another version.
+    /// Returns [`KeyError::NotUuid`] for a text that isn't a UUID, and
+    /// [`KeyError::NotVersion7`] for a UUID of another version.
     pub fn parse(text: &str) -> Result<Key, KeyError> {
         let uuid = Uuid::parse_str(text.trim_matches('"'))
             .map_err(|_| KeyError::NotUuid(text.to_owned()))?;
@@ -58,12 +59,12 @@
         Ok(Key(uuid.as_u128()))
     }
 
-    /// Returns the time in the key, in milliseconds of the Unix epoch.
+    /// Returns the key's timestamp, in milliseconds of the Unix epoch.
     pub fn unix_ms(self) -> u64 {
         (self.0 >> 80) as u64
     }
 
-    /// Returns the partition that the key's entries are in.
+    /// Returns the number of the partition that stores the key's entries.
     pub fn partition(self) -> u32 {
         let hash = xxh3_64(&self.0.to_be_bytes());
         (hash % u64::from(PARTITIONS)) as u32
--- a/crates/dewspar/src/once/known.rs
+++ b/crates/dewspar/src/once/known.rs
@@ -1,8 +1,8 @@
 /*!
-What a node knows of each key, from the entries that it has read or written.
+The state of each key, from the entries that a node has read or written.
 
-The newest intent stands until an outcome of the same attempt settles it; an
-outcome of any other attempt is passed over.
+The newest intent is in force until an outcome of the same attempt settles it;
+an outcome of any other attempt is ignored.
 */
 
 use {
@@ -14,20 +14,20 @@
     std::collections::HashMap,
 };
 
-/// Why a key can't be run.
+/// The reason why a filing with this key can't be run.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum KeyStatus {
-    /// This actor's intent waits to be written, and may not be.
+    /// This actor's intent is queued, and may never be written.
     Pending(Actor),
-    /// This actor's intent stands without an outcome.
+    /// This actor's intent is written, without an outcome so far.
     Intended(Actor),
-    /// It has an outcome.
+    /// The filing has this outcome.
     Settled(Outcome),
     /// The key was used with another body.
     OtherBody,
     /// The key is older than the retention window.
     TooOld,
-    /// The key's time lies in the future.
+    /// The key's timestamp is in the future.
     TooNew,
 }
 
@@ -50,7 +50,7 @@
     }
 }
 
-/// The keys of one partition that are remembered.
+/// The keys of one partition within the retention window.
 #[derive(Debug, Default)]
 pub(super) struct KnownKeys {
     keys: HashMap<Key, KeyRecord>,
@@ -61,7 +61,7 @@
         self.keys.len()
     }
 
-    /// Returns why a filing can't be run; `None` means that it can.
+    /// Returns the reason why a filing can't be run; `None` means that it can.
     pub(super) fn status(&self, filing: &Filing) -> Option<KeyStatus> {
         let known = self.keys.get(&filing.key)?;
         if known.body_hash != filing.body_hash {
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Takes in an entry that stands at the platform.
+    /// Applies an entry that is stored at the platform.
     pub(super) fn apply(&mut self, entry: &Entry) {
         match entry {
             Entry::Intent { filing, actor, at_ms } => {
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Forgets keys that are past the retention window.
+    /// Removes keys past the retention window.
     pub(super) fn forget_expired(&mut self, now_ms: u64) {
         self.keys.retain(|_, known| !is_expired(known.at_ms, now_ms));
     }
--- a/crates/dewspar/src/once/mod.rs
+++ b/crates/dewspar/src/once/mod.rs
@@ -1,31 +1,34 @@
 /*!
-At most once: a journal of filings, kept at the platform.
+At-most-once execution: a replicated journal of filings.
 
-A filing may not be repeated, and nodes die. So before a filing is dispatched
-its *intent* is written to the platform, and afterwards its *outcome*. An
-intent without an outcome is never run again: whoever finds it says
-`unknown`, unless the node that wrote it still lives and works on it.
+A *filing* is a request that must not be executed twice, and nodes may fail
+at any time. So before a filing is dispatched, its *intent* is written to the
+platform, as in a write-ahead log, and afterwards its *outcome*. An intent
+without an outcome is never run again. A caller that asks for it gets the
+answer `unknown`, unless the node that wrote the intent is still alive and may
+yet report the outcome.
 
 # Partitions and group commit
 
-A filing's key picks one of [`PARTITIONS`] partitions. A partition is one
-value at the platform, its *head*, which only compare-and-swap changes. One
-write is in flight for a partition at a time, and all entries that arrive
-meanwhile ride on the next one. So the platform's writes are bounded by the
-number of partitions and its own answer time, however many filings come.
+A filing's idempotency key selects one of [`PARTITIONS`] partitions. A
+partition is a single value at the platform, its *head*, which changes only by
+compare-and-swap. One write is in flight for a partition at a time, and all
+entries that arrive meanwhile go into the next write. The rate of writes to
+the platform is therefore bounded by the number of partitions and the
+platform's response time, whatever the number of filings.
 
-The head holds the newest entries. When they outgrow [`SEAL_BYTES`], they
-move to an immutable *segment*, which the head names from then on.
+The head holds the newest entries. When they exceed [`SEAL_BYTES`], they are
+moved to an immutable *segment*, which the head then references by name.
 
 [`Journal`] is the state machine of one partition, without I/O. Two nodes may
-run it for the same partition at the same time: their writes collide, and the
-loser takes in the winner's entries before it tries again.
+run it for the same partition at the same time: their writes conflict, and the
+loser loads the winner's entries before it retries.
 
-# Keys and their age
+# Expiry of keys
 
-A key is a version 7 UUID, whose time says how old it is. A key older than
-the retention window can't be told from one whose entry has been dropped; it
-is refused as [`KeyStatus::TooOld`] and never run.
+An idempotency key is a version 7 UUID, whose timestamp gives its age. A key
+older than the retention window can't be told from one whose entry has been
+dropped; it is refused as [`KeyStatus::TooOld`] and never run.
 
 # Example
 
@@ -45,7 +48,7 @@
 let write = journal.next_write(now_ms).expect("an entry waits");
 assert_eq!(journal.written(write.token(), 1), [ticket]);
 
-// Another node, asked the same, finds the intent without an outcome.
+// Another node that gets the same request finds an intent without an outcome.
 let mut other = Journal::new(0);
 other.load(1, Some(write.value()))?;
 assert!(matches!(
@@ -83,22 +86,24 @@
 mod stored;
 mod write;
 
-/// The number of partitions; a constant, so that the platform's writes are.
+/// The number of partitions.
 ///
-/// Few partitions with frequent writes let a filing wait less than many with
-/// rare ones, at the same number of writes: see `docs/design/journal.md`.
+/// It is constant, which bounds the rate of writes to the platform. At the
+/// same rate, a filing waits less with few partitions that are written often
+/// than with many that are written rarely: see `docs/design/journal.md`.
 pub const PARTITIONS: u32 = 2;
 
-/// How large the head's entries may grow before they are sealed, in bytes.
+/// The size of the head's entries from which they are sealed, in bytes.
 pub const SEAL_BYTES: usize = 64 * 1024;
 
-/// How long a key is remembered, in milliseconds.
+/// The retention window of keys, in milliseconds.
 pub const RETENTION_MS: u64 = 15 * 60 * 1000;
 
-/// How far two clocks may differ, in milliseconds.
+/// The maximum difference between two clocks, in milliseconds.
 pub const CLOCK_SKEW_MS: u64 = 60 * 1000;
 
-/// A filing as the journal knows it: its key and a hash of its body.
+/// A filing as the journal records it: its idempotency key and a hash of its
+/// body.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Filing {
     key: Key,
@@ -106,7 +111,7 @@
 }
 
 impl Filing {
-    /// Makes a filing from its key and whole body.
+    /// Creates a filing from its key and complete body.
     pub fn new(key: Key, body: &[u8]) -> Filing {
         Filing { key, body_hash: xxh3_64(body) }
     }
@@ -120,7 +125,7 @@
 /// One attempt, by one process, to run a filing.
 ///
 /// The attempt's number is unique within the process. It fences outcomes: a
-/// message that was delayed or sent twice can't settle a later attempt.
+/// delayed or duplicated message can't settle a later attempt.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Actor {
     node: String,
@@ -129,8 +134,8 @@
 }
 
 impl Actor {
-    /// Makes an actor from a node's name, its incarnation and the number of
-    /// the attempt.
+    /// Creates an actor from a node's name, the incarnation of its process and
+    /// the number of the attempt.
     pub fn new(node: &str, incarnation: u64, attempt: u64) -> Actor {
         Actor { node: node.to_owned(), incarnation, attempt }
     }
@@ -146,16 +151,16 @@
     }
 }
 
-/// What became of a filing.
+/// The outcome of a filing.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Outcome {
-    /// It ran, and the target answered with this HTTP status.
+    /// The filing ran, and the target answered with this HTTP status.
     Ran {
         /// The HTTP status of the target's answer.
         status: u16,
     },
-    /// It certainly did not run; its key may be used again.
+    /// The filing certainly did not run; its key may be used again.
     NotRun,
-    /// Nobody can say whether it ran.
+    /// It can't be determined whether the filing ran.
     Unknown,
 }
--- a/crates/dewspar/src/once/stored.rs
+++ b/crates/dewspar/src/once/stored.rs
@@ -1,9 +1,9 @@
 /*!
-What the platform keeps of a partition: its head and its segments.
+The stored form of a partition: its head and its segments.
 
 Both hold entries, each an intent or an outcome. The head holds the newest
-ones and the names of the segments; a segment is never changed, and is
-dropped once its newest entry is past the retention window.
+entries and the names of the segments. A segment is immutable, and is dropped
+once its newest entry is past the retention window.
 */
 
 use {
@@ -18,22 +18,22 @@
     serde::{Deserialize, Serialize},
 };
 
-/// Why a stored journal couldn't be read.
+/// The reason why a stored journal can't be read.
 #[derive(Clone, Debug, Display, Eq, PartialEq)]
 #[non_exhaustive]
 pub enum Error {
     /// journal partition {partition} can't be read: {reason}
     Corrupt {
-        /// The partition.
+        /// The partition's number.
         partition: u32,
-        /// What the decoder said.
+        /// The decoder's error message.
         reason: String,
     },
 }
 
 impl std::error::Error for Error {}
 
-/// One line of the journal.
+/// One entry of the journal.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub(super) enum Entry {
     Intent { filing: Filing, actor: Actor, at_ms: u64 },
@@ -41,7 +41,7 @@
 }
 
 impl Entry {
-    /// Returns when it was made, in milliseconds of the Unix epoch.
+    /// Returns when the entry was created, in milliseconds of the Unix epoch.
     pub(super) fn at_ms(&self) -> u64 {
         match self {
             Entry::Intent { at_ms, .. } => *at_ms,
@@ -50,19 +50,19 @@
     }
 }
 
-/// The value of a partition that only compare-and-swap changes.
+/// The value of a partition, which changes only by compare-and-swap.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub(super) struct Head {
-    /// The token of the write that put it there.
+    /// The token of the write that stored this head.
     pub(super) token: u64,
-    /// The entries that aren't sealed yet.
+    /// The entries that aren't in a segment yet.
     pub(super) open: Vec<Entry>,
     pub(super) segments: Vec<Segment>,
 }
 
 impl Head {
-    /// Moves the open entries to a segment once they are large enough;
-    /// returns it with its body.
+    /// Moves the open entries to a new segment if they are large enough;
+    /// returns the segment with its body.
     pub(super) fn seal(&mut self) -> Option<(Segment, Vec<u8>)> {
         let body = encode(&self.open);
         if body.len() < SEAL_BYTES {
@@ -75,7 +75,7 @@
         Some((segment, body))
     }
 
-    /// Takes the segments out that are past the retention window.
+    /// Removes and returns the segments past the retention window.
     pub(super) fn drop_expired(&mut self, now_ms: u64) -> Vec<Segment> {
         let (old, kept) = std::mem::take(&mut self.segments)
             .into_iter()
@@ -85,7 +85,7 @@
     }
 }
 
-/// An immutable run of sealed entries.
+/// An immutable batch of sealed entries.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Segment {
     name: String,
@@ -99,13 +99,13 @@
     }
 }
 
-/// Writes a head or a segment's body.
+/// Encodes a head or a segment's body.
 pub(super) fn encode<T: Serialize>(value: &T) -> Vec<u8> {
     // OK because the types hold only numbers, strings and lists.
     postcard::to_stdvec(value).expect("an entry is always encodable")
 }
 
-/// Reads a head or a segment's body.
+/// Decodes a head or a segment's body.
 pub(super) fn decode<'a, T: Deserialize<'a>>(
     partition: u32,
     bytes: &'a [u8],
@@ -114,7 +114,8 @@
         .map_err(|e| Error::Corrupt { partition, reason: e.to_string() })
 }
 
-/// Returns whether an entry of this time is past the retention window.
+/// Returns whether an entry created at `at_ms` is past the retention window,
+/// with a margin for clock skew.
 pub(super) fn is_expired(at_ms: u64, now_ms: u64) -> bool {
     at_ms + RETENTION_MS + 2 * CLOCK_SKEW_MS < now_ms
 }
--- a/crates/dewspar/src/once/write.rs
+++ b/crates/dewspar/src/once/write.rs
@@ -1,14 +1,14 @@
 /*!
-A write of a partition's head, and what goes before and after it.
+A write of a partition's head, and the steps before and after it.
 
-The platform swaps one value at a time, so the order says what is safe: a
-segment is stored before a head names it, and deleted only after a head
-without it is in force.
+The platform swaps one value at a time, so the order of the steps ensures
+consistency: a segment is stored before a head references it, and deleted only
+after a head without it has been written.
 */
 
 use crate::once::Segment;
 
-/// A write to make at the platform.
+/// A write for the platform, with the segments to store and delete.
 #[derive(Clone, Debug)]
 pub struct Write {
     pub(super) token: u64,
@@ -19,12 +19,13 @@
 }
 
 impl Write {
-    /// Returns the token that tells this write from all others.
+    /// Returns the token that identifies this write.
     pub fn token(&self) -> u64 {
         self.token
     }
 
-    /// Returns the version that the head must still have; 0 means absent.
+    /// Returns the version that the head must have before the swap; 0 means
+    /// absent.
     pub fn expected_version(&self) -> u64 {
         self.expected_version
     }
@@ -39,7 +40,7 @@
         self.sealed.as_ref().map(|(segment, body)| (segment, &body[..]))
     }
 
-    /// Returns the segments to delete after the head was swapped.
+    /// Returns the segments to delete after the head is swapped.
     pub fn dropped(&self) -> &[Segment] {
         &self.dropped
     }
--- a/crates/dewspar/src/slot/granter.rs
+++ b/crates/dewspar/src/slot/granter.rs
@@ -3,13 +3,13 @@
     std::collections::{BTreeMap, BTreeSet, VecDeque},
 };
 
-/// How long a want parks that can't be met, in milliseconds.
+/// How long a want that can't be met stays parked, in milliseconds.
 const PARK_MS: u64 = 20;
 
-/// How many holders are asked for idle slots at a time.
+/// The maximum number of holders asked for idle slots at a time.
 const MAX_RECALLED: usize = 4;
 
-/// What one process holds.
+/// The slots that one process holds, as of its last sync.
 #[derive(Debug, Default)]
 struct Record {
     incarnation: u64,
@@ -29,12 +29,12 @@
 struct Parked {
     node: String,
     want: u32,
-    // Since when its oldest request has waited, and since when it parks.
+    // When its oldest request started to wait, and when the want was parked.
     since_ms: u64,
     parked_ms: u64,
 }
 
-/// The one place that grants the slots of one service's runners.
+/// The single authority that grants the slots of one service's runners.
 #[derive(Debug)]
 pub struct Granter {
     limits: Limits,
@@ -42,16 +42,16 @@
     open: bool,
     runners: BTreeMap<String, u32>,
     records: BTreeMap<String, Record>,
-    // Processes that were replaced, and may not have let go yet.
+    // Replaced processes whose requests may still be running.
     replaced: Vec<Record>,
     reported: BTreeSet<String>,
     parked: VecDeque<Parked>,
-    // How many slots of each runner are outstanding, over all records.
+    // The number of outstanding slots of each runner, over all records.
     outstanding: BTreeMap<String, u32>,
 }
 
 impl Granter {
-    /// Makes a granter that became responsible at `now_ms`.
+    /// Creates a granter that took over at `now_ms`.
     pub fn new(limits: Limits, now_ms: u64) -> Granter {
         Granter {
             limits,
@@ -66,27 +66,27 @@
         }
     }
 
-    /// Adds a runner, or changes how many slots it has.
+    /// Adds a runner, or changes its number of slots.
     pub fn set_runner(&mut self, runner: &str, slots: u32) {
         self.runners.insert(runner.to_owned(), slots);
     }
 
-    /// Stops granting the slots of runners that `keep` refuses.
+    /// Stops granting slots of runners for which `keep` returns false.
     pub fn retain_runners(&mut self, keep: impl Fn(&str) -> bool) {
         self.runners.retain(|runner, _| keep(runner));
     }
 
-    /// Returns how many of a runner's slots are outstanding.
+    /// Returns the number of a runner's slots that are outstanding.
     pub fn outstanding(&self, runner: &str) -> u32 {
         self.outstanding.get(runner).copied().unwrap_or(0)
     }
 
-    /// Returns whether it grants yet.
+    /// Returns whether the granter already grants slots.
     pub fn is_open(&self) -> bool {
         self.open
     }
 
-    /// Returns the live nodes that must still say what they hold.
+    /// Returns the live nodes that must still report what they hold.
     pub fn unreported<'a>(&self, live: &[&'a str]) -> Vec<&'a str> {
         if self.open {
             return Vec::new();
@@ -95,11 +95,11 @@
         live.iter().filter(reported).copied().collect()
     }
 
-    /// Takes in a holder's statement.
+    /// Processes a holder's sync.
     ///
-    /// `live` are the nodes on this granter's roster that aren't suspected.
-    /// The reply comes at once unless the want parks; [`Granter::replies`]
-    /// gives all other replies.
+    /// `live` are the members that this node doesn't suspect to have failed.
+    /// Returns the reply, or `None` if the want is parked; its reply then
+    /// comes from [`Granter::replies`].
     pub fn sync(
         &mut self,
         node: &str,
@@ -125,8 +125,8 @@
         None
     }
 
-    /// Returns the replies that are due: wants that can be met, oldest
-    /// first, and those that have parked long enough.
+    /// Returns the replies that are due: to wants that can be met, oldest
+    /// first, and to wants whose parking time is over.
     pub fn replies(&mut self, now_ms: u64) -> Vec<(String, Reply)> {
         let mut replies = Vec::new();
         let mut kept = VecDeque::new();
@@ -150,13 +150,13 @@
             .collect()
     }
 
-    /// Returns when [`Granter::replies`] has something new at the latest.
+    /// Returns the latest time at which [`Granter::replies`] must be called.
     pub fn next_reply_ms(&self) -> Option<u64> {
         self.parked.iter().map(|parked| parked.parked_ms + PARK_MS).min()
     }
 
-    /// Returns nodes that hold slots while others want some in vain, with
-    /// what those wait for; nodes that hold most come first.
+    /// Returns the nodes to recall slots from while wants are parked, with the
+    /// demand of the others; the nodes that hold the most slots come first.
     pub fn recall_candidates(&self, now_ms: u64) -> Vec<(&str, Pressure)> {
         if self.parked.is_empty() {
             return Vec::new();
@@ -177,7 +177,7 @@
             .collect()
     }
 
-    /// Returns what others than `node` wait for.
+    /// Returns the unmet demand of all nodes except `node`.
     fn pressure_on(&self, node: &str, now_ms: u64) -> Option<Pressure> {
         let others = || self.parked.iter().filter(|p| p.node != node);
         let oldest_ms = others().map(|parked| parked.since_ms).min()?;
@@ -186,7 +186,7 @@
         Some(Pressure { waited_ms, wanted })
     }
 
-    /// Records a statement; returns whether it is news.
+    /// Records a sync; returns false if it is older than one already recorded.
     fn record_sync(&mut self, node: &str, sync: &Sync, now_ms: u64) -> bool {
         let record = self.records.entry(node.to_owned()).or_default();
         let known = (record.incarnation, record.sequence);
@@ -194,7 +194,7 @@
             return false;
         }
         if sync.incarnation != record.incarnation && record.total() > 0 {
-            // The new process doesn't speak for the old one's requests.
+            // The new process's sync doesn't cover the old one's requests.
             self.replaced.push(std::mem::take(record));
         }
         record.incarnation = sync.incarnation;
@@ -265,7 +265,7 @@
         }
     }
 
-    /// Grants what is wanted and free, and takes it out of `free`.
+    /// Grants up to `want` free slots, and removes them from `free`.
     fn grant(
         &mut self,
         node: &str,
@@ -275,7 +275,7 @@
         let mut left = want;
         let mut granted: BTreeMap<String, u32> = BTreeMap::new();
         while left > 0 {
-            // The runner with the most free slots has the least to do.
+            // The runner with the most free slots is the least loaded one.
             let most = free.iter_mut().max_by_key(|(_, slots)| **slots);
             let Some((runner, slots)) = most else { break };
             *slots -= 1;
@@ -295,7 +295,7 @@
             .collect()
     }
 
-    /// Returns the runners that have slots free, with how many.
+    /// Returns the runners that have free slots, with their number.
     fn free(&self) -> BTreeMap<String, u32> {
         self.runners
             .iter()
@@ -308,7 +308,7 @@
     }
 }
 
-/// Takes what a record held out of the sums.
+/// Subtracts the slots of a record from the sums.
 fn subtract(
     outstanding: &mut BTreeMap<String, u32>,
     held: &BTreeMap<String, u32>,
--- a/crates/dewspar/src/slot/holder.rs
+++ b/crates/dewspar/src/slot/holder.rs
@@ -3,22 +3,24 @@
     std::collections::{BTreeMap, BTreeSet},
 };
 
-/// How often held slots are stated to the granter, in milliseconds.
+/// The interval at which held slots are renewed, in milliseconds.
 const RENEW_INTERVAL_MS: u64 = 500;
 
-/// The pause between two syncs while a granter doesn't grant yet, at first,
-/// in milliseconds.
+/// The initial delay between two syncs that got no slots, in milliseconds.
+///
+/// Applies while the granter doesn't grant yet, or doesn't answer. The delay
+/// doubles with each sync.
 const MIN_RETRY_DELAY_MS: u64 = 1;
 
-/// The longest such pause, in milliseconds.
+/// The maximum of that delay, in milliseconds.
 const MAX_RETRY_DELAY_MS: u64 = 20;
 
-/// Whether a request got a slot.
+/// The result of [`Holder::acquire`].
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Acquired {
-    /// It may be dispatched to this runner.
+    /// The request may be dispatched to this runner.
     Slot(String),
-    /// It must wait: the holder has none free.
+    /// The request must wait: the holder has no free slot.
     Wait,
 }
 
@@ -29,7 +31,7 @@
     last_use_ms: u64,
 }
 
-/// One node's slots of one service's runners.
+/// The slots of one service's runners that one node holds.
 #[derive(Debug)]
 pub struct Holder {
     limits: Limits,
@@ -38,7 +40,7 @@
     sent_ms: u64,
     expires_ms: u64,
     want: u32,
-    // Since when others wait, and how many slots they may still have.
+    // Since when other nodes wait, and how many slots they still want.
     others_since_ms: Option<u64>,
     others_want: u32,
     retry_delay_ms: u64,
@@ -47,13 +49,13 @@
 }
 
 impl Holder {
-    /// Makes a holder of nothing.
+    /// Creates a holder without slots.
     pub fn new(limits: Limits) -> Holder {
         Holder::with_incarnation(limits, 1)
     }
 
-    /// Makes a holder whose incarnation must grow with each start of the
-    /// process.
+    /// Creates a holder without slots; `incarnation` must increase with each
+    /// start of the process.
     pub fn with_incarnation(limits: Limits, incarnation: u64) -> Holder {
         Holder {
             limits,
@@ -70,29 +72,30 @@
         }
     }
 
-    /// States how many requests wait for a slot.
+    /// Sets how many requests wait for a slot.
     pub fn set_wanted(&mut self, want: u32) {
         self.want = want;
     }
 
-    /// Returns how many slots the holder has, free or in use.
+    /// Returns the number of slots that the holder has, free or in use.
     pub fn held(&self) -> u32 {
         self.runners.values().map(|slots| slots.granted).sum()
     }
 
-    /// Returns how many of a runner's slots the holder has.
+    /// Returns the number of a runner's slots that the holder has.
     pub fn granted(&self, runner: &str) -> u32 {
         self.runners.get(runner).map_or(0, |slots| slots.granted)
     }
 
-    /// Returns how many requests are in flight on a runner.
+    /// Returns the number of requests in flight on a runner.
     pub fn in_use(&self, runner: &str) -> u32 {
         self.runners.get(runner).map_or(0, |slots| slots.in_use)
     }
 
-    /// Takes a slot for one request, on the runner with the least in flight.
+    /// Acquires a slot for one request, on the runner with the fewest requests
+    /// in flight.
     ///
-    /// Runners that `usable` refuses get nothing.
+    /// Runners for which `usable` returns false are skipped.
     pub fn acquire(
         &mut self,
         now_ms: u64,
@@ -121,26 +124,27 @@
         }
     }
 
-    /// Gives back a request's slot.
+    /// Releases a request's slot; the holder keeps it for other requests.
     pub fn release(&mut self, runner: &str) {
         if let Some(slots) = self.runners.get_mut(runner) {
             slots.in_use = slots.in_use.saturating_sub(1);
         }
     }
 
-    /// Returns whether a slot that is free here should go to others.
+    /// Returns whether a free slot should go to other nodes, because their
+    /// oldest request is older than the holder's own.
     ///
-    /// `oldest_ms` is since when the holder's own oldest request waits.
+    /// `oldest_ms` is when the holder's own oldest request started to wait.
     pub fn should_yield(&self, oldest_ms: Option<u64>) -> bool {
         let Some(others_since_ms) = self.others_since_ms else { return false };
         let older = oldest_ms.is_none_or(|own_ms| others_since_ms < own_ms);
         older && self.others_want > 0
     }
 
-    /// Returns when the granter should hear from the holder again, unless a
-    /// sync is under way; `None` means that there is nothing to say.
+    /// Returns when the next sync is due, unless one is in flight; `None`
+    /// means that no sync is needed.
     ///
-    /// `oldest_ms` is since when the holder's own oldest request waits.
+    /// `oldest_ms` is when the holder's own oldest request started to wait.
     pub fn next_sync_ms(&self, oldest_ms: Option<u64>) -> Option<u64> {
         if self.must_yield(oldest_ms) {
             Some(self.sent_ms)
@@ -153,16 +157,15 @@
         }
     }
 
-    /// Returns whether slots must go back now, also while a sync is under
-    /// way: the next one takes its place.
+    /// Returns whether idle slots must be returned now, even while a sync is
+    /// in flight, which the next one then supersedes.
     pub fn must_yield(&self, oldest_ms: Option<u64>) -> bool {
         self.should_yield(oldest_ms) && self.idle() > 0
     }
 
-    /// Returns what to tell a node that has become the granter.
+    /// Returns the state to report to a node that has become the granter.
     ///
-    /// An answer of the former granter that is still on its way is passed
-    /// over when it arrives.
+    /// A reply of the former granter that arrives afterwards is ignored.
     pub fn sync_for_new_granter(&mut self, now_ms: u64) -> Sync {
         let want = std::mem::take(&mut self.want);
         let sync = self.sync(None, now_ms);
@@ -170,10 +173,10 @@
         sync
     }
 
-    /// Returns what to tell the granter, and lets go of slots that others
-    /// should have or that lie idle for long.
+    /// Returns the next sync for the granter, after dropping idle slots that
+    /// others should get, that are revoked, or that were unused for long.
     ///
-    /// `oldest_ms` is since when the holder's own oldest request waits.
+    /// `oldest_ms` is when the holder's own oldest request started to wait.
     pub fn sync(&mut self, oldest_ms: Option<u64>, now_ms: u64) -> Sync {
         let mut to_yield = match self.should_yield(oldest_ms) {
             true => self.others_want,
@@ -213,7 +216,7 @@
         }
     }
 
-    /// Takes in the granter's answer to the last sync.
+    /// Applies the granter's reply to the last sync; ignores other replies.
     pub fn apply_reply(&mut self, reply: &Reply, now_ms: u64) {
         let is_last = reply.incarnation == self.incarnation
             && reply.sequence == self.sequence;
@@ -228,7 +231,7 @@
             slots.granted += count.slots;
             slots.last_use_ms = now_ms;
         }
-        // One that parked has waited at the granter already.
+        // A parked want has already waited at the granter.
         self.retry_delay_ms = match reply.parked {
             true => 0,
             false => (self.retry_delay_ms * 2)
@@ -236,14 +239,14 @@
         };
     }
 
-    /// Records that the last sync got no answer.
+    /// Records that the last sync got no reply.
     pub fn sync_failed(&mut self) {
         let doubled = self.retry_delay_ms * 2;
         self.retry_delay_ms =
             doubled.clamp(MIN_RETRY_DELAY_MS, MAX_RETRY_DELAY_MS);
     }
 
-    /// Records what others wait for.
+    /// Records the unmet demand of other nodes, on the granter's request.
     pub fn recall(&mut self, pressure: Pressure, now_ms: u64) {
         self.set_pressure(Some(pressure), now_ms);
     }
@@ -254,12 +257,12 @@
         self.others_want = pressure.map_or(0, |pressure| pressure.wanted);
     }
 
-    /// Returns the number of the last sync.
+    /// Returns the sequence number of the last sync.
     pub fn sequence(&self) -> u64 {
         self.sequence
     }
 
-    /// Returns how many slots are granted and not in use.
+    /// Returns the number of slots that are granted and not in use.
     pub fn idle(&self) -> u32 {
         self.runners.values().map(|slots| slots.granted - slots.in_use).sum()
     }
--- a/crates/dewspar/src/slot/mod.rs
+++ b/crates/dewspar/src/slot/mod.rs
@@ -1,38 +1,41 @@
 /*!
-Slots: a runner's few slots, shared by every node.
+Slots: a distributed concurrency limit for each runner.
 
-A runner takes, say, 8 requests at a time, for all nodes together. Splitting
-8 among 6 nodes wastes slots, and among 70 it is impossible. So each service
-has one [`Granter`], the node ranked first for it, and the other nodes hold
-slots from it in small grants that expire. A node with steady demand keeps
-its slots and uses them again and again without a message.
+A runner serves a fixed number of requests at a time, for example 8, for all
+nodes together. Dividing 8 slots statically among 6 nodes wastes some of them,
+and among 70 nodes it is impossible. So each service has one [`Granter`], the
+node ranked first for it, which leases slots to the [`Holder`]s on the other
+nodes in small grants that expire. A node with steady demand renews its grant
+and reuses its slots without a message per request.
 
 # One message
 
 Holder and granter exchange one kind of message, a [`Sync`]: "I hold these
-slots, and want so many more". It is a full statement and not a change, so it
-renews, returns and asks in one, and a lost or repeated one does no harm. A
-sequence number makes the granter pass over a late one.
-
-A want that can't be met at once *parks* at the granter for a moment, oldest
-request first. The granter tells the other holders how old it is and how many
-slots are wanted: their [`Pressure`]. A holder under pressure gives back what
-lies idle at once, and what comes free too if its own oldest request is
-younger. So all nodes together come near to one queue.
+slots, and want so many more". It states the full state instead of a change, so
+the same message renews, returns and requests slots, and a lost or duplicated
+message is harmless. The granter ignores reordered messages by their sequence
+number.
+
+A want that can't be met at once is *parked* at the granter for a short time,
+ordered by the age of the oldest request. The granter tells the other holders
+how old that request is and how many slots are wanted: their [`Pressure`]. A
+holder under pressure returns idle slots at once, and also slots that become
+free if its own oldest request is younger. All nodes together thus approximate
+one first-in, first-out queue.
 
 # Safety
 
-* A holder uses a slot only until the expiry it was told, counted from when
-  it *sent* the sync.
-* The granter counts a slot as out until its holder says otherwise, or until
-  the grant has expired and every request that could have been dispatched
-  under it has reached its deadline.
-* A holder's process that is replaced leaves its slots out until then; its
-  successor's statement doesn't speak for it.
-* A new granter grants nothing until each live node has told it what it
+* A holder uses a slot only until its grant expires, counted from when the
+  holder *sent* the sync.
+* The granter counts a slot as outstanding until its holder reports otherwise,
+  or until the grant has expired and every request that could have been
+  dispatched under it has reached its deadline.
+* The slots of a replaced holder process stay outstanding for the same time:
+  its successor's sync doesn't cover requests of the old process.
+* A new granter grants nothing until each live node has reported what it
   holds, or until every older grant must have ended.
-* The runner's own refusal of one request too many is the last line, and
-  counts as certainly not run.
+* As a last safeguard, a runner refuses requests beyond its limit itself. Such
+  a request has certainly not run.
 
 # Example
 
@@ -65,7 +68,7 @@
 mod granter;
 mod holder;
 
-/// How long grants and requests live.
+/// The durations that bound grants and requests.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Limits {
     grant_ms: u64,
@@ -74,8 +77,8 @@
 }
 
 impl Default for Limits {
-    /// Grants of 2 s, requests of at most 30 s, slots returned after 5 s
-    /// without use or as soon as they are recalled.
+    /// Returns limits with grants of 2 s and requests of at most 30 s, where
+    /// slots are returned after 5 s without use or when they are recalled.
     fn default() -> Limits {
         Limits { grant_ms: 2_000, max_request_ms: 30_000, idle_ms: 5_000 }
     }
@@ -88,14 +91,14 @@
         self
     }
 
-    /// Sets the longest time a request may take, in milliseconds.
+    /// Sets the maximum duration of a request, in milliseconds.
     pub fn max_request_ms(mut self, max_request_ms: u64) -> Limits {
         self.max_request_ms = max_request_ms;
         self
     }
 
-    /// Returns after how long every slot under an old grant is free again,
-    /// in milliseconds.
+    /// Returns the time after a sync at which every slot held under it is
+    /// free again, in milliseconds.
     fn reclaim_after_ms(&self) -> u64 {
         self.grant_ms + self.max_request_ms
     }
@@ -114,13 +117,13 @@
         &self.runner
     }
 
-    /// Returns how many of its slots are meant.
+    /// Returns the number of slots.
     pub fn slots(&self) -> u32 {
         self.slots
     }
 }
 
-/// What other nodes wait for.
+/// The unmet demand of other nodes.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Pressure {
     waited_ms: u64,
@@ -128,26 +131,26 @@
 }
 
 impl Pressure {
-    /// Makes a pressure: how long the oldest request has waited, and how many
-    /// slots are wanted.
+    /// Creates a pressure from the time that the oldest request has waited, in
+    /// milliseconds, and the number of slots wanted.
     pub fn new(waited_ms: u64, wanted: u32) -> Pressure {
         Pressure { waited_ms, wanted }
     }
 }
 
-/// All that a holder tells a granter.
+/// The message from a holder to the granter: the holder's full state.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Sync {
     incarnation: u64,
     sequence: u64,
     held: Vec<Count>,
     want: u32,
-    // How long the oldest request has waited.
+    // How long the holder's oldest request has waited.
     waited_ms: u64,
 }
 
 impl Sync {
-    /// Makes the statement of a process that holds nothing yet.
+    /// Creates the message of a process that holds no slots yet.
     pub fn empty(incarnation: u64) -> Sync {
         Sync {
             incarnation,
@@ -158,7 +161,7 @@
         }
     }
 
-    /// Returns the statement's number.
+    /// Returns the message's sequence number.
     pub fn sequence(&self) -> u64 {
         self.sequence
     }
@@ -168,13 +171,13 @@
         self.want
     }
 
-    /// Returns the slots that the holder states it holds.
+    /// Returns the slots that the holder has.
     pub fn held(&self) -> &[Count] {
         &self.held
     }
 }
 
-/// What a granter answers.
+/// The granter's reply to a [`Sync`].
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Reply {
     incarnation: u64,
@@ -187,22 +190,22 @@
 }
 
 impl Reply {
-    /// Returns the slots granted on top of what was held.
+    /// Returns the slots granted in addition to those already held.
     pub fn granted(&self) -> &[Count] {
         &self.granted
     }
 
-    /// Returns what others wait for.
+    /// Returns the unmet demand of other nodes.
     pub fn pressure(&self) -> Option<Pressure> {
         self.pressure
     }
 
-    /// Returns the number of the sync that this answers.
+    /// Returns the sequence number of the sync that this answers.
     pub fn sequence(&self) -> u64 {
         self.sequence
     }
 
-    /// Makes the answer of a node that isn't the granter.
+    /// Creates the reply of a node that isn't the granter.
     pub fn refused(sync: &Sync) -> Reply {
         Reply {
             incarnation: sync.incarnation,
--- a/crates/dewspar/tests/once.rs
+++ b/crates/dewspar/tests/once.rs
@@ -1,4 +1,5 @@
-//! At most once: two writers, lost answers, crashes and late messages.
+//! At-most-once execution with two writers, lost responses, crashes and
+//! delayed messages.
 
 use {
     dewspar::once::{
@@ -11,7 +12,7 @@
 
 const NOW_MS: u64 = 1_800_000_000_000;
 
-/// The platform: one head and its segments.
+/// The platform's storage of one partition: its head and its segments.
 #[derive(Default)]
 struct Platform {
     version: u64,
@@ -19,7 +20,7 @@
     segments: BTreeMap<String, Vec<u8>>,
 }
 
-/// A node that writes the partition, and what it intends to run.
+/// A node that writes the partition, and its queued intents.
 struct Writer {
     name: usize,
     journal: Journal,
@@ -49,19 +50,19 @@
 
 #[derive(Clone, Copy, Debug)]
 enum Action {
-    /// A caller asks the writer to run a key.
+    /// A caller asks the writer to run the filing with a key.
     Admit { writer: usize, key: u8 },
-    /// The writer writes, and its answer arrives.
+    /// The writer writes, and gets the response.
     Write { writer: usize },
-    /// The writer writes, but its answer is lost; it reads back.
+    /// The writer writes, but the response is lost; it reads the head back.
     WriteLost { writer: usize },
     /// The writer's call never reaches the platform.
     WriteFails { writer: usize },
-    /// The writer settles what it ran.
+    /// The writer settles a filing that it dispatched.
     Settle { writer: usize, not_run: bool },
-    /// An old outcome arrives once more.
+    /// An old outcome arrives again.
     RepeatOutcome { writer: usize },
-    /// The writer is replaced by a fresh process.
+    /// The writer's process is replaced by a new one.
     Crash { writer: usize },
 }
 
@@ -80,7 +81,7 @@
     }
 }
 
-/// All that happens, and how often each key really ran.
+/// The platform, both writers, and how often each key ran.
 struct Simulation {
     platform: Platform,
     writers: Vec<Writer>,
@@ -169,7 +170,7 @@
             }
         }
         for ticket in written {
-            // The intent stands: the filing is dispatched now.
+            // The intent is durable, so the filing is dispatched.
             if let Some((key, actor)) = writer.waiting.remove(&ticket) {
                 self.dispatched[index].push((key, actor));
             }
@@ -197,7 +198,7 @@
     }
 
     fn crash(&mut self, index: usize) {
-        // What was dispatched runs on, and nobody settles it.
+        // Dispatched filings run, but are never settled.
         for (key, _) in std::mem::take(&mut self.dispatched[index]) {
             *self.ran.entry(key).or_default() += 1;
         }
@@ -241,7 +242,7 @@
     let admission = journal.admit(&filing, &second, NOW_MS);
     assert!(matches!(admission, Admission::Queued(_)));
     write(&mut journal);
-    // The first attempt's outcome, sent twice by a layer below.
+    // The first attempt's outcome, duplicated by a lower layer.
     journal.settle(key, &first, Outcome::NotRun, NOW_MS);
     write(&mut journal);
     let third = Actor::new("n3", 3, 1);
@@ -303,10 +304,10 @@
         }
     }
     assert!(platform.segments.len() > 1);
-    // A successor knows every key from the segments and the head.
+    // A successor loads every key from the segments and the head.
     let mut next = Writer::new(1, 2, &platform);
     assert_eq!(next.journal.known_keys(), keys.len());
-    // Long after, the segments are dropped and the keys forgotten.
+    // After the retention window the segments and keys are dropped.
     let later_ms = NOW_MS + RETENTION_MS + 3 * CLOCK_SKEW_MS;
     next.journal.forget_expired(later_ms);
     assert_eq!(next.journal.known_keys(), 0);
--- a/crates/dewspar/tests/slots.rs
+++ b/crates/dewspar/tests/slots.rs
@@ -1,4 +1,5 @@
-//! Slots: never more out than a runner has, whatever becomes of messages.
+//! Slots: a runner never gets more requests than it has slots, even if
+//! messages are lost or delayed and processes are replaced.
 
 use {
     dewspar::slot::{
@@ -14,9 +15,9 @@
 
 #[derive(Clone, Copy, Debug)]
 enum Action {
-    /// A node states what it holds and wants; the message may be lost.
+    /// A node sends a sync, which may be lost.
     Send { node: usize, want: u8, lost: bool },
-    /// The granter takes in the oldest message that is on its way.
+    /// The granter processes the oldest sync in flight.
     Receive,
     /// The oldest reply arrives, or is lost.
     Reply { lost: bool },
@@ -24,7 +25,7 @@
     Start { node: usize },
     /// A request ends.
     End { node: usize },
-    /// A node's process is replaced; its requests end at their deadlines.
+    /// A node's process is replaced; its requests run until their deadlines.
     Crash { node: usize },
     /// The granter's process is replaced.
     Takeover,
@@ -57,9 +58,9 @@
     now_ms: u64,
     granter: Granter,
     holders: Vec<Holder>,
-    // What each holder believes to be running, with its deadline.
+    // The requests of each holder that are running, with their deadlines.
     running: Vec<Vec<(String, u64)>>,
-    // What dead processes left running, until their deadlines.
+    // Requests of replaced processes, which run until their deadlines.
     orphans: Vec<(String, u64)>,
     sent: Vec<(usize, u64, Sync)>,
     replies: Vec<(usize, u64, Reply)>,
@@ -88,7 +89,7 @@
     }
 
     fn takeover(&mut self) {
-        // Messages to the former process are gone with it.
+        // Messages to the former process are lost.
         self.sent.clear();
         self.replies.clear();
         self.granter = Granter::new(self.limits, self.now_ms);
@@ -181,7 +182,8 @@
         }
     }
 
-    /// Returns the most requests on any runner, dead nodes' included.
+    /// Returns the highest number of requests on a runner, including those of
+    /// replaced processes.
     fn max_in_flight(&self) -> u32 {
         let mut counts: BTreeMap<&str, u32> = BTreeMap::new();
         let all = self.running.iter().flatten().chain(&self.orphans);
@@ -208,7 +210,7 @@
         .quickcheck(property as fn(Vec<Action>) -> bool);
 }
 
-/// Brings one sync to the granter, and its reply back if there is one.
+/// Delivers one sync to the granter, and its reply if there is one.
 fn exchange(
     granter: &mut Granter,
     node: &str,
@@ -242,12 +244,16 @@
     assert_eq!(granter.replies(12), []);
     let recalled = granter.recall_candidates(12);
     assert_eq!(recalled, [("n0", Pressure::new(1, 1))]);
-    // The holder gives back what it doesn't use, and the want is met.
+    // The holder returns its idle slots, and the want is met.
     first.set_wanted(0);
     first.recall(Pressure::new(1, 1), 12);
     assert!(!first.must_yield(Some(10)), "its own request is older");
     assert!(first.must_yield(None));
-    assert_eq!(first.next_sync_ms(None), Some(11), "it goes back at once");
+    assert_eq!(
+        first.next_sync_ms(None),
+        Some(11),
+        "idle slots are returned at once"
+    );
     let sync = first.sync(None, 13);
     assert!(granter.sync("n0", &sync, &["n0", "n1"], 13).is_some());
     let replies = granter.replies(13);
@@ -273,7 +279,7 @@
     holder.set_wanted(0);
     exchange(&mut granter, "n0", &mut holder, 12);
     assert_eq!(holder.acquire(13, |_| true), Acquired::Wait);
-    // What is in flight there stays counted until it ends.
+    // Requests in flight on it stay counted until they end.
     assert_eq!(holder.in_use("a"), 1);
 }
 
