--- a/crates/dewspar/src/job/progress.rs
+++ b/crates/dewspar/src/job/progress.rs
@@ -111,8 +111,9 @@
     /// since the first such loss.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub unseen: u32,
-    /// The worker that was ordered to start the last of these runs, while that
-    /// run may be in progress; `None` if no worker was ordered to.
+    /// The worker that was ordered to start the last of these runs; empty if
+    /// the run is recorded but no worker has been ordered to start it, `None`
+    /// if no recorded run is in progress.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub told: Option<String>,
     /// The start time of the worker process that got this order, in
