--- a/crates/dewspar/src/lib.rs
+++ b/crates/dewspar/src/lib.rs
@@ -1,5 +1,5 @@
 /*!
-Scheduling and coordination logic for a fleet shared by several partners.
+Scheduling and coordination logic for a fleet shared by partners who are rivals.
 
 Many nodes stand between callers and targets. They keep nothing on disk, any
 of them may be replaced at any time, and no leader is ever elected. This
@@ -33,10 +33,12 @@
 | [`admit`] | admission control for requests |
 | [`breaker`] | a circuit breaker for services that don't answer |
 | [`overload`] | whether a node keeps up with its work |
+| [`poll`] | adaptive polling intervals for data that grows with the fleet |
 | [`poll_delay`] | how long workers may batch their reports |
 | [`window`] | a congestion window for a node's calls |
 | [`link`] | a bandwidth budget for a node's network link |
 | [`relay`] | which nodes forward a scheduling node's orders |
+| [`feed`] | detection of watch feeds that stop without an error |
 | [`record`] | when to write a record that has a single writer |
 | [`fields`] | unknown record fields, kept for newer versions |
 | [`job`] | submitted jobs and their progress |
--- a/crates/dewspar/src/link.rs
+++ b/crates/dewspar/src/link.rs
@@ -119,9 +119,8 @@
 /// The factor by which the rate rises while calls are fast, in percent.
 const INCREASE_PERCENT: u64 = 125;
 
-/// The overhead of an order beyond its payload, in bytes, including its
-/// headers and the packets of its answer: measured from the bytes of orders by
-/// purpose, plus the headers of two packets.
+/// The overhead of an order beyond its payload, in bytes: its own headers, its
+/// answer, and the headers of two packets.
 const ORDER_BYTES: u64 = 250;
 
 /// The overhead of an order that is sent through a relay, in bytes. It is
--- a/crates/dewspar/src/relay.rs
+++ b/crates/dewspar/src/relay.rs
@@ -65,8 +65,8 @@
 
 /// The calls a second that a node can forward beside its other work, for each
 /// unit of strength (a thousandth of a core, if its link suffices). A call
-/// takes 75 us of processor time, as profiled at 4,500 calls a second; this
-/// rate uses about four tenths of the processor.
+/// takes 75 us of processor time at 4,500 calls a second; this rate uses about
+/// four tenths of the processor.
 const CALLS_PER_STRENGTH: u64 = 5;
 
 /// The ratio of the relays' capacity to the measured rate of calls. The
--- a/crates/dewspar/src/schedule/policy.rs
+++ b/crates/dewspar/src/schedule/policy.rs
@@ -208,8 +208,7 @@
             // An end is reported at once. This bounds how old the progress of
             // a worker without ends is, and how long an end stays unknown
             // whose answer was lost: with 1,000 ms, a day on which some orders
-            // got no answer achieved 0.87 of its value, with 300 ms 0.90
-            // (trials).
+            // got no answer achieved 0.87 of its value, with 300 ms 0.90.
             hold_wait_ms: 300,
             asks_later: true,
         }
--- a/crates/dewspar/src/schedule/sizing.rs
+++ b/crates/dewspar/src/schedule/sizing.rs
@@ -40,7 +40,7 @@
 /// for each one that is assigned to the pool with the smallest. With one, the
 /// days on which a peak begins during a fault achieved 0.04 less of their
 /// value on a site of 48 workers; with seven, as much as without any for the
-/// smallest (trials).
+/// smallest.
 const VMS_TO_NEEDIEST: u32 = 7;
 
 /// The capacity of a pool and the demand on it.
