--- a/crates/dewspar/src/schedule/crash_bursts.rs
+++ b/crates/dewspar/src/schedule/crash_bursts.rs
@@ -141,7 +141,7 @@
         suits: impl Fn(&ReservationRequest, &Worker) -> bool,
     ) -> BTreeMap<WorkerId, ReservedFor> {
         requests.sort_by_key(|request| request.is_bad);
-        let mut kept = BTreeMap::new();
+        let mut reserved = BTreeMap::new();
         let mut left: BTreeMap<&str, RemainingReservations> = BTreeMap::new();
         for request in &requests {
             let left = left.entry(request.pool).or_insert_with(|| {
@@ -156,7 +156,7 @@
             let wanted = ReservedFor::Only(request.task);
             let suitable = self.workers.values().filter(|worker| {
                 worker.listing.pool == request.pool
-                    && !kept.contains_key(worker.id())
+                    && !reserved.contains_key(worker.id())
                     && suits(request, worker)
             });
             // The worker already reserved for the task has fewer unproven runs
@@ -166,10 +166,10 @@
                 (!same, worker.runs.len(), worker.id())
             });
             if let Some(worker) = chosen {
-                kept.insert(worker.id().clone(), wanted);
+                reserved.insert(worker.id().clone(), wanted);
             }
         }
-        kept
+        reserved
     }
 
     fn max_reserved(&self, pool: &str) -> usize {
--- a/crates/dewspar/src/schedule/directory.rs
+++ b/crates/dewspar/src/schedule/directory.rs
@@ -92,8 +92,8 @@
             }
             return;
         }
-        let told = listing.incarnation;
-        match self.check_incarnation(&listing.id, told, "the directory") {
+        let listed = listing.incarnation;
+        match self.check_incarnation(&listing.id, listed, "the directory") {
             IncarnationOrder::Same => {}
             IncarnationOrder::Newer => {
                 self.replace_process(listing, asked_ms, now);
--- a/crates/dewspar/src/schedule/long_running.rs
+++ b/crates/dewspar/src/schedule/long_running.rs
@@ -197,10 +197,9 @@
         let may_start =
             ready && !self.may_run_from_former_lease(job, spec, now);
         let task = |index: &u32| TaskId { index: *index, ..first };
-        let without_place = step
-            .waiting
-            .iter()
-            .filter(|index| self.places.worker_for(&task(index)).is_none());
+        let without_place = step.waiting.iter().filter(|index| {
+            self.reservations.worker_for(&task(index)).is_none()
+        });
         let waiting = if may_start { without_place.count() as u64 } else { 0 };
         Some(StepDemand { first, spec, demand, unplaced, waiting })
     }
--- a/crates/dewspar/src/schedule/placement.rs
+++ b/crates/dewspar/src/schedule/placement.rs
@@ -125,7 +125,7 @@
             // one and has already reported the shortage. Tasks with a
             // reservation don't need free room.
             if pools.full.is_full_for(required.pool, &required.demand)
-                && !self.places.has_any_for(candidate)
+                && !self.reservations.has_any_for(candidate)
             {
                 continue;
             }
@@ -191,7 +191,7 @@
             state.waiting.iter().copied().filter(on_record).collect();
         // Tasks with a reservation go first.
         waiting.sort_by_key(|index| {
-            self.places
+            self.reservations
                 .worker_for(&TaskId { index: *index, ..first })
                 .is_none()
         });
@@ -291,7 +291,7 @@
     /// has a reservation.
     pub(super) fn needs_own_placement(&self, task: &TaskId) -> bool {
         let state = self.jobs[&task.job].task(task);
-        self.places.worker_for(task).is_some()
+        self.reservations.worker_for(task).is_some()
             || state.is_some_and(|state| {
                 !state.avoid.is_empty()
                     || state.crashes.count > 0
@@ -470,7 +470,7 @@
             true => self.isolation_score(worker, spec),
             false => self.score_for(worker, spec),
         };
-        let reserved = self.places.worker_for(task);
+        let reserved = self.reservations.worker_for(task);
         // A long-running task avoids VMs with pending maintenance: it would
         // have to move again and be interrupted twice.
         let stays = |worker: &Worker| {
--- a/crates/dewspar/src/schedule/processes.rs
+++ b/crates/dewspar/src/schedule/processes.rs
@@ -62,12 +62,12 @@
 
 impl IncarnationOrder {
     pub(super) fn compare(
-        told: Incarnation,
+        reported: Incarnation,
         known: Incarnation,
     ) -> IncarnationOrder {
-        if told == known || known == Incarnation::UNKNOWN {
+        if reported == known || known == Incarnation::UNKNOWN {
             IncarnationOrder::Same
-        } else if told > known {
+        } else if reported > known {
             IncarnationOrder::Newer
         } else {
             IncarnationOrder::Older
@@ -159,17 +159,22 @@
     pub(super) fn check_incarnation(
         &mut self,
         id: &WorkerId,
-        told: Incarnation,
+        reported: Incarnation,
         source: &'static str,
     ) -> IncarnationOrder {
         let Some(worker) = self.workers.get(id) else {
             return IncarnationOrder::Same;
         };
         let known = worker.listing.incarnation;
-        let judged = IncarnationOrder::compare(told, known);
+        let judged = IncarnationOrder::compare(reported, known);
         if judged != IncarnationOrder::Same {
             let worker = id.clone();
-            self.note(Decision::OtherProcess { worker, known, told, source });
+            self.note(Decision::OtherProcess {
+                worker,
+                known,
+                told: reported,
+                source,
+            });
         }
         judged
     }
--- a/crates/dewspar/src/schedule/reservations.rs
+++ b/crates/dewspar/src/schedule/reservations.rs
@@ -130,7 +130,7 @@
         if self.is_long_running_gang(task) {
             return self.plan_gang_move(task, now);
         }
-        if let Some(reservation) = self.places.by_task.get(task) {
+        if let Some(reservation) = self.reservations.by_task.get(task) {
             let to = reservation.to.clone();
             return self.claim_reserved_room(task, &to).then_some(to);
         }
@@ -172,7 +172,7 @@
         worker.reserve_for(*task, ReservedRoom { room, was_free });
         let reservation =
             Reservation { from, to: to.clone(), unfit_since_ms: None };
-        self.places.by_task.insert(*task, reservation);
+        self.reservations.by_task.insert(*task, reservation);
     }
 
     /// Renews the reservation of a task whose start has failed; tasks of
@@ -195,7 +195,10 @@
             let step = job.step(task);
             step.is_some_and(|step| step.waiting.contains(&task.index))
         });
-        if long_running && waits && self.places.worker_for(task).is_none() {
+        if long_running
+            && waits
+            && self.reservations.worker_for(task).is_none()
+        {
             self.reserve_room(task, None, to);
         }
     }
@@ -232,22 +235,22 @@
             return;
         }
         let pool = pool.to_owned();
-        self.places.unplaced.entry(pool).or_default().add(&room);
+        self.reservations.unplaced.entry(pool).or_default().add(&room);
     }
 
     /// Clears the record of tasks without room, before they are examined
     /// again.
     pub(super) fn clear_unplaced(&mut self) {
-        self.places.unplaced.clear();
+        self.reservations.unplaced.clear();
     }
 
     /// Reviews all reservations, and reserves capacity for long-running tasks
     /// that have waited for a while.
     pub(super) fn update_reservations(&mut self, now: Now) {
-        if now.steady_ms < self.places.reviewed_ms + REVIEW_INTERVAL_MS {
+        if now.steady_ms < self.reservations.reviewed_ms + REVIEW_INTERVAL_MS {
             return;
         }
-        self.places.reviewed_ms = now.steady_ms;
+        self.reservations.reviewed_ms = now.steady_ms;
         self.review_reservations(now);
         self.review_gang_reservations(now);
         self.reserve_for_waiting(now);
@@ -257,7 +260,7 @@
     /// and switches to workers that are free earlier.
     fn review_reservations(&mut self, now: Now) {
         let mut pending = Vec::new();
-        let tasks = self.places.by_task.keys().copied();
+        let tasks = self.reservations.by_task.keys().copied();
         let singles = tasks.filter(|task| !self.is_long_running_gang(task));
         let singles: Vec<TaskId> = singles.collect();
         for task in singles {
@@ -272,10 +275,10 @@
             }
         }
         let mut pending = self.release_outranked(pending, now);
-        let next = self.places.next_reservation;
+        let next = self.reservations.next_reservation;
         let begin = pending.partition_point(|task| Some(*task) < next);
         pending.rotate_left(begin);
-        self.places.next_reservation =
+        self.reservations.next_reservation =
             pending.get(MAX_SEARCHES_PER_REVIEW).copied();
         for task in pending.into_iter().take(MAX_SEARCHES_PER_REVIEW) {
             self.switch_to_free_worker(&task, now);
@@ -285,7 +288,8 @@
     /// Reserves capacity on another worker for a task whose reservation is
     /// lost.
     fn replace_reservation(&mut self, task: &TaskId, now: Now) {
-        let Some(reservation) = self.places.by_task.get(task).cloned() else {
+        let Some(reservation) = self.reservations.by_task.get(task).cloned()
+        else {
             return;
         };
         self.release_reservation(task, now);
@@ -298,7 +302,7 @@
 
     /// Moves a pending reservation to a worker that has room now.
     fn switch_to_free_worker(&mut self, task: &TaskId, now: Now) {
-        let reservation = self.places.by_task.get(task);
+        let reservation = self.reservations.by_task.get(task);
         let Some(from) =
             reservation.map(|reservation| reservation.from.clone())
         else {
@@ -315,8 +319,8 @@
         let mut steps = self.waiting_long_running_steps();
         // The sort is stable: nearly no step has had a turn, and those without
         // one keep their order.
-        steps.sort_by_key(|step| self.places.turns.last_ms(step));
-        let next = self.places.next_step.take();
+        steps.sort_by_key(|step| self.reservations.turns.last_ms(step));
+        let next = self.reservations.next_step.take();
         let is_next = |step: &TaskId| {
             next.is_some_and(|n| TaskId { index: n.index, ..*step } == n)
         };
@@ -331,7 +335,7 @@
             let tasks = self.tasks_to_reserve_for(&step, now);
             if is_gang {
                 if tries == 0 {
-                    self.places.next_step = Some(step);
+                    self.reservations.next_step = Some(step);
                     return;
                 }
                 let searches = self.reserve_for_gang(&tasks, now);
@@ -340,7 +344,7 @@
             }
             for task in tasks {
                 if tries == 0 {
-                    self.places.next_step = Some(step);
+                    self.reservations.next_step = Some(step);
                     return;
                 }
                 tries -= 1;
@@ -374,8 +378,8 @@
         let waiting = step.waiting.iter();
         let tasks = waiting.map(|index| TaskId { index: *index, ..*first });
         tasks
-            .filter(|task| self.places.worker_for(task).is_none())
-            .filter(|task| !self.places.pending_waits.is_deferred(task))
+            .filter(|task| self.reservations.worker_for(task).is_none())
+            .filter(|task| !self.reservations.pending_waits.is_deferred(task))
             .filter(|task| self.may_start_as_recorded(job, task))
             .collect()
     }
@@ -405,7 +409,7 @@
         task: &TaskId,
         demand: &Resources,
     ) -> bool {
-        let Some(reservation) = self.places.by_task.get(task) else {
+        let Some(reservation) = self.reservations.by_task.get(task) else {
             return false;
         };
         let worker = self.workers.get(&reservation.to);
@@ -415,7 +419,9 @@
     /// Returns the number of VMs that a pool needs to place all tasks that
     /// should move; 0 if each of them has room.
     pub(super) fn vms_needed_for_unplaced(&self, pool: &str) -> u64 {
-        let Some(unplaced) = self.places.unplaced.get(pool) else { return 0 };
+        let Some(unplaced) = self.reservations.unplaced.get(pool) else {
+            return 0;
+        };
         let mut vm = Resources::default();
         for room in &self.capacities {
             vm.cpu_millis = vm.cpu_millis.max(room.cpu_millis);
@@ -433,7 +439,7 @@
 
     /// Releases the reservation of a task, if it has one.
     pub(super) fn release_reservation(&mut self, task: &TaskId, now: Now) {
-        let Some(reservation) = self.places.by_task.remove(task) else {
+        let Some(reservation) = self.reservations.by_task.remove(task) else {
             return;
         };
         if let Some(worker) = self.workers.get_mut(&reservation.to) {
@@ -443,7 +449,7 @@
 
     /// Updates since when the worker of a reservation hasn't suited the task.
     fn update_fitness(&mut self, task: &TaskId, now: Now) {
-        let reservation = self.places.by_task.get(task);
+        let reservation = self.reservations.by_task.get(task);
         let spec = self.step_spec(task);
         let (Some(reservation), Some(spec)) = (reservation, spec) else {
             return;
@@ -452,13 +458,13 @@
             self.suits(spec, task, RoomHorizon::AfterShortTasks, now)(worker)
         });
         let since_ms = reservation.unfit_since_ms.unwrap_or(now.steady_ms);
-        if let Some(reservation) = self.places.by_task.get_mut(task) {
+        if let Some(reservation) = self.reservations.by_task.get_mut(task) {
             reservation.unfit_since_ms = (!fits).then_some(since_ms);
         }
     }
 
     fn reservation_state(&self, task: &TaskId, now: Now) -> ReservationState {
-        let reservation = self.places.by_task.get(task);
+        let reservation = self.reservations.by_task.get(task);
         let job = self.jobs.get(&task.job);
         let spec = job.and_then(|job| job.step_spec(task));
         let (Some(reservation), Some(job), Some(spec)) =
--- a/crates/dewspar/src/schedule/reservations/gang.rs
+++ b/crates/dewspar/src/schedule/reservations/gang.rs
@@ -133,14 +133,14 @@
     pub(super) fn may_have_turn(&self, step: &TaskId, now: Now) -> bool {
         let first = TaskId { index: 0, ..*step };
         let Some(job) = self.jobs.get(&first.job) else { return false };
-        let (turns, pool) = (&self.places.turns, &job.terms.pool);
+        let (turns, pool) = (&self.reservations.turns, &job.terms.pool);
         !turns.is_paused(&first, pool, now.steady_ms)
             && !self.has_gang_with_reservations(pool)
     }
 
     /// Returns whether some gang of a pool has reservations.
     fn has_gang_with_reservations(&self, pool: &str) -> bool {
-        let mut gangs = self.places.turns.since_ms.keys();
+        let mut gangs = self.reservations.turns.since_ms.keys();
         gangs.any(|first| {
             let job = self.jobs.get(&first.job);
             job.is_some_and(|job| job.terms.pool == pool)
@@ -164,7 +164,7 @@
     /// Begins the turn of a member's gang, unless it has begun.
     fn begin_turn(&mut self, member: &TaskId, now: Now) {
         let first = TaskId { index: 0, ..*member };
-        let turns = &mut self.places.turns.since_ms;
+        let turns = &mut self.reservations.turns.since_ms;
         turns.entry(first).or_insert(now.steady_ms);
     }
 
@@ -193,14 +193,14 @@
             .filter(|member| self.worker_to_leave(member).is_some())
             .collect();
         let without_place =
-            |member: &&TaskId| self.places.worker_for(member).is_none();
+            |member: &&TaskId| self.reservations.worker_for(member).is_none();
         let lacking: Vec<TaskId> =
             leaving.iter().filter(without_place).copied().collect();
         if !lacking.is_empty() && !self.reserve_for_gang_move(&lacking, now) {
             return None;
         }
         self.claim_all_reserved(&leaving)
-            .then(|| self.places.worker_for(task).cloned())
+            .then(|| self.reservations.worker_for(task).cloned())
             .flatten()
     }
 
@@ -212,7 +212,7 @@
         let Some(job) = self.jobs.get(&first.job) else { return false };
         let Some(spec) = job.step_spec(first) else { return false };
         let step = TaskId { index: 0, ..*first };
-        let (turns, pool) = (&self.places.turns, &job.terms.pool);
+        let (turns, pool) = (&self.reservations.turns, &job.terms.pool);
         let paused = turns.is_paused(&step, pool, now.steady_ms);
         let mut placements =
             self.place_members(spec, lacking, RoomHorizon::Now, now);
@@ -235,7 +235,7 @@
             Err(count) => {
                 self.release_gang_reservations(first, now);
                 if fits && !paused {
-                    let unplaced = self.places.unplaced.entry(pool);
+                    let unplaced = self.reservations.unplaced.entry(pool);
                     unplaced.or_default().add(&demand.times(count));
                 }
                 false
@@ -280,7 +280,8 @@
     fn claim_all_reserved(&mut self, members: &[TaskId]) -> bool {
         let mut all = true;
         for member in members {
-            let Some(to) = self.places.worker_for(member).cloned() else {
+            let Some(to) = self.reservations.worker_for(member).cloned()
+            else {
                 continue;
             };
             all &= self.claim_reserved_room(member, &to);
@@ -295,7 +296,7 @@
         task: &TaskId,
         now: Now,
     ) -> Option<SuspendedReservation> {
-        let reservation = self.places.by_task.get(task)?.clone();
+        let reservation = self.reservations.by_task.get(task)?.clone();
         let room = self.step_spec(task).map(demand)?;
         self.release_reservation(task, now);
         Some(SuspendedReservation { task: *task, reservation, room })
@@ -311,7 +312,7 @@
             let was_free = worker.free().contains(&room);
             worker.reserve_for(task, ReservedRoom { room, was_free });
         }
-        self.places.by_task.insert(task, reservation);
+        self.reservations.by_task.insert(task, reservation);
     }
 
     /// Reserves the capacity of a gang member whose run has ended, so that it
@@ -323,7 +324,7 @@
         now: Now,
     ) {
         if !self.is_long_running_gang(task)
-            || self.places.worker_for(task).is_some()
+            || self.reservations.worker_for(task).is_some()
             || !self.is_member_waiting(task)
         {
             return;
@@ -369,7 +370,7 @@
     /// workers at most twice, except for gangs that have just ended.
     pub(super) fn review_gang_reservations(&mut self, now: Now) {
         let gangs: Vec<TaskId> =
-            self.places.turns.since_ms.keys().copied().collect();
+            self.reservations.turns.since_ms.keys().copied().collect();
         for first in gangs {
             for member in self.members_of(&first) {
                 self.update_fitness(&member, now);
@@ -385,7 +386,7 @@
                 }
                 GangReservationState::Unneeded => {
                     self.release_gang_reservations(&first, now);
-                    self.places.turns.failed.remove(&first);
+                    self.reservations.turns.failed.remove(&first);
                 }
             }
         }
@@ -409,7 +410,7 @@
             return GangReservationState::Unneeded;
         }
         let all_wait = waiting == members.len();
-        let turns = &self.places.turns;
+        let turns = &self.reservations.turns;
         let since_ms = turns.since_ms.get(first).copied().unwrap_or(0);
         if now.steady_ms >= since_ms + turns.turn_ms(first) {
             let ends = waiting > 0 && !all_wait;
@@ -420,7 +421,7 @@
         }
         let mut lacking = Vec::new();
         for member in members {
-            if self.places.worker_for(&member).is_none() {
+            if self.reservations.worker_for(&member).is_none() {
                 // A running member has its capacity already.
                 if all_wait {
                     lacking.push(member);
@@ -477,10 +478,10 @@
     /// Ends the turn of a gang: releases its reservations and pauses
     /// reservations for gangs in its pool for the same duration.
     fn end_turn(&mut self, first: &TaskId, now: Now) {
-        let turn_ms = self.places.turns.turn_ms(first);
+        let turn_ms = self.reservations.turns.turn_ms(first);
         self.release_gang_reservations(first, now);
         let Some(job) = self.jobs.get(&first.job) else { return };
-        let turns = &mut self.places.turns;
+        let turns = &mut self.reservations.turns;
         let until_ms = now.steady_ms + turn_ms;
         turns.paused_until_ms.insert(job.terms.pool.clone(), until_ms);
         let failed = turns.failed.entry(*first).or_default();
@@ -492,18 +493,18 @@
     fn release_gang_reservations(&mut self, first: &TaskId, now: Now) {
         let last = TaskId { index: u32::MAX, ..*first };
         let first = TaskId { index: 0, ..*first };
-        let reserved = self.places.by_task.range(first..=last);
+        let reserved = self.reservations.by_task.range(first..=last);
         let reserved: Vec<TaskId> = reserved.map(|(task, _)| *task).collect();
         for member in reserved {
             self.release_reservation(&member, now);
         }
-        self.places.turns.since_ms.remove(&first);
+        self.reservations.turns.since_ms.remove(&first);
     }
 
     /// Removes pauses that are over, and the failed turns of gangs that have
     /// started.
     fn drop_finished_turns(&mut self, now: Now) {
-        let (jobs, turns) = (&self.jobs, &mut self.places.turns);
+        let (jobs, turns) = (&self.jobs, &mut self.reservations.turns);
         turns.paused_until_ms.retain(|_, until_ms| now.steady_ms < *until_ms);
         let paused = &turns.paused_until_ms;
         turns.failed.retain(|first, _| {
--- a/crates/dewspar/src/schedule/reservations/outranked.rs
+++ b/crates/dewspar/src/schedule/reservations/outranked.rs
@@ -45,7 +45,7 @@
         pending: Vec<TaskId>,
         now: Now,
     ) -> Vec<TaskId> {
-        let pending_waits = &mut self.places.pending_waits;
+        let pending_waits = &mut self.reservations.pending_waits;
         pending_waits
             .deferred_until_ms
             .retain(|_, until| now.steady_ms < *until);
@@ -60,7 +60,7 @@
         for task in &outranked {
             self.release_reservation(task, now);
             let until_ms = now.steady_ms + OUTRANKED_TIMEOUT_MS;
-            self.places
+            self.reservations
                 .pending_waits
                 .deferred_until_ms
                 .insert(*task, until_ms);
@@ -71,9 +71,9 @@
 
     /// Returns the tasks whose pending reservations are to be released.
     fn outranked(&self, now: Now) -> Vec<TaskId> {
-        let since_ms = self.places.pending_waits.since_ms.iter();
+        let since_ms = self.reservations.pending_waits.since_ms.iter();
         let overdue = since_ms.filter(|(task, since_ms)| {
-            let reservation = self.places.by_task.get(task);
+            let reservation = self.reservations.by_task.get(task);
             now.steady_ms >= **since_ms + OUTRANKED_TIMEOUT_MS
                 && reservation
                     .is_some_and(|reservation| reservation.from.is_none())
--- a/crates/dewspar/src/schedule/scheduler.rs
+++ b/crates/dewspar/src/schedule/scheduler.rs
@@ -120,7 +120,7 @@
     pub(super) vms: BTreeMap<String, ManagedVm>,
     pub(super) pending_moves: BTreeMap<String, PendingMove>,
     /// The reservations for tasks.
-    pub(super) places: Reservations,
+    pub(super) reservations: Reservations,
     /// The moves that the VM service has refused as invalid, by VM and pool.
     pub(super) refused_moves: BTreeSet<(String, String)>,
     pub(super) serving_pools: BTreeSet<String>,
@@ -227,7 +227,7 @@
             waves: BTreeMap::new(),
             vms: BTreeMap::new(),
             pending_moves: BTreeMap::new(),
-            places: Reservations::default(),
+            reservations: Reservations::default(),
             refused_moves: BTreeSet::new(),
             serving_pools: BTreeSet::new(),
             free_pools: BTreeSet::new(),
--- a/crates/dewspar/src/schedule/start_log.rs
+++ b/crates/dewspar/src/schedule/start_log.rs
@@ -304,8 +304,9 @@
         let born = start.born_unix_ms;
         let process =
             born.map_or(Incarnation::UNKNOWN, Incarnation::started_at);
-        let told = RecordedStart::of(WorkerId::new(&start.worker), process);
-        self.note_recorded_start(start.task, told, &start.vm);
+        let recorded =
+            RecordedStart::of(WorkerId::new(&start.worker), process);
+        self.note_recorded_start(start.task, recorded, &start.vm);
         true
     }
 
--- a/crates/dewspar/src/schedule/suspects.rs
+++ b/crates/dewspar/src/schedule/suspects.rs
@@ -726,7 +726,7 @@
     /// pool, several during a burst of crashes there. Otherwise such tasks
     /// would have to wait until nothing starts in a busy pool for a while.
     pub(super) fn reserve_workers(&mut self, waiting: &[TaskId], now: Now) {
-        let mut kept: BTreeMap<&str, (WorkerId, ReservedFor)> =
+        let mut reserved_by_pool: BTreeMap<&str, (WorkerId, ReservedFor)> =
             BTreeMap::new();
         let mut requests = Vec::new();
         for task in waiting {
@@ -738,7 +738,7 @@
             };
             let pool = job.terms.pool.as_str();
             let tested = self.is_tested(state, pool, now) && !spec.gang;
-            if !tested || kept.contains_key(pool) {
+            if !tested || reserved_by_pool.contains_key(pool) {
                 continue;
             }
             if self.crash_bursts.is_active(pool, now) {
@@ -764,11 +764,12 @@
                 suitable.min_by_key(|worker| (worker.runs.len(), worker.id()))
             });
             if let Some(worker) = chosen {
-                kept.insert(pool, (worker.id().clone(), ReservedFor::Tested));
+                reserved_by_pool
+                    .insert(pool, (worker.id().clone(), ReservedFor::Tested));
             }
         }
         let mut reserved: BTreeMap<WorkerId, ReservedFor> =
-            kept.into_values().collect();
+            reserved_by_pool.into_values().collect();
         reserved.extend(
             self.reserve_burst_workers(requests, |request, worker| {
                 self.can_be_reserved(worker, &request.task, now)
