--- a/crates/dewspar/src/admit.rs
+++ b/crates/dewspar/src/admit.rs
@@ -1,15 +1,16 @@
 /*!
-Admission: which request is accepted, and who of the waiting goes next.
+Admission control and weighted fair queueing of requests.
 
-Requests wait for a slot in one [`Queue`] per service. It is fair between
-partners: each has its own line, and the line goes first whose partner has
-used the least of late, by weight. A partner that sends ten times its share
-waits behind itself and not in front of others. A share that its partner
-doesn't use is lent, and returns at once: who used little has the first call.
-Use is forgotten by half each second.
+Requests wait for a slot in one [`Queue`] per service, which is fair between
+partners: each partner has its own queue, and the next request comes from the
+partner with the lowest recent usage relative to its weight. A partner that
+sends ten times its share therefore delays its own requests and not those of
+others. Capacity that a partner doesn't use goes to the others; the partner
+gets it back at once, because low usage gives it precedence. Usage decays with
+a half-life of one second.
 
-A request that can't meet its deadline is refused when it arrives, with a
-time to come back, and not when the deadline has passed.
+A request that can't meet its deadline is refused on arrival, with a time
+after which to retry, and not only when the deadline has passed.
 
 # Example
 
@@ -23,7 +24,7 @@
 let order: String = std::iter::from_fn(|| queue.pop(0)).collect();
 assert_eq!(order, "acb");
 
-// Four wait at most; more are refused with a time to come back.
+// At most four requests wait; more are refused with a retry time.
 for _ in 0..4 {
     queue.push("bank", 1, 1_000, 0, 'x')?;
 }
@@ -38,7 +39,7 @@
     std::collections::{BTreeMap, VecDeque},
 };
 
-/// Why a request was not accepted.
+/// The reason why a request was not accepted.
 #[derive(Clone, Debug, Display, Eq, PartialEq)]
 #[non_exhaustive]
 pub enum Refusal {
@@ -75,41 +76,44 @@
 
 #[derive(Debug)]
 struct PartnerQueue<T> {
-    // Requests of late, in the unit of the moment; see `Queue::unit`.
+    // Decayed number of recent requests, scaled by `Queue::unit`.
     usage: f64,
     weight: u32,
     waiting: VecDeque<Waiting<T>>,
 }
 
-/// After how long half of a partner's use is forgotten, in milliseconds.
+/// The half-life of a partner's recorded usage, in milliseconds.
 const HALF_LIFE_MS: f64 = 1_000.0;
 
-/// When the unit has grown so large that it is made small again.
+/// The unit from which all usage is rescaled, to limit the magnitude of the
+/// numbers.
 const RESCALE_THRESHOLD: f64 = 1e12;
 
-/// The share of one request below which use is forgotten.
+/// The usage, in requests, at or below which an idle partner is removed.
 const NEGLIGIBLE_USAGE: f64 = 0.001;
 
-/// How many past results the estimate of the wait weighs, as a shift.
+/// The smoothing of the moving average of departure gaps, as a shift: a new
+/// gap has a weight of 1/2^`SMOOTHING_SHIFT`.
 const SMOOTHING_SHIFT: u32 = 4;
 
 /// The requests that wait for a slot of one service.
 #[derive(Debug)]
 pub struct Queue<T> {
     max_per_partner: usize,
-    // What one request counts now. It doubles each half life, which is the
-    // same as halving what was counted before.
+    // The usage that one request adds now. It doubles each half-life, which
+    // is equivalent to halving all recorded usage.
     unit: f64,
     unit_ms: u64,
     partners: BTreeMap<String, PartnerQueue<T>>,
     len: usize,
-    // Smoothed time between two departures, in microseconds.
+    // Moving average of the time between two departures, in microseconds.
     gap_us: u64,
     last_departure_ms: Option<u64>,
 }
 
 impl<T> Queue<T> {
-    /// Makes an empty queue that holds so many requests of each partner.
+    /// Creates an empty queue for at most `max_per_partner` requests of each
+    /// partner.
     pub fn new(max_per_partner: usize) -> Queue<T> {
         Queue {
             max_per_partner,
@@ -122,7 +126,7 @@
         }
     }
 
-    /// Returns how many requests wait.
+    /// Returns the number of waiting requests.
     pub fn len(&self) -> usize {
         self.len
     }
@@ -132,8 +136,7 @@
         self.len == 0
     }
 
-    /// Returns since when the oldest request waits, by the time that it was
-    /// pushed with.
+    /// Returns the time at which the oldest waiting request was pushed.
     pub fn oldest_ms(&self) -> Option<u64> {
         if self.len == 0 {
             return None;
@@ -143,23 +146,23 @@
         firsts.map(|waiting| waiting.since_ms).min()
     }
 
-    /// Returns how long a request of the partner would wait, in
+    /// Returns the expected wait of a new request of the partner, in
     /// milliseconds.
     pub fn expected_wait_ms(&self, partner: &str) -> u64 {
         let own =
             self.partners.get(partner).map_or(0, |queue| queue.waiting.len());
         let waiting_partners =
             self.partners.values().filter(|queue| !queue.waiting.is_empty());
-        // While others wait too, a line moves once per round.
+        // While other partners wait too, each gets one request per round.
         let ahead = (own * waiting_partners.count().max(1)).min(self.len);
         ahead as u64 * self.gap_us / 1_000
     }
 
-    /// Lets a request wait.
+    /// Appends a request to its partner's queue.
     ///
     /// # Errors
     ///
-    /// Returns the item with a [`Refusal`] when the partner's line is full
+    /// Returns the item with a [`Refusal`] when the partner's queue is full
     /// or the deadline would pass first.
     pub fn push(
         &mut self,
@@ -189,7 +192,7 @@
         Ok(())
     }
 
-    /// Counts a request that went at once, without waiting here.
+    /// Records a request that got a slot at once, without being queued.
     pub fn record_immediate(
         &mut self,
         partner: &str,
@@ -209,7 +212,7 @@
         }
     }
 
-    /// Returns the request that goes next.
+    /// Removes and returns the request to dispatch next.
     pub fn pop(&mut self, now_ms: u64) -> Option<T> {
         self.update_unit(now_ms);
         let weighted_usage =
@@ -225,7 +228,8 @@
         Some(waiting.item)
     }
 
-    /// Brings the unit up to the time.
+    /// Grows the unit with the time passed, and rescales all usage if the unit
+    /// has become too large.
     fn update_unit(&mut self, now_ms: u64) {
         let passed_ms = now_ms.saturating_sub(self.unit_ms);
         self.unit_ms = self.unit_ms.max(now_ms);
@@ -243,10 +247,10 @@
         });
     }
 
-    /// Records that a request left for a runner, for the estimate.
+    /// Records that a queued request was dispatched, to estimate waits.
     pub fn record_departure(&mut self, now_ms: u64) {
         if self.is_empty() {
-            // A gap without anyone waiting says nothing about the wait.
+            // A gap while no request waits doesn't reflect the service rate.
             self.last_departure_ms = None;
             return;
         }
@@ -259,8 +263,8 @@
         self.last_departure_ms = Some(now_ms);
     }
 
-    /// Removes and returns the requests whose deadline has passed, or that
-    /// `abandoned` says nobody waits for.
+    /// Removes and returns the requests whose deadline has passed, or whose
+    /// caller has gone according to `abandoned`.
     pub fn expire(
         &mut self,
         now_ms: u64,
--- a/crates/dewspar/src/breaker.rs
+++ b/crates/dewspar/src/breaker.rs
@@ -1,32 +1,32 @@
 /*!
-Whether a service that has stopped answering should be sent more.
-
-A call that can't be taken back costs its caller dearly when its answer is
-lost: nobody knows whether it was done. While a service is out, every such
-call ends that way, unless it is refused before it is sent; then the caller
-knows that nothing was done and can come back.
-
-A [`Breaker`] tells the two apart by what came back of late. A failure, or a
-call that waits too long while nothing else is answered either, makes the
-service *suspect*: one harmless call probes it, and new calls wait for the
-verdict. If the probe is answered the failure was a single call's own; if not,
-the service counts as *out*, and new calls are refused at once until a later
-probe is answered. Any other answer says as much as a probe's, so whatever is
-told to a breaker may decide what becomes of the calls that wait: the
-[`Change`] that it returns says so.
+A circuit breaker for a service whose lost answers are costly.
+
+When the answer to a call that can't be undone is lost, its caller can't tell
+whether the call took effect. While a service is down, every such call ends
+that way, unless it is refused before it is sent; then the caller knows that
+nothing was done and can retry later.
+
+A [`Breaker`] decides from recent results. After a failure, or when a call
+gets no answer for too long while no other call is answered either, the
+service becomes *suspect*: a call without side effects probes it, and new
+calls wait for the result. If the probe is answered, only the single call had
+failed. If not, the breaker *opens*, and new calls are refused at once until a
+later probe is answered. Any other answer counts like a successful probe, so
+every recorded answer may decide the waiting calls: the returned [`Change`]
+says so.
 
 | state | new calls | probes |
 |---|---|---|
 | closed | are sent | none |
-| suspect | wait for the verdict | one |
-| out | are refused | one after the other, until one is answered |
+| suspect | wait for the result of the probe | one |
+| open | are refused | one after the other, until one is answered |
 
 # Example
 
 ```
 use dewspar::breaker::{Admission, Breaker, Change};
 
-// Silence of 400 ms is too long.
+// The service is suspect after 400 ms without an answer.
 let mut breaker = Breaker::new(400);
 assert_eq!(breaker.admit(1_000), Admission::Send);
 breaker.sent(1_000);
@@ -43,35 +43,36 @@
 
 use std::collections::VecDeque;
 
-/// What to do with a new call.
+/// The decision on a new call.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Admission {
-    /// Send it.
+    /// Send the call.
     Send,
-    /// Ask again in a moment: a probe is under way.
+    /// Wait, and ask again after a [`Change`]: the result of a probe is
+    /// pending.
     Wait,
-    /// Refuse it: it would most likely be lost.
+    /// Refuse the call: its answer would most likely be lost.
     Refuse {
-        /// For how long the service has been out, in milliseconds.
+        /// How long the breaker has been open, in milliseconds.
         out_for_ms: u64,
     },
 }
 
-/// What an answer or a probe changed for new calls.
+/// The effect of an answer or a probe on waiting and new calls.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Change {
-    /// Nothing.
+    /// Nothing changed.
     Unchanged,
-    /// Those that wait may be sent: the service was suspect for nothing.
+    /// The suspicion was unfounded; waiting calls may be sent.
     Cleared,
-    /// New calls are sent again.
+    /// The breaker closed; new calls are sent again.
     Closed {
-        /// For how long the service was out, in milliseconds.
+        /// How long the breaker was open, in milliseconds.
         out_for_ms: u64,
     },
-    /// New calls are refused from now on, and so are those that wait.
+    /// The breaker opened; new calls and waiting calls are refused.
     Opened {
-        /// For how long it was suspect before, in milliseconds.
+        /// How long the service was suspect before, in milliseconds.
         suspect_for_ms: u64,
     },
 }
@@ -83,20 +84,20 @@
     Open { since_ms: u64 },
 }
 
-/// Whether a service answers, by the calls of one node.
+/// A circuit breaker, fed with the results of one node's calls.
 #[derive(Clone, Debug)]
 pub struct Breaker {
     silence_ms: u64,
     state: State,
-    /// When each call was sent that has no result yet, in their order.
+    /// The times at which the calls in flight were sent, oldest first.
     waiting: VecDeque<u64>,
     answered_ms: u64,
     probing: bool,
 }
 
 impl Breaker {
-    /// Makes a breaker that takes a service for suspect once a call has
-    /// waited for `silence_ms` milliseconds, while nothing was answered.
+    /// Creates a closed breaker. The service becomes suspect when calls are in
+    /// flight and none was answered for `silence_ms` milliseconds.
     pub fn new(silence_ms: u64) -> Breaker {
         Breaker {
             silence_ms,
@@ -107,7 +108,7 @@
         }
     }
 
-    /// Returns what to do with a new call.
+    /// Decides on a new call.
     pub fn admit(&mut self, now_ms: u64) -> Admission {
         self.suspect_if_silent(now_ms);
         match self.state {
@@ -119,20 +120,21 @@
         }
     }
 
-    /// Notes that a call was sent; one of [`answered`](Breaker::answered),
-    /// [`failed`](Breaker::failed) and [`abandoned`](Breaker::abandoned) follows.
+    /// Records that a call was sent; one of [`answered`](Breaker::answered),
+    /// [`failed`](Breaker::failed) and [`abandoned`](Breaker::abandoned)
+    /// follows.
     pub fn sent(&mut self, now_ms: u64) {
         self.waiting.push_back(now_ms);
     }
 
-    /// Notes that a call was answered, whatever the answer says.
+    /// Records that a call was answered, with success or an error.
     pub fn answered(&mut self, now_ms: u64) -> Change {
         self.waiting.pop_front();
         self.other_answered(now_ms)
     }
 
-    /// Notes that something else was answered, such as a call that nobody
-    /// noted as sent.
+    /// Records any other answer of the service, such as to a call that wasn't
+    /// recorded as sent.
     pub fn other_answered(&mut self, now_ms: u64) -> Change {
         self.answered_ms = now_ms;
         match std::mem::replace(&mut self.state, State::Closed) {
@@ -144,21 +146,21 @@
         }
     }
 
-    /// Notes that a call got no result.
+    /// Records that a call got no result.
     pub fn failed(&mut self, now_ms: u64) {
         self.waiting.pop_front();
         self.suspect(now_ms);
     }
 
-    /// Notes that nobody waits for a call any more; its silence until now
+    /// Records that the caller abandoned a call; the time it went unanswered
     /// still counts.
     pub fn abandoned(&mut self, now_ms: u64) {
         self.suspect_if_silent(now_ms);
         self.waiting.pop_front();
     }
 
-    /// Returns whether probing is to begin now; the result of each probe goes
-    /// to [`probed`](Breaker::probed).
+    /// Returns whether the caller must start probing now; the result of each
+    /// probe goes to [`probed`](Breaker::probed).
     pub fn start_probing(&mut self, now_ms: u64) -> bool {
         self.suspect_if_silent(now_ms);
         let wanted = self.state != State::Closed && !self.probing;
@@ -166,10 +168,11 @@
         wanted
     }
 
-    /// Takes in whether a probe was answered; one that wasn't is followed by
-    /// another while [`continue_probing`](Breaker::continue_probing) says so.
+    /// Records whether a probe was answered; ask
+    /// [`continue_probing`](Breaker::continue_probing) whether to send
+    /// another.
     ///
-    /// One that wasn't says nothing if something else was answered meanwhile.
+    /// A failed probe is ignored if another answer came in the meantime.
     pub fn probed(&mut self, answered: bool, now_ms: u64) -> Change {
         if answered {
             return self.other_answered(now_ms);
@@ -181,13 +184,13 @@
         Change::Opened { suspect_for_ms: now_ms.saturating_sub(since_ms) }
     }
 
-    /// Returns whether another probe is to follow; if not, probing is over.
+    /// Returns whether to send another probe; if not, probing ends.
     pub fn continue_probing(&mut self) -> bool {
         self.probing = self.state != State::Closed;
         self.probing
     }
 
-    /// Returns whether the service counts as out.
+    /// Returns whether the breaker is open.
     pub fn is_open(&self) -> bool {
         matches!(self.state, State::Open { .. })
     }
--- a/crates/dewspar/src/budget.rs
+++ b/crates/dewspar/src/budget.rs
@@ -1,15 +1,15 @@
 /*!
-Availability budgets: whether one more VM may be taken.
+Availability budgets: whether one more VM may be taken out of service.
 
-A budget names a pool, and either the VMs or the runners of one service in
-it, and says how many must be available at every moment. A VM that failed
-counts against it like one that a wave took, so a wave waits after a failure.
-With `survive_rack`, the budget must still hold if the worst single rack were
-lost right after.
+A budget names a pool and the minimum number of its VMs, or of the runners of
+one service in it, that must be available at any time. A failed VM counts
+against the budget like one taken by a maintenance wave, so a wave waits after
+a failure. With `survive_rack`, the budget must also hold if any single rack
+were lost in addition.
 
-The answer is computed from the pool's one document and is carried out by
-swapping that document. Two nodes that race for the last unit therefore
-collide, and the loser asks again.
+The verdict is computed from the pool's single document, and is applied by a
+compare-and-swap of that document. Two nodes that race for the last unit
+therefore conflict, and the loser computes the verdict again.
 
 # Example
 
@@ -58,18 +58,18 @@
     std::{collections::BTreeSet, fmt},
 };
 
-/// Whether one more VM may be taken.
+/// The verdict on taking a VM or stopping a task.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Verdict {
-    /// Every budget holds without it.
+    /// Every budget still holds.
     Yes,
-    /// The VM is out already.
+    /// The VM is already out of service.
     AlreadyTaken,
-    /// This budget would be broken.
+    /// This budget would be violated.
     No(Shortage),
 }
 
-/// The budget that stands in the way.
+/// A budget that is or would be violated.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Shortage {
     budget: String,
@@ -84,12 +84,12 @@
         &self.budget
     }
 
-    /// Returns how many must be available.
+    /// Returns the number of VMs or runners that must be available.
     pub fn needed(&self) -> u32 {
         self.needed
     }
 
-    /// Returns how many would be left.
+    /// Returns the number of VMs or runners that would be left.
     pub fn left(&self) -> u32 {
         self.left
     }
@@ -109,9 +109,9 @@
     }
 }
 
-/// Says whether `vm` may be taken from the pool.
+/// Returns whether `vm` may be taken out of service in the pool.
 ///
-/// `rows` are the rows of the pool's VMs; others are passed over.
+/// `rows` are the rows of the pool's VMs; rows of other VMs are ignored.
 pub fn may_take(
     snapshot: &Snapshot,
     pool: &str,
@@ -129,7 +129,7 @@
     }
 }
 
-/// Says whether one running task may stop for a moment, as for a move.
+/// Returns whether a running task may be interrupted, for example for a move.
 pub fn may_stop(
     snapshot: &Snapshot,
     pool: &str,
@@ -145,7 +145,7 @@
     }
 }
 
-/// Returns the first budget of the pool that is broken as things stand.
+/// Returns the first budget of the pool that is violated in the current state.
 pub fn first_violation(
     snapshot: &Snapshot,
     pool: &str,
@@ -204,7 +204,8 @@
     })
 }
 
-/// Counts what a budget counts, without the VMs in `out` and `lost_rack`.
+/// Returns the number of available VMs or runners, without those on the VMs in
+/// `out` and in `lost_rack`.
 fn available(
     spec: &AvailabilityBudgetSpec,
     state: &PoolState,
--- a/crates/dewspar/src/overload.rs
+++ b/crates/dewspar/src/overload.rs
@@ -1,23 +1,23 @@
 /*!
-Telling whether a node keeps up with its work, by its own orders.
+Overload detection for a node, from the round-trip times of its own orders.
 
 An order that is answered at once takes a few milliseconds, whichever worker
-answers. A node that gets less of the processor than its work takes reads
-answers late, so *every* order seems to take long. Lost answers say nothing of
-that kind: they are the network's or the worker's doing. So the median of the
-orders that were answered of late tells an overloaded node from a faulty
-fleet, and such a node should hand over rather than go on.
+answers. A node with less CPU time than its work needs reads answers late, so
+*every* order seems to take long. Lost answers are no sign of overload: they
+are caused by the network or the worker. So the median round-trip time of
+recently answered orders distinguishes an overloaded node from a faulty fleet.
+An overloaded node should hand over its work.
 
 # Example
 
 ```
 use dewspar::overload::RoundTrips;
 
-// Half a second of orders that take 100 ms at the median.
+// Overloaded once the median order has taken 100 ms or more for 500 ms.
 let mut trips = RoundTrips::new(500);
 let slow_ms = 100;
 for order in 0..40 {
-    // A few slow workers don't matter.
+    // A few slow workers have no effect.
     let took_ms = if order % 4 == 0 { 180 } else { 3 };
     trips.record(1_000 + order, took_ms);
 }
@@ -33,41 +33,41 @@
 
 use std::collections::VecDeque;
 
-/// How many orders must have been answered for a judgement.
+/// The minimum number of answered orders for a decision.
 const MIN_ORDERS: usize = 20;
 
-/// How many orders are kept at most: as many as a busy node sends in a
-/// fraction of a second, and few enough to sort at every look.
+/// The maximum number of orders kept: as many as a busy node sends in a
+/// fraction of a second, and few enough to scan at each check.
 const MAX_ORDERS: usize = 128;
 
-/// How long an answer counts, in milliseconds.
+/// How long an answered order is considered, in milliseconds.
 const WINDOW_MS: u64 = 2_000;
 
-/// An order that was answered.
+/// An answered order.
 #[derive(Clone, Copy, Debug)]
 struct RoundTrip {
     at_ms: u64,
     took_ms: u64,
 }
 
-/// How long orders took that were answered of late.
+/// The round-trip times of recently answered orders.
 #[derive(Clone, Debug)]
 pub struct RoundTrips {
     sustained_ms: u64,
     recent: VecDeque<RoundTrip>,
-    /// Since when every look found them slow.
+    /// Since when every check found the median slow.
     slow_since_ms: Option<u64>,
 }
 
 impl RoundTrips {
-    /// Makes a measure by which a node can't keep up once the median order
-    /// has been slow for `sustained_ms`.
+    /// Creates a detector that reports overload once the median order has been
+    /// slow for `sustained_ms` milliseconds.
     pub fn new(sustained_ms: u64) -> RoundTrips {
         let recent = VecDeque::new();
         RoundTrips { sustained_ms, recent, slow_since_ms: None }
     }
 
-    /// Takes note of an answer, on a clock that never jumps.
+    /// Records an answered order, on a monotonic clock.
     pub fn record(&mut self, at_ms: u64, took_ms: u64) {
         if self.recent.len() == MAX_ORDERS {
             self.recent.pop_front();
@@ -75,8 +75,10 @@
         self.recent.push_back(RoundTrip { at_ms, took_ms });
     }
 
-    /// Returns whether the node can't keep up, where an order is slow that
-    /// takes `slow_ms` or longer; to be asked again and again.
+    /// Returns whether the node is overloaded. An order is slow if it took
+    /// `slow_ms` or longer.
+    ///
+    /// Call it regularly: the median must be slow at every call.
     pub fn is_overloaded(&mut self, now_ms: u64, slow_ms: u64) -> bool {
         if !self.is_median_slow(now_ms, slow_ms) {
             self.slow_since_ms = None;
--- a/crates/dewspar/src/poll_delay.rs
+++ b/crates/dewspar/src/poll_delay.rs
@@ -1,21 +1,21 @@
 /*!
-Whether a node has more work than its processor gets done, and how much longer
-it may then let its workers gather what they have to tell.
+An adaptive delay between two polls of a worker, for nodes short of CPU time.
 
-A node that takes in events, decides and sends again takes them in as soon as
-they come while it has time. Once it has none, each event waits until the node
-has gone round through everything else. That wait says how short the processor
-is, whatever the node is and whatever else it does.
+A node processes events, makes decisions and sends calls. While it has CPU time
+to spare, it processes each event as it arrives. Once it has none, each event
+waits until the node has finished a round through all its other work. That wait
+shows how short of CPU time the node is, whatever its hardware and its load.
 
-Work can be saved where many small answers can be one larger one. A worker that
-is asked again at once answers with the next end; asked some tens of
-milliseconds later it answers once with all that ended meanwhile. That makes
-each end known a little later, so it is done only while the processor is short:
-a [`PollDelay`] looks at the events of each tenth of a second. If most of them
-waited for long the pause doubles, else it is halved, until there is none.
+Work can be saved by batching many small answers into one larger one. A worker
+that is polled again at once reports the next end of a task; a worker that is
+polled some tens of milliseconds later reports all ends since then in one
+answer. The node then learns of each end a little later, so it delays polls
+only while it is short of CPU time: a [`PollDelay`] looks at the events of each
+tenth of a second. If most of them waited long the delay doubles, otherwise it
+is halved, down to none.
 
-The median decides, so that one stall of the whole node, or one burst of events,
-changes little.
+The median decides, so a single stall of the whole node, or a single burst of
+events, has little effect.
 
 # Example
 
@@ -23,19 +23,19 @@
 use dewspar::poll_delay::PollDelay;
 
 let mut delay = PollDelay::default();
-// Events that are taken in as they come, but for a few.
+// All but a few events are processed as they arrive.
 for at_ms in 0..200 {
     delay.record_wait(if at_ms % 10 == 0 { 90 } else { 0 }, at_ms);
 }
 assert_eq!(delay.delay_ms(), 0);
 
-// Events that wait for their turn.
+// Events wait until the node has time.
 for at_ms in 200..1_000 {
     delay.record_wait(12, at_ms);
 }
 assert!(delay.delay_ms() >= 100);
 
-// And when the peak is over.
+// After the peak the delay ends.
 for at_ms in 1_000..2_000 {
     delay.record_wait(1, at_ms);
 }
@@ -43,41 +43,43 @@
 ```
 */
 
-/// How long an event waits where the processor is short, in milliseconds: a
-/// node of half a core that starts and asks as fast as it can goes round in
-/// 20 to 70 ms, one that keeps up in 2 (example `planning`).
+/// The wait of an event from which the node counts as short of CPU time, in
+/// milliseconds. A node with half a core that starts tasks and polls as fast
+/// as it can takes 20 to 70 ms per round; a node that keeps up takes 2 ms
+/// (example `planning`).
 const LONG_WAIT_MS: u64 = 5;
 
-/// How often the pause is adapted, in milliseconds: some rounds of a node that
-/// is short of time.
+/// The interval at which the delay is adapted, in milliseconds: several rounds
+/// of a node that is short of CPU time.
 const ADAPT_INTERVAL_MS: u64 = 100;
 
-/// How many events an interval must have had to say anything: with fewer there
-/// is no work to be saved.
+/// The minimum number of events in an interval for a delay: with fewer there
+/// is no work to save.
 const MIN_EVENTS: u64 = 20;
 
-/// The shortest pause, in milliseconds: a few ends of a worker that runs short
-/// tasks, not much longer than their way.
+/// The shortest delay, in milliseconds: a few ends of a worker that runs short
+/// tasks, and not much longer than the network round trip.
 const MIN_DELAY_MS: u64 = 25;
 
-/// The longest pause, in milliseconds. Room is known to be free so much later:
-/// with 50, 100, 200 and 400 ms a short node started 9,463, 9,559, 8,882 and
-/// 7,936 tasks of 0.46 s, and 8,277 without a pause (example `planning`).
+/// The longest delay, in milliseconds. The node learns of freed capacity later
+/// by up to this time: with 50, 100, 200 and 400 ms a node short of CPU time
+/// started 9,463, 9,559, 8,882 and 7,936 tasks of 0.46 s, and 8,277 without a
+/// delay (example `planning`).
 const MAX_DELAY_MS: u64 = 100;
 
-/// How long workers that are asked may gather what they have to tell.
+/// The delay before workers that have answered are polled again.
 #[derive(Clone, Debug, Default)]
 pub struct PollDelay {
     delay_ms: u64,
-    /// Since when events are counted, on the steady clock in milliseconds.
+    /// Start of the current interval, on the monotonic clock, in milliseconds.
     since_ms: u64,
     events: u64,
-    /// How many of them waited for long.
+    /// The number of them that waited long.
     long_waits: u64,
 }
 
 impl PollDelay {
-    /// Notes that an event had waited so long before it was taken in now, in
+    /// Records how long an event had waited when it was processed now, in
     /// milliseconds.
     pub fn record_wait(&mut self, waited_ms: u64, now_ms: u64) {
         if now_ms >= self.since_ms + ADAPT_INTERVAL_MS {
@@ -102,8 +104,8 @@
         };
     }
 
-    /// Returns how long to wait after a worker's answer before it is asked
-    /// again, in milliseconds; 0 while the processor isn't short.
+    /// Returns the delay between a worker's answer and the next poll, in
+    /// milliseconds; 0 while the node isn't short of CPU time.
     pub fn delay_ms(&self) -> u64 {
         self.delay_ms
     }
--- a/crates/dewspar/src/pool.rs
+++ b/crates/dewspar/src/pool.rs
@@ -1,11 +1,12 @@
 /*!
-A pool's agreed state: its tasks, and its disruption ledger, in one value.
+A pool's shared state: its tasks and its disruption ledger, in one value.
 
-A budget holds only if "how many are out" and "take one more" are decided
-together. Only single-key compare-and-swap is promised, so both live in one
-document per pool, the [`PoolState`]: which VMs are *taken* and why, and which
-VM carries which task. A VM is taken here before it may drain in its hall's
-document, and released here after it serves again.
+A budget holds only if counting the VMs that are out of service and taking one
+more is a single atomic step. The platform guarantees only single-key
+compare-and-swap, so both are in one document per pool, the [`PoolState`]: the
+*taken* VMs with the reasons, and the placement of tasks on VMs. A VM is taken
+here before it may drain in its hall's document, and released here after it
+serves again.
 
 # Example
 
@@ -29,15 +30,15 @@
     std::{collections::BTreeMap, fmt},
 };
 
-/// Why a VM is out of service.
+/// The reason why a VM is out of service.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Reason {
-    /// The named maintenance wave took it.
+    /// The named maintenance wave took the VM.
     Wave(String),
-    /// It failed.
+    /// The VM failed.
     Failure,
-    /// It moves to another pool.
+    /// The VM moves to another pool.
     Move,
 }
 
@@ -51,7 +52,7 @@
     }
 }
 
-/// One VM in the ledger.
+/// The ledger's entry for a VM that is out of service.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Taken {
     reason: Reason,
@@ -59,7 +60,7 @@
 }
 
 impl Taken {
-    /// Returns why the VM is out.
+    /// Returns why the VM is out of service.
     pub fn reason(&self) -> &Reason {
         &self.reason
     }
@@ -70,19 +71,20 @@
     }
 }
 
-/// Where a task is on its way.
+/// The state of a task.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TaskState {
-    /// It has no VM.
+    /// The task isn't placed on a VM.
     Waiting,
-    /// Its worker has been, or is about to be, asked to start it.
+    /// The start of the task is recorded; its worker has been, or is about to
+    /// be, ordered to start it.
     Starting,
-    /// Its worker reported it running.
+    /// The worker reported the task running.
     Running,
-    /// It ran to its end.
+    /// The task ran to completion.
     Finished,
-    /// It is no longer wanted.
+    /// The task is no longer wanted.
     Removed,
 }
 
@@ -108,7 +110,7 @@
     }
 }
 
-/// A task's row.
+/// A task's entry in the pool's document.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Task {
     owner: String,
@@ -131,17 +133,17 @@
         &self.owner
     }
 
-    /// Returns where the task is on its way.
+    /// Returns the task's state.
     pub fn state(&self) -> TaskState {
         self.state
     }
 
-    /// Returns the VM that carries it; empty while it waits.
+    /// Returns the VM of the task's last placement; empty before the first.
     pub fn vm(&self) -> &str {
         &self.vm
     }
 
-    /// Returns the number that fences starts of the task.
+    /// Returns the epoch, the fencing token for starts of the task.
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
@@ -151,12 +153,12 @@
         self.since_ms
     }
 
-    /// Returns the address that the running task serves at.
+    /// Returns the address of the running task.
     pub fn address(&self) -> &str {
         &self.address
     }
 
-    /// Returns how often the task changed its VM.
+    /// Returns how often the task was moved to another VM.
     pub fn moves(&self) -> u32 {
         self.moves
     }
@@ -167,7 +169,7 @@
     }
 }
 
-/// Why a task was left as it is.
+/// The reason why a task was not changed.
 #[derive(Clone, Debug, Display, Eq, PartialEq)]
 #[non_exhaustive]
 pub enum Error {
@@ -179,21 +181,21 @@
         task: String,
         /// The epoch in the report.
         given: u64,
-        /// The epoch in force.
+        /// The current epoch.
         current: u64,
     },
     /// task `{task}`: {refusal}
     Refused {
         /// The task's name.
         task: String,
-        /// What the chart said.
+        /// The state chart's error.
         refusal: chart::Error,
     },
 }
 
 impl std::error::Error for Error {}
 
-/// A pool's agreed state.
+/// A pool's shared state.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct PoolState {
     taken: BTreeMap<String, Taken>,
@@ -203,17 +205,18 @@
 }
 
 impl PoolState {
-    /// Returns the VMs that are out, with why and since when.
+    /// Returns the VMs that are out of service, with their ledger entries.
     pub fn taken(&self) -> impl Iterator<Item = (&str, &Taken)> {
         self.taken.iter().map(|(vm, taken)| (vm.as_str(), taken))
     }
 
-    /// Returns whether the VM is out.
+    /// Returns whether the VM is out of service.
     pub fn is_taken(&self, vm: &str) -> bool {
         self.taken.contains_key(vm)
     }
 
-    /// Enters a VM into the ledger; a failure overrides any other reason.
+    /// Adds a VM to the ledger. The reason, such as a failure, replaces any
+    /// earlier one.
     pub fn take(&mut self, vm: &str, reason: Reason, now_ms: u64) {
         let taken = Taken { reason, since_ms: now_ms };
         self.taken.insert(vm.to_owned(), taken);
@@ -234,7 +237,7 @@
         self.tasks.get(name)
     }
 
-    /// Returns the tasks that a VM carries.
+    /// Returns the tasks placed on a VM.
     pub fn tasks_on<'a>(
         &'a self,
         vm: &'a str,
@@ -242,7 +245,7 @@
         self.tasks().filter(move |(_, task)| task.vm == vm)
     }
 
-    /// Records that a task waits, and why; returns whether that is news.
+    /// Records that a task waits, and why; returns whether that is a change.
     pub fn set_waiting(
         &mut self,
         name: &str,
@@ -258,7 +261,8 @@
         true
     }
 
-    /// Intends a start of the task on a VM, at a new epoch.
+    /// Places the task on a VM at a new epoch, which records the intent to
+    /// start it.
     ///
     /// # Errors
     ///
@@ -286,7 +290,7 @@
         Ok(())
     }
 
-    /// Takes a task off its VM.
+    /// Removes a task from its VM; it then waits for a new placement.
     ///
     /// # Errors
     ///
@@ -339,7 +343,7 @@
         advance(name, task, "finish", now_ms)
     }
 
-    /// Forgets a task that is no longer wanted.
+    /// Removes a task that is no longer wanted; returns whether it was there.
     pub fn remove(&mut self, name: &str) -> bool {
         self.tasks.remove(name).is_some()
     }
--- a/crates/dewspar/src/route.rs
+++ b/crates/dewspar/src/route.rs
@@ -1,15 +1,15 @@
 /*!
-Routing: which runners are worth a request, and when one may be repeated.
+Routing: outlier ejection of runners, and a budget for retries.
 
-A worker that fails everything it starts, and fails it fast, is free sooner
-than any other and would draw the traffic. [`Health`] compares each runner
-with its siblings: one that fails most of what it gets while the others don't
-is *ejected* for a time that doubles, and let back in by a single probe. Never
-are more than a third of the runners ejected, because then the cause is
+A runner that fails every request, and fails it fast, is free sooner than any
+other and would attract the traffic. [`Health`] detects such outliers: a runner
+that fails most of its recent requests is *ejected* for a time that doubles
+with each ejection, and is readmitted after a single successful probe. At most
+a third of the runners are ejected, because with more failures the cause is
 likely elsewhere.
 
-A [`RetryBudget`] keeps a brown-out from being multiplied: retries may add
-only a fixed share to the requests of the recent past.
+A [`RetryBudget`] prevents retries from amplifying an overload: they may add
+only a fixed share to the recent requests.
 
 # Example
 
@@ -32,42 +32,42 @@
 
 use std::collections::BTreeMap;
 
-/// How many results decide about a runner.
+/// The number of recent results that decide on an ejection.
 const WINDOW: u32 = 8;
 
-/// How many failures in a window eject a runner.
+/// The number of failures in a window that ejects a runner.
 const EJECT_FAILURES: u32 = 5;
 
-/// The first ejection's length, in milliseconds.
+/// The duration of the first ejection, in milliseconds.
 const FIRST_EJECTION_MS: u64 = 1_000;
 
-/// The longest ejection, in milliseconds.
+/// The maximum duration of an ejection, in milliseconds.
 const LONGEST_EJECTION_MS: u64 = 30_000;
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Record {
-    // The last results, newest in the lowest bit; a set bit is a failure.
+    // The recent results, newest in the lowest bit; a set bit is a failure.
     failures: u8,
     ejections: u32,
     ejected_until_ms: u64,
-    // After an ejection one request goes first.
+    // After an ejection a single request is sent as a probe.
     probing: bool,
     probe_in_flight: bool,
 }
 
-/// How the runners of one service have been doing.
+/// The recent results of one service's runners.
 #[derive(Clone, Debug, Default)]
 pub struct Health {
     runners: BTreeMap<String, Record>,
 }
 
 impl Health {
-    /// Adds a runner that nothing is known of.
+    /// Adds a runner without results, unless it is already known.
     pub fn add(&mut self, runner: &str) {
         self.runners.entry(runner.to_owned()).or_default();
     }
 
-    /// Forgets the runners that `keep` refuses.
+    /// Removes the runners for which `keep` returns false.
     pub fn retain(&mut self, keep: impl Fn(&str) -> bool) {
         self.runners.retain(|runner, _| keep(runner));
     }
@@ -80,7 +80,7 @@
         })
     }
 
-    /// Records that a request is on its way to the runner.
+    /// Records that a request was dispatched to the runner.
     pub fn dispatched(&mut self, runner: &str) {
         if let Some(record) = self.runners.get_mut(runner)
             && record.probing
@@ -128,7 +128,7 @@
     }
 }
 
-/// How many retries the requests of the recent past pay for.
+/// A budget for retries, replenished by requests: a token bucket.
 ///
 /// # Example
 ///
@@ -139,7 +139,7 @@
 /// for _ in 0..20 {
 ///     budget.record_request();
 /// }
-/// // 20 requests pay for 2 retries, on top of the 10 that are always kept.
+/// // 20 requests add 2 retries to the initial balance of 10.
 /// let retries = (0..50).filter(|_| budget.try_retry()).count();
 /// assert_eq!(retries, 12);
 /// ```
@@ -149,10 +149,10 @@
     balance: u32,
 }
 
-/// A retry's price, in what one request pays in.
+/// The cost of a retry, in requests.
 const RETRY_COST: u32 = 10;
 
-/// The most that can be saved up.
+/// The maximum balance.
 const MAX_BALANCE: u32 = 100 * RETRY_COST;
 
 impl Default for RetryBudget {
@@ -167,7 +167,7 @@
         self.balance = (self.balance + 1).min(MAX_BALANCE);
     }
 
-    /// Pays for a retry, if there is enough left.
+    /// Takes a retry from the budget; returns false if the balance is too low.
     pub fn try_retry(&mut self) -> bool {
         match self.balance.checked_sub(RETRY_COST) {
             Some(rest) => {
--- a/crates/dewspar/tests/breaker.rs
+++ b/crates/dewspar/tests/breaker.rs
@@ -1,4 +1,4 @@
-//! Whether a service that has stopped answering is sent more.
+//! The circuit breaker: when calls are sent, delayed or refused.
 
 use {
     dewspar::breaker::{Admission, Breaker, Change},
@@ -50,7 +50,7 @@
     breaker.probed(false, 20);
     assert!(breaker.is_open());
     assert_eq!(breaker.admit(50), Admission::Refuse { out_for_ms: 40 });
-    // A call sent before the outage was known.
+    // The answer to a call that was sent before the breaker opened.
     breaker.other_answered(60);
     assert_eq!(breaker.admit(60), Admission::Send);
     assert!(!breaker.continue_probing());
@@ -64,13 +64,13 @@
     assert!(breaker.start_probing(10));
     assert_eq!(breaker.other_answered(20), Change::Cleared);
     assert_eq!(breaker.admit(20), Admission::Send);
-    // The probe was sent before, and is of no use any more.
+    // The probe was sent before that answer, so its failure is ignored.
     assert_eq!(breaker.probed(false, 30), Change::Unchanged);
     assert_eq!(breaker.admit(30), Admission::Send);
     assert!(!breaker.continue_probing());
 }
 
-/// What may happen to a breaker.
+/// An event that a breaker may see.
 #[derive(Clone, Copy, Debug)]
 enum Event {
     Sent,
@@ -100,8 +100,8 @@
     }
 }
 
-/// Whatever happens, new calls are refused only after a probe failed, and
-/// while they aren't sent somebody can probe or does.
+/// Checks that new calls are refused only after a failed probe, and that
+/// exactly one prober is active while calls wait.
 fn rejects_only_after_failed_probe(events: Vec<Event>) -> bool {
     let mut breaker = Breaker::new(SILENCE_MS);
     let (mut now_ms, mut sent, mut probing) = (0, 0, false);
@@ -155,7 +155,8 @@
     true
 }
 
-/// Whoever waits is told of whatever ends the wait, and of nothing else.
+/// Checks that each reported change matches the decisions before and after it,
+/// so that waiting calls are notified exactly when the wait ends.
 fn changes_match_decisions(events: Vec<Event>) -> bool {
     let mut breaker = Breaker::new(SILENCE_MS);
     let mut now_ms = 0;
--- a/crates/dewspar/tests/busy_holder.rs
+++ b/crates/dewspar/tests/busy_holder.rs
@@ -1,14 +1,16 @@
-//! On a node of half a core the second peak of a day asked for 3,800 starts a
-//! second. It made 700 to 1,400, and 2,100 to 3,300 questions beside them, two
-//! or three for each start: a worker answers as soon as a run ends, and was
-//! asked again 15 ms later, so nearly every end cost a call of its own, and a
-//! worker with nothing to tell was asked three times a second. Plans fell from
-//! 890 to 44 a second, and events waited 12 ms for their turn, 86 at most. When
-//! the processor was short, starts were held back and questions weren't.
+//! Polling of workers by a node that is short of CPU time.
+//!
+//! A node with half a core was asked for 3,800 starts a second in a load peak.
+//! It made only 700 to 1,400, because it also polled workers 2,100 to 3,300
+//! times a second, two or three times for each start: a worker answers as soon
+//! as a run ends and was polled again 15 ms later. So nearly every end cost a
+//! separate call, and a worker with nothing to report was polled three times
+//! a second. Plans fell from 890 to 44 a second, and events waited 12 ms, at
+//! most 86 ms. While CPU time was short, starts were delayed but polls weren't.
 
 use dewspar_standin::peak::{NoMeter, Peak, PeakSettings, Processor, Tally};
 
-/// A tenth of the fleet, on a node that is ten times as slow.
+/// A tenth of the fleet and of the load, on a node that is ten times as slow.
 const SETTINGS: PeakSettings = PeakSettings {
     workers: 110,
     pools: 5,
@@ -35,10 +37,10 @@
     let before = run(false, OVERLOADED);
     let after = run(true, OVERLOADED);
     let figures = format!("{before:?} before, {after:?} after");
-    // The play must be one in which time is short.
+    // The run must be one in which CPU time is short.
     assert!(before.questions > before.starts, "{figures}");
     assert!(before.waited_ms > 5 * before.events, "{figures}");
-    // A quarter fewer a start, at least.
+    // At least a quarter fewer polls per start.
     assert!(
         after.questions * before.starts * 4
             < before.questions * after.starts * 3,
@@ -52,6 +54,6 @@
 fn a_node_that_keeps_up_polls_as_before() {
     let before = run(false, FAST);
     let after = run(true, FAST);
-    assert_eq!(before, after, "all that was planned is the same");
+    assert_eq!(before, after, "the delay must not change anything");
     assert!(before.starts > 1_000, "{before:?}");
 }
