--- a/crates/dewspar/tests/busy_holder.rs
+++ b/crates/dewspar/tests/busy_holder.rs
@@ -6,7 +6,8 @@
 //! as a run ends and was polled again 15 ms later. So nearly every end cost a
 //! separate call, and a worker with nothing to report was polled three times
 //! a second. Plans fell from 890 to 44 a second, and events waited 12 ms, at
-//! most 86 ms. While CPU time was short, starts were delayed but polls weren't.
+//! most 86 ms. While CPU time was short, starts were delayed but polls were
+//! not.
 
 use dewspar_standin::peak::{NoMeter, Peak, PeakSettings, Processor, Tally};
 
