--- a/crates/dewspar/src/breaker.rs
+++ b/crates/dewspar/src/breaker.rs
@@ -54,7 +54,7 @@
     Wait,
     /// Refuse the call: its answer would most likely be lost.
     Refuse {
-        /// How long the breaker has been open, in milliseconds.
+        /// The time since the service became suspect, in milliseconds.
         out_for_ms: u64,
     },
 }
@@ -68,7 +68,7 @@
     Cleared,
     /// The breaker closed; new calls are sent again.
     Closed {
-        /// How long the breaker was open, in milliseconds.
+        /// The time since the service had become suspect, in milliseconds.
         out_for_ms: u64,
     },
     /// The breaker opened; new calls and waiting calls are refused.
