--- a/crates/dewspar/src/admit.rs
+++ b/crates/dewspar/src/admit.rs
@@ -24,7 +24,7 @@
 let order: String = std::iter::from_fn(|| queue.pop(0)).collect();
 assert_eq!(order, "acb");
 
-// At most four requests wait; more are refused with a retry time.
+// At most four requests of a partner wait; more are refused.
 for _ in 0..4 {
     queue.push("bank", 1, 1_000, 0, 'x')?;
 }
@@ -45,12 +45,12 @@
 pub enum Refusal {
     /// too many requests of this partner wait; come back in {retry_after_ms} ms
     QueueFull {
-        /// When to come back, in milliseconds.
+        /// The time after which to retry, in milliseconds.
         retry_after_ms: u64,
     },
     /// the deadline would pass before a slot is free; come back in {retry_after_ms} ms
     TooLate {
-        /// When to come back, in milliseconds.
+        /// The time after which to retry, in milliseconds.
         retry_after_ms: u64,
     },
 }
@@ -58,7 +58,7 @@
 impl std::error::Error for Refusal {}
 
 impl Refusal {
-    /// Returns when to come back, in milliseconds.
+    /// Returns the time after which to retry, in milliseconds.
     pub fn retry_after_ms(&self) -> u64 {
         match self {
             Refusal::QueueFull { retry_after_ms }
@@ -85,8 +85,8 @@
 /// The half-life of a partner's recorded usage, in milliseconds.
 const HALF_LIFE_MS: f64 = 1_000.0;
 
-/// The unit from which all usage is rescaled, to limit the magnitude of the
-/// numbers.
+/// The value of the unit at which all usage is rescaled, so that the numbers
+/// stay bounded.
 const RESCALE_THRESHOLD: f64 = 1e12;
 
 /// The usage, in requests, at or below which an idle partner is removed.
--- a/crates/dewspar/src/route.rs
+++ b/crates/dewspar/src/route.rs
@@ -72,7 +72,7 @@
         self.runners.retain(|runner, _| keep(runner));
     }
 
-    /// Returns whether the runner should get a request now.
+    /// Returns whether the runner may get a request now.
     pub fn is_usable(&self, runner: &str, now_ms: u64) -> bool {
         self.runners.get(runner).is_none_or(|record| {
             now_ms >= record.ejected_until_ms
@@ -152,7 +152,7 @@
 /// The cost of a retry, in requests.
 const RETRY_COST: u32 = 10;
 
-/// The maximum balance.
+/// The maximum balance, in requests.
 const MAX_BALANCE: u32 = 100 * RETRY_COST;
 
 impl Default for RetryBudget {
--- a/crates/dewspar/src/slot/granter.rs
+++ b/crates/dewspar/src/slot/granter.rs
@@ -186,7 +186,7 @@
         Some(Pressure { waited_ms, wanted })
     }
 
-    /// Records a sync; returns false if it is older than one already recorded.
+    /// Records a sync; returns false if it isn't newer than the last one.
     fn record_sync(&mut self, node: &str, sync: &Sync, now_ms: u64) -> bool {
         let record = self.records.entry(node.to_owned()).or_default();
         let known = (record.incarnation, record.sequence);
