--- a/crates/dewspar/src/link.rs
+++ b/crates/dewspar/src/link.rs
@@ -16,8 +16,8 @@
 |---|---|---|
 | [`Class::Renewal`] | always | runs end if their lease isn't renewed |
 | [`Class::Stop`] | always | a run occupies its room until it is stopped |
-| [`Class::Fence`] | from either bucket | nothing starts on a worker before it |
-| [`Class::Question`] | from its own bucket | known ends free room for next steps |
+| [`Class::Fence`] | from either bucket | starts on a worker wait for it |
+| [`Class::Question`] | from its own bucket | ends make room for new starts |
 | [`Class::Start`] | from the other bucket | |
 
 Tokens that overflow one bucket go to the other, so that no bandwidth is unused
@@ -119,9 +119,8 @@
 /// The factor by which the rate rises while calls are fast, in percent.
 const INCREASE_PERCENT: u64 = 125;
 
-/// The overhead of an order beyond its payload, in bytes, including its
-/// headers and the packets of its answer: measured from the bytes of orders by
-/// purpose, plus the headers of two packets.
+/// The overhead of an order beyond its payload, in bytes: its own headers, its
+/// answer, and the headers of two packets.
 const ORDER_BYTES: u64 = 250;
 
 /// The overhead of an order that is sent through a relay, in bytes. It is
