--- a/crates/dewspar/src/schedule/crash_bursts.rs
+++ b/crates/dewspar/src/schedule/crash_bursts.rs
@@ -8,10 +8,10 @@
 becomes suspected, far more than there are workers to isolate it on.
 
 The order of events narrows that down. A bad task crashes while it is loaded,
-so only the runs that a worker was told to start last before it fell silent are
-*likely* causes: a few of some twenty. A *burst* is active in a pool once one
-task was a likely cause twice in a row, which hardly happens by chance, and for
-as long as that recurs every few seconds. During a burst:
+so only the runs that a worker was ordered to start last before it fell silent
+are *likely* causes: a few of some twenty. A *burst* is active in a pool once
+one task was a likely cause twice in a row, which hardly happens by chance, and
+for as long as that recurs every few seconds. During a burst:
 
 - Likely tasks are tested after their first crash already, beside proven runs
   only, so that their second crash takes down nothing else that started
--- a/crates/dewspar/src/schedule/forecast.rs
+++ b/crates/dewspar/src/schedule/forecast.rs
@@ -7,7 +7,8 @@
 keeps busy is the arrival rate times the core-seconds of each job; the same
 holds for memory and GPUs. So the initial work of recent arrivals, divided by
 the time over which they came, forecasts the usage of those to come. The usage
-of jobs that are present is projected job by job; see `projection`.
+of jobs that are present is projected job by job; see
+[`projection`](super::projection).
 */
 
 use {
--- a/crates/dewspar/src/schedule/hold_answers.rs
+++ b/crates/dewspar/src/schedule/hold_answers.rs
@@ -43,7 +43,7 @@
     age_ms: u64,
     ordered_ms: u64,
     begun: bool,
-    /// Whether the process that was told to start it has ended.
+    /// Whether the process that was ordered to start it has ended.
     process_has_ended: bool,
 }
 
--- a/crates/dewspar/src/schedule/maintenance.rs
+++ b/crates/dewspar/src/schedule/maintenance.rs
@@ -6,7 +6,8 @@
 only while its step can spare another. Then the VM service is ordered to take
 the VM down, which it does at once.
 
-`wave_selection` decides which VMs are drained next, and how many at a time.
+[`wave_selection`](super::wave_selection) decides which VMs are drained next,
+and how many at a time.
 */
 
 use {
--- a/crates/dewspar/src/schedule/poll_limit.rs
+++ b/crates/dewspar/src/schedule/poll_limit.rs
@@ -6,11 +6,11 @@
 to one hold per worker waits to be sent, and every other order waits behind
 them: a stop took more than a second with 400 workers and 240 orders a second.
 
-An answer that is overdue well after its worker was to give it shows that its
-hold is queued on this node. Once there are more than a few overdue answers,
-the limit on holds in flight is halved, and it is raised again gradually while
-none is overdue. Beyond the limit only holds that renew leases are sent; ends
-are then received a little later, as they would be in any case.
+An answer that is long overdue shows that its hold is queued on this node. Once
+there are more than a few overdue answers, the limit on holds in flight is
+halved, and it is raised again gradually while none is overdue. Beyond the
+limit only holds that renew leases are sent; ends are then received a little
+later, as they would be in any case.
 */
 
 use {
@@ -18,8 +18,8 @@
     std::collections::VecDeque,
 };
 
-/// How long after the worker was to give it an answer counts as late, in
-/// milliseconds: most of the time that an order takes on a node that keeps up.
+/// The delay after which an expected answer counts as late, in milliseconds:
+/// most of the time that an order takes on a node that keeps up.
 const LATE_AFTER_MS: u64 = 100;
 
 /// The number of late answers that is tolerated, and the share of the holds in
--- a/crates/dewspar/src/schedule/processes.rs
+++ b/crates/dewspar/src/schedule/processes.rs
@@ -15,7 +15,7 @@
   and entries arrive. What it reports is ignored.
 
 Room that is reserved on the worker stays reserved, since it belongs to the VM.
-Whether the worker is to be emptied is decided anew, as its VM may just have
+Whether the worker is to be drained is decided anew, as its VM may just have
 been moved or maintained.
 
 A process that has ended or whose lease was over is remembered. So its
--- a/crates/dewspar/src/schedule/reservations.rs
+++ b/crates/dewspar/src/schedule/reservations.rs
@@ -51,7 +51,7 @@
 
 /// How long a worker may accept no starts, or not suit a task for another
 /// transient reason, before its reservation counts as lost, in milliseconds.
-/// This exceeds the time that a worker may take to answer a question, which
+/// This exceeds the time that a worker may take to answer a hold, which
 /// resolves an order without an answer.
 const UNFIT_GRACE_MS: u64 = 500;
 
--- a/crates/dewspar/src/schedule/start_log.rs
+++ b/crates/dewspar/src/schedule/start_log.rs
@@ -5,9 +5,9 @@
 [`write_ahead`](super::write_ahead)) could be written with its job. But a
 holder that takes over at peak load has thousands of jobs with such starts, and
 a store takes a few hundred writes a second. The next holder needs little about
-a start: the task, the run, and the process that was told. So the starts of a
-plan are written as one value, a *start log*, as in the group commit of a
-write-ahead log. Several logs may be in flight at a time.
+a start: the task, the run, and the worker process that receives the order. So
+the starts of a plan are written as one value, a *start log*, as in the group
+commit of a write-ahead log. Several logs may be in flight at a time.
 
 The job's record isn't written for such a start. A log stays until each of its
 starts is settled: the run has lived on, or the job's record says what became
@@ -59,7 +59,7 @@
     pub task: TaskId,
     /// The run's number.
     pub run: u64,
-    /// The worker that is told to start it.
+    /// The worker that is ordered to start it.
     pub worker: String,
     /// The VM of that worker; empty if it doesn't name one.
     #[serde(default, skip_serializing_if = "String::is_empty")]
--- a/crates/dewspar/src/schedule/suspects.rs
+++ b/crates/dewspar/src/schedule/suspects.rs
@@ -18,8 +18,8 @@
   runs that have been confirmed for a while, on a worker reserved for it, on
   which nothing else starts until the task is cleared, and only after both
   crashes are stored. Otherwise two bad tasks that start together mask each
-  other: in 5 of 50 runs of the fault soak, sound jobs were given up because of
-  that, or bad ones were started a sixth time.
+  other: in 5 of 50 runs of a soak test with faults, sound jobs were given up
+  because of that, or bad ones were started a sixth time.
 - A task is *cleared* when one of its runs outlives those that were lost, or
   ends by itself.
 - A task is given up, and its job fails, after its third crash if nothing else
@@ -792,9 +792,9 @@
         };
         let wanted =
             self.required_stability(spec, state, &job.terms.pool, now);
-        // A worker with a reserved place would be closed to the task that was
-        // stopped to take that place: in a randomized run the task had no
-        // worker for 1.65 s.
+        // A worker with reserved capacity would be closed to the task that was
+        // stopped to use it: in a randomized test the task had no worker for
+        // 1.65 s.
         worker.is_usable()
             && !worker.has_reservations()
             && worker.listing.capacity.contains(&demand(spec))
--- a/crates/dewspar/src/schedule/unseen_starts.rs
+++ b/crates/dewspar/src/schedule/unseen_starts.rs
@@ -5,7 +5,7 @@
 task crashed its worker. Recording every start would cost one write per start.
 But few tasks wait at a takeover, and they include all tasks whose last start
 had no observed end. So only the starts of these tasks are recorded before they
-are ordered, with the worker that is told (see
+are ordered, with the worker that receives the order (see
 [`write_ahead`](super::write_ahead)). A holder that finds such a record checks
 the worker:
 
@@ -60,7 +60,7 @@
     Crashed,
 }
 
-/// A recorded start, with the process that was told.
+/// A recorded start, with the process that was ordered to run it.
 #[derive(Debug)]
 pub(super) struct RecordedStart {
     worker: WorkerId,
--- a/crates/dewspar/src/schedule/wave_selection.rs
+++ b/crates/dewspar/src/schedule/wave_selection.rs
@@ -96,8 +96,8 @@
         for id in &selected {
             self.start_drain(id, DrainReason::Maintenance(wave), now);
         }
-        // After all are selected, so that no task is reserved a place on one
-        // of them, and before the pools are sized: otherwise the place for
+        // After all are selected, so that no capacity is reserved on one of
+        // them, and before the pools are sized: otherwise the capacity for
         // which a VM was selected could go to another pool in the same pass,
         // and the VM would be draining for the whole wave.
         for id in &selected {
--- a/crates/dewspar/src/schedule/workers.rs
+++ b/crates/dewspar/src/schedule/workers.rs
@@ -12,8 +12,8 @@
 missed.
 
 Each added worker process gets its own session number. An answer belongs to the
-session of its question; an answer from an earlier session may come from
-another process.
+session in which its order was sent; an answer from an earlier session may come
+from another process.
 
 Within the scheduler a worker is referred to by its number, an index into a
 list. Looking it up by its identifier, a string, costs a hash table access, so
--- a/crates/dewspar/src/schedule/write_ahead.rs
+++ b/crates/dewspar/src/schedule/write_ahead.rs
@@ -48,7 +48,7 @@
 /// The maximum number of withheld starts; they take room on workers.
 const MAX_WITHHELD: usize = 512;
 
-/// A run that has its place on a worker and is still to be ordered.
+/// A run that occupies capacity on a worker and hasn't been ordered yet.
 #[derive(Clone, Debug)]
 pub(super) struct PlacedStart {
     pub(super) worker: WorkerId,
@@ -264,8 +264,8 @@
     }
 }
 
-/// Returns whether the run still has its place, and its worker takes orders
-/// under the token under which the run got that place.
+/// Returns whether the run still occupies its capacity, and its worker takes
+/// orders under the token under which the run was placed.
 fn may_be_ordered(worker: &Worker, task: &TaskId, run: u64, now: Now) -> bool {
     let here = worker.runs.get(task).filter(|here| here.run == run);
     here.is_some_and(|here| {
--- a/crates/dewspard/src/jobs/feeds.rs
+++ b/crates/dewspard/src/jobs/feeds.rs
@@ -1,6 +1,7 @@
 /*!
-Background tasks that feed the holder with events: the watch of the feed, polls
-of the directory of workers and of the list of VMs, and renewals of the lease.
+Background tasks that send events to the holder: the watch on jobs,
+cancellations and the lease's key, polls of the directory of workers and of the
+list of VMs, and renewals of the lease.
 */
 
 use {
--- a/crates/dewspard/src/jobs/intake.rs
+++ b/crates/dewspard/src/jobs/intake.rs
@@ -1,6 +1,6 @@
 /*!
-How the holder processes the feed and the list of VMs: accepted, cancelled and
-finished jobs, and requests of other nodes for the lease.
+How the holder processes events of the feed (accepted, cancelled and finished
+jobs, and other nodes' claims to the lease) and the list of VMs.
 */
 
 use {
--- a/crates/dewspard/src/jobs/progress.rs
+++ b/crates/dewspard/src/jobs/progress.rs
@@ -1,5 +1,5 @@
 /*!
-Parsing of the feed, and writes of the jobs' progress.
+Parsing of feed events, and writes of the jobs' progress.
 
 Every write is conditional on the lease's key and on the key of each job's
 record, so that neither a superseded holder nor a delayed copy of an earlier
