--- a/crates/dewspar/src/schedule/directory.rs
+++ b/crates/dewspar/src/schedule/directory.rs
@@ -84,7 +84,7 @@
         listing: WorkerListing,
     ) {
         if !self.workers.contains_key(&listing.id) {
-            if !self.former.is_from_ended(&listing, asked_ms) {
+            if !self.former_processes.is_from_ended(&listing, asked_ms) {
                 let id = listing.id.clone();
                 let mut worker = self.listed_worker(listing, now);
                 worker.reported_at_ms = asked_ms;
@@ -128,8 +128,8 @@
         let unlisted = live_workers.filter(|id| {
             let known = self.workers.get(id).is_some_and(|w| w.listed);
             // One that the list still shows may have started again.
-            let ended = self.former.has_ended(id)
-                && !self.former.had_ended(id, self.vms_asked_ms);
+            let ended = self.former_processes.has_ended(id)
+                && !self.former_processes.had_ended(id, self.vms_asked_ms);
             !known && !ended
         });
         unlisted.cloned().collect()
@@ -178,7 +178,9 @@
         let vms: BTreeSet<&str> = listings
             .iter()
             .filter(|listing| !listing.vm.is_empty())
-            .filter(|listing| !self.former.is_from_ended(listing, asked_ms))
+            .filter(|listing| {
+                !self.former_processes.is_from_ended(listing, asked_ms)
+            })
             .map(|listing| listing.vm.as_str())
             .collect();
         self.workers
@@ -208,7 +210,7 @@
         self.workers_known = true;
         for (id, pool) in live_workers {
             let known = self.workers.contains_key(&id);
-            if known || self.former.has_ended(&id) {
+            if known || self.former_processes.has_ended(&id) {
                 continue;
             }
             let listing = WorkerListing::unlisted(id.clone(), pool);
@@ -241,7 +243,8 @@
     /// longer known.
     fn listed_worker(&mut self, listing: WorkerListing, now: Now) -> Worker {
         // A partition may outlast a lease while the process keeps running.
-        let Some(tokens_used) = self.former.take_tokens_used(&listing.id)
+        let Some(tokens_used) =
+            self.former_processes.take_tokens_used(&listing.id)
         else {
             return self.new_worker(listing, now);
         };
@@ -264,7 +267,7 @@
     ) {
         self.withdraw_starts_on(id, now);
         let Some(mut worker) = self.workers.remove(id) else { return };
-        self.former.ended(&worker, now);
+        self.former_processes.ended(&worker, now);
         if worker.is_lapsed() {
             // Its lost runs were reported when its lease was over.
             self.note(Decision::WorkerGone { worker: id.clone(), reason });
@@ -324,7 +327,7 @@
             let Some(worker) = self.workers.at(number) else { continue };
             let id = worker.id().clone();
             self.worker_gone(&id, reason, now);
-            self.former.mark_lapsed(&id);
+            self.former_processes.mark_lapsed(&id);
         }
     }
 }
--- a/crates/dewspar/src/schedule/hold_answers.rs
+++ b/crates/dewspar/src/schedule/hold_answers.rs
@@ -94,7 +94,7 @@
                 latest_ms,
             });
         }
-        self.claims.answered(worker_id);
+        self.token_claims.answered(worker_id);
         self.note_unknown_runs(worker_id, report, newest, now);
         for end in &report.ended {
             // This end and all later ones are reported again until they are
--- a/crates/dewspar/src/schedule/processes.rs
+++ b/crates/dewspar/src/schedule/processes.rs
@@ -204,7 +204,7 @@
         for task in &outlived {
             self.update_recorded_process(task, &id);
         }
-        self.claims.forget(&id);
+        self.token_claims.forget(&id);
         self.forget_tickets(&id);
         let reason = "its worker restarted";
         self.lose_runs(&id, ended, answered_ms, reason, now);
--- a/crates/dewspar/src/schedule/scheduler.rs
+++ b/crates/dewspar/src/schedule/scheduler.rs
@@ -70,9 +70,9 @@
     pub(super) finished: BTreeMap<JobId, u64>,
     pub(super) decisions: Vec<Decision>,
     /// The claims of workers to have seen later tokens.
-    pub(super) claims: TokenClaims,
+    pub(super) token_claims: TokenClaims,
     /// The worker processes that are no longer used.
-    pub(super) former: FormerProcesses,
+    pub(super) former_processes: FormerProcesses,
     /// Whether any task was ever suspected of crashing its workers; looking
     /// for suspects takes time.
     pub(super) has_suspects: bool,
@@ -168,7 +168,7 @@
     /// The worker that this holder polls first; `None` before any is listed.
     first_polled: Option<WorkerId>,
     /// The delay of polls while this node's processor is overloaded.
-    busy: PollDelay,
+    poll_delay: PollDelay,
     /// The time at which runs were last monitored.
     pub(super) runs_checked_ms: u64,
     /// The long waits of long-running tasks that were reported.
@@ -186,7 +186,7 @@
             link,
             polls: InFlightPolls::default(),
             first_polled: None,
-            busy: PollDelay::default(),
+            poll_delay: PollDelay::default(),
             runs_checked_ms: 0,
             long_waits: LongWaits::default(),
             options,
@@ -204,8 +204,8 @@
             sequence: 0,
             finished: BTreeMap::new(),
             decisions: Vec::new(),
-            claims: TokenClaims::default(),
-            former: FormerProcesses::default(),
+            token_claims: TokenClaims::default(),
+            former_processes: FormerProcesses::default(),
             has_suspects: false,
             unsynced_losses: BTreeMap::new(),
             uncounted_pools: BTreeSet::new(),
@@ -370,7 +370,7 @@
     /// Records how long an event had waited before it was processed now, in
     /// milliseconds. The delay shows how overloaded this node's processor is.
     pub fn record_event_delay(&mut self, waited_ms: u64, now: Now) {
-        self.busy.record_wait(waited_ms, now.steady_ms);
+        self.poll_delay.record_wait(waited_ms, now.steady_ms);
     }
 
     /// Returns the delay before a worker that has answered is polled again, in
@@ -379,7 +379,7 @@
     /// Starts aren't delayed, so they take precedence.
     pub(super) fn poll_pause_ms(&self) -> u64 {
         let asks_later = self.options.policy.watching.asks_later;
-        if asks_later { self.busy.delay_ms() } else { 0 }
+        if asks_later { self.poll_delay.delay_ms() } else { 0 }
     }
 
     /// Returns whether an order to start may be sent now.
--- a/crates/dewspar/src/schedule/token_claims.rs
+++ b/crates/dewspar/src/schedule/token_claims.rs
@@ -69,30 +69,30 @@
     /// Returns whether a worker has claimed that another node holds the lease,
     /// and no renewal by the store has disproved that yet.
     pub fn may_be_superseded(&self) -> bool {
-        self.claims.claimed_ms.is_some()
+        self.token_claims.claimed_ms.is_some()
     }
 
     /// Records that the store has renewed the lease in response to a call sent
     /// at this time of the steady clock, in milliseconds.
     pub fn lease_renewed(&mut self, sent_ms: u64) {
-        let claimed_ms = self.claims.claimed_ms;
+        let claimed_ms = self.token_claims.claimed_ms;
         if claimed_ms.is_none_or(|claimed_ms| sent_ms <= claimed_ms) {
             return;
         }
-        self.claims.claimed_ms = None;
-        for worker in std::mem::take(&mut self.claims.open) {
-            self.claims.disproved.insert(worker.clone());
+        self.token_claims.claimed_ms = None;
+        for worker in std::mem::take(&mut self.token_claims.open) {
+            self.token_claims.disproved.insert(worker.clone());
             self.note(Decision::ClaimDisproved { worker });
         }
     }
 
     /// Records that a worker has rejected the newest token as too low.
     pub(super) fn later_token_seen(&mut self, worker_id: &WorkerId, now: Now) {
-        if self.claims.disproved.contains(worker_id) {
+        if self.token_claims.disproved.contains(worker_id) {
             return;
         }
-        self.claims.claimed_ms = Some(now.steady_ms);
-        if self.claims.open.insert(worker_id.clone()) {
+        self.token_claims.claimed_ms = Some(now.steady_ms);
+        if self.token_claims.open.insert(worker_id.clone()) {
             let worker = worker_id.clone();
             self.note(Decision::Superseded { worker });
         }
