--- a/crates/dewspar/src/schedule/hold_answers.rs
+++ b/crates/dewspar/src/schedule/hold_answers.rs
@@ -43,7 +43,7 @@
     age_ms: u64,
     ordered_ms: u64,
     begun: bool,
-    /// Whether the process that was told to start it has ended.
+    /// Whether the process that was ordered to start it has ended.
     process_has_ended: bool,
 }
 
@@ -94,7 +94,7 @@
                 latest_ms,
             });
         }
-        self.claims.answered(worker_id);
+        self.token_claims.answered(worker_id);
         self.note_unknown_runs(worker_id, report, newest, now);
         for end in &report.ended {
             // This end and all later ones are reported again until they are
--- a/crates/dewspar/src/schedule/processes.rs
+++ b/crates/dewspar/src/schedule/processes.rs
@@ -15,7 +15,7 @@
   and entries arrive. What it reports is ignored.
 
 Room that is reserved on the worker stays reserved, since it belongs to the VM.
-Whether the worker is to be emptied is decided anew, as its VM may just have
+Whether the worker is to be drained is decided anew, as its VM may just have
 been moved or maintained.
 
 A process that has ended or whose lease was over is remembered. So its
@@ -204,7 +204,7 @@
         for task in &outlived {
             self.update_recorded_process(task, &id);
         }
-        self.claims.forget(&id);
+        self.token_claims.forget(&id);
         self.forget_tickets(&id);
         let reason = "its worker restarted";
         self.lose_runs(&id, ended, answered_ms, reason, now);
